--- a/core/org_uses.c
+++ b/core/org_uses.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ASKING_MIN 1.0 /* units a second: less changes no peer's decision */
+#define DEMAND_MIN 1.0 /* units/s; less changes no peer's decision */
 
 const struct rk_org_use *rk_org_use_find(const struct rk_org_use *uses, size_t len,
                                          const char *org)
@@ -14,14 +14,15 @@
     return NULL;
 }
 
-/* Units only rise, or are given back: a row that is as it was says nothing new.
- * What is asked for fades by itself, and is told until it has. */
+/* Units change only when calls are admitted or refunded, so a record with unchanged
+ * units holds no update. Demand decays without an event and is sent until it is
+ * below DEMAND_MIN. */
 bool rk_org_use_is_news(const struct rk_org_use *use, struct rk_tally *told)
 {
     bool changed = use->units != rk_tally_total(told, use->org);
     if (changed)
         *rk_tally_at(told, use->org) = use->units;
-    return changed || use->asking >= ASKING_MIN;
+    return changed || use->asking >= DEMAND_MIN;
 }
 
 void rk_org_uses_begin(struct rk_org_uses *u)
--- a/core/org_uses.h
+++ b/core/org_uses.h
@@ -1,7 +1,8 @@
-/* What nodes tell of the use of quotas: rows of organisations, of which only those
- * are told again that changed. A node of a large fleet serves a few of hundreds of
- * organisations a second; a bridge that was told all rows by each node of its
- * domain four times a second did little else. Pure. */
+/* Quota usage per organisation as nodes report it to each other. Only records that
+ * changed are sent again, as a node of a large fleet serves a few out of hundreds
+ * of organisations in any second. When each node of a domain sent all records to
+ * its bridge four times a second, the bridge had little time for anything else.
+ * Pure: no I/O, no clock. */
 #ifndef RK_CORE_ORG_USES_H
 #define RK_CORE_ORG_USES_H
 
@@ -13,47 +14,53 @@
 #include "core/quota.h"
 #include "core/tally.h"
 
-/* What one organisation used since the start of who tells it, in units of its
- * quota.
- */
+/* Usage of one organisation since the start of the reporting node, in quota
+ * units. */
 struct rk_org_use {
-    char org[RK_ID_MAX]; /* first: see core/names.h */
+    char org[RK_ID_MAX]; /* must be first: see core/names.h */
     double units;
-    double asking; /* units a second that callers ask for, refused ones included */
-    /* What all used within the quota's window, as far as the teller knows, by parts
-     * of it, the newest first. */
+    double asking; /* units/s requested by callers, refused calls included */
+    /* Units that all nodes used within the quota window, as far as the reporting
+     * node knows, per window slice, newest first. */
     double known[RK_QUOTA_PARTS];
-    /* The same, with what the store remembered; only in reports to control. */
+    /* Like known, plus persisted usage from before a restart; set only in reports
+     * to the control thread. */
     double kept[RK_QUOTA_PARTS];
 };
 
-/* The row of an organisation; NULL: none. */
+/* Returns the record of an organisation among len records, or NULL. */
 const struct rk_org_use *rk_org_use_find(const struct rk_org_use *uses, size_t len,
                                          const char *org);
 
-/* ---- telling ---- */
+/* ---- sending ---- */
 
-/* Has a row to be told to peers that know the others as they were told last? told:
- * units by organisation as told last; the row is noted there if so. */
+/* Returns whether a record has to be sent to peers that have received all earlier
+ * updates. told holds the units per organisation that were sent last; it is updated
+ * if the units changed. */
 bool rk_org_use_is_news(const struct rk_org_use *use, struct rk_tally *told);
 
-/* ---- hearing ---- */
+/* ---- receiving ---- */
 
-/* What one node told, as it stands now. Zeroed: nothing. */
+/* Latest records of one reporting node. All zero: empty. */
 struct rk_org_uses {
     struct rk_org_use *rows;
     size_t len, cap;
     struct rk_names names;
 };
 
-/* A new telling begins: rows that are not in it are asked for nothing now. */
+/* Starts a new report: sets the demand of every record to 0, as records missing
+ * from the report have none. */
 void rk_org_uses_begin(struct rk_org_uses *u);
+/* Returns whether an organisation has a record. */
 bool rk_org_uses_has(const struct rk_org_uses *u, const char *org);
-/* The row of an organisation, made if it is new; valid until the next is made. */
+/* Returns the record of an organisation, added if it is new. Valid until the next
+ * one is added. */
 struct rk_org_use *rk_org_uses_at(struct rk_org_uses *u, const char *org);
-/* Its use as told now; by how much it rose. */
+/* Sets an organisation's units as reported and returns by how much they rose. */
 double rk_org_uses_rise(struct rk_org_uses *u, const char *org, double units);
-void rk_org_uses_clear(struct rk_org_uses *u); /* no row is left */
+/* Removes all records. */
+void rk_org_uses_clear(struct rk_org_uses *u);
+/* Frees what u owns and resets it to empty. */
 void rk_org_uses_free(struct rk_org_uses *u);
 
 #endif
--- a/core/quota.h
+++ b/core/quota.h
@@ -1,6 +1,9 @@
-/* Quotas of organisations over all nodes: what each organisation used within a
- * sliding window, by this node's count and by what peers tell. A node that hears
- * only some of its peers holds to their part. Pure. */
+/* Organisation quotas across all nodes. Tracks what each organisation used within a
+ * sliding window, from this node's own admissions and from peers' reports, and
+ * decides whether a call is admitted. A node that can reach only some of its peers
+ * uses only their share of each quota, so that all sides of a network partition
+ * together stay within it. Pure: no I/O, no clock; the caller passes the time. Not
+ * thread-safe. */
 #ifndef RK_CORE_QUOTA_H
 #define RK_CORE_QUOTA_H
 
@@ -11,121 +14,142 @@
 #include "common/util.h"
 #include "core/names.h"
 
-#define RK_QUOTA_BUCKETS   33   /* one more than a window: the oldest is part */
-#define RK_QUOTA_PARTS     8    /* of a window, as nodes tell each other */
-#define RK_QUOTA_WINDOW_MS 8000 /* when the deployment tells none */
-#define RK_UNKNOWN_NODES   8    /* taken to exist until a list of them is known */
+/* One bucket more than a window, as the oldest bucket lies only partly within
+ * it. */
+#define RK_QUOTA_BUCKETS   33
+#define RK_QUOTA_PARTS     8    /* window slices in reports between nodes */
+#define RK_QUOTA_WINDOW_MS 8000 /* default, when the deployment sets none */
+#define RK_UNKNOWN_NODES   8    /* assumed until the node list is known */
 
-/* One organisation's use. peers_asking is set by the owner. */
+/* Usage and demand of one organisation. */
 struct rk_quota_org {
-    char name[RK_ID_MAX];          /* first: see core/names.h */
-    double used[RK_QUOTA_BUCKETS]; /* units, by time */
-    double own[RK_QUOTA_BUCKETS];  /* of that, admitted here */
-    int64_t bucket;                /* number of the newest */
-    double own_total;              /* admitted here since the start */
-    double peers_recent;           /* of the peers, decaying: shows their rate */
-    int64_t peers_recent_ms;       /* when it was reckoned: at their last word */
-    double peers_slots[2]; /* of the peers: this short while, the last one */
-    int64_t peers_slot;    /* number of this one */
-    double asked;          /* units that this node was asked for, decaying */
-    int64_t asked_ms;      /* when that was reckoned */
-    double peers_asking; /* units a second that the peers are asked for, as told */
-    double quota;        /* units a window, as asked for last */
-    double old_quota;    /* a higher one that still counts */
-    int64_t old_until_ms;
-    double restored[RK_QUOTA_BUCKETS]; /* by all before a restart, as was kept */
-    double restored_asking; /* units a second that all were asked for then */
+    char name[RK_ID_MAX];          /* must be first: see core/names.h */
+    double used[RK_QUOTA_BUCKETS]; /* units used by all nodes, per bucket */
+    double own[RK_QUOTA_BUCKETS];  /* units admitted by this node, part of used */
+    int64_t bucket;                /* number of the newest bucket */
+    double own_total;              /* units admitted by this node since its start */
+    double peers_recent;           /* peers' units, decaying exponentially */
+    int64_t peers_reported_ms;     /* time of the peers' last report of usage */
+    double peers_slots[2]; /* peers' units in the current and the previous slot */
+    int64_t peers_slot;    /* number of the current slot */
+    double demand;         /* units requested here, decaying exponentially */
+    int64_t demand_ms;     /* when demand was last updated */
+    double peers_asking;   /* units/s requested at the peers; set by the owner */
+    double quota;          /* units per window, as last set */
+    double old_quota;      /* higher quota still in force after a reduction */
+    int64_t old_quota_until_ms;
+    double
+        /* Units used by all nodes before a restart. */
+        restored[RK_QUOTA_BUCKETS];
+    double restored_asking; /* units/s requested at all nodes before it */
 };
 
+/* Quota state of one node. */
 struct rk_quota {
     int64_t window_ms;
     struct rk_quota_org *orgs;
     size_t orgs_len, orgs_cap;
-    struct rk_names names;          /* of orgs */
-    int nodes_heard, nodes_total;   /* this one included */
-    double heard[RK_QUOTA_BUCKETS]; /* part of the nodes that was heard, by time */
-    int64_t heard_bucket;           /* number of the newest */
-    int64_t healed_ms; /* when many more were heard again, last; 0: never */
-    double slack;      /* units that the deployment forgives */
-    double overrun; /* share of a quota that it forgives; 0 after rk_quota_init() */
-    int64_t lag_ms; /* age of what the peers tell */
-    int64_t word_ms;   /* when any of them told something last; 0: never */
-    int64_t since_ms;  /* own knowledge goes back to then; 0: to the first start */
-    int64_t forgot_ms; /* the same until a peer told what was used before */
-    bool read;         /* what the store kept is known, or that there is nothing */
-    bool restored;     /* it is new enough to go by */
-    struct rk_rng rng; /* who of many is admitted; its state differs by node */
+    struct rk_names names;        /* index of orgs */
+    int nodes_heard, nodes_total; /* both include this node */
+    /* Share of the nodes that was reachable, per bucket. */
+    double reachable[RK_QUOTA_BUCKETS];
+    int64_t reachable_bucket; /* number of the newest bucket of reachable */
+    int64_t rejoined_ms;      /* when a partition last ended; 0: never */
+    double slack;             /* units that may be used beyond a quota */
+    double overrun;    /* share of a quota that may be exceeded; 0 by default */
+    int64_t lag_ms;    /* age of peers' reports when they arrive */
+    int64_t word_ms;   /* when a peer's report last arrived; 0: never */
+    int64_t since_ms;  /* start of this node's own usage data; 0: complete */
+    int64_t forgot_ms; /* like since_ms; 0 once a peer has sent older data */
+    bool read;         /* persisted usage was read, or there is none */
+    bool restored;     /* persisted usage is recent enough to be used */
+    /* Draws which calls are admitted. Its state differs between nodes; the owner
+     * seeds it. */
+    struct rk_rng rng;
 };
 
-/* since_ms: see above. */
+/* Initialises q. window_ms: 0 selects RK_QUOTA_WINDOW_MS. slack: units that may be
+ * used beyond a quota. since_ms: when this process restarted, as it knows no older
+ * usage; 0 on the first start of the deployment. */
 void rk_quota_init(struct rk_quota *q, int64_t window_ms, double slack,
                    int64_t since_ms);
 
+/* Frees what q owns, but not q itself. */
 void rk_quota_free(struct rk_quota *q);
 
-/* What decided about a call. */
+/* Figures behind an admission decision. */
 struct rk_quota_answer {
-    double used, before,
-        limit;              /* units: known, guessed of an earlier life, allowed */
-    double share;           /* of calls that are admitted while little is free */
-    int64_t retry_after_ms; /* when some are free again */
+    /* Units: usage counted, usage assumed before a restart, and the limit. */
+    double used, before, limit;
+    double share;           /* share of calls admitted while little is free */
+    int64_t retry_after_ms; /* when units are expected to be free again */
 };
 
-/* So many nodes are heard of all that there are, this one included. */
+/* Sets how many nodes are reachable out of all nodes, both including this one. */
 void rk_quota_hear(struct rk_quota *q, int nodes_heard, int nodes_total,
                    int64_t now_ms);
 
-/* A lowered quota takes effect after one window: until then the higher one counts.
- * May units be used? Counts them if so. rate 0: no limit. */
+/* Decides whether a call that costs `units` is admitted, and counts it if so. rate:
+ * units/s, 0: no limit; burst: units on top of the rate in each window. A lowered
+ * quota takes effect after one window; until then the higher one is in force.
+ * *answer is filled in either case. */
 bool rk_quota_admit(struct rk_quota *q, const char *org, double rate, double burst,
                     double units, int64_t now_ms, struct rk_quota_answer *answer);
 
-/* Units that were admitted elsewhere since the peers' last word, or given back
- * (negative). */
+/* Adds units that peers admitted since their previous report; negative for
+ * refunds. */
 void rk_quota_add(struct rk_quota *q, const char *org, double units,
                   int64_t now_ms);
 
-/* How far back this node's own knowledge goes, at most the window. */
+/* Returns how far back this node's own usage data goes, in ms, at most one
+ * window. */
 int64_t rk_quota_remembers_ms(const struct rk_quota *q, int64_t now_ms);
 
-/* A peer remembers a whole window; rk_quota_know() was called for each of its
- * organisations. */
+/* Notes that a peer's usage data goes back remembers_ms. If that is a whole window,
+ * nothing has to be assumed about usage before the restart. The peer's usage of
+ * every organisation must have been merged by rk_quota_know() before. */
 void rk_quota_remind(struct rk_quota *q, int64_t remembers_ms);
 
-/* What all nodes used by what a peer remembers, the newest part of the window
- * first. Kept where it is more than what is known here. */
+/* Merges what a peer knows of the usage of all nodes, in units per window slice,
+ * newest first. Raises the slices of which this node knows less. */
 void rk_quota_know(struct rk_quota *q, const char *org,
-                   const double parts[RK_QUOTA_PARTS], int64_t now_ms);
+                   const double slices[RK_QUOTA_PARTS], int64_t now_ms);
 
-/* What is known here, the same way. */
+/* Fills slices with what this node knows of the usage of all nodes, in units per
+ * window slice, newest first. */
 void rk_quota_tell(const struct rk_quota *q, struct rk_quota_org *o,
-                   double parts[RK_QUOTA_PARTS], int64_t now_ms);
+                   double slices[RK_QUOTA_PARTS], int64_t now_ms);
 
-/* The same, with what was used before this start, or may have been: to be kept in
- * the store. quota: units a window, rate: units a second. */
+/* Like rk_quota_tell(), plus what was used, or may have been used, before this
+ * node's restart. The result is meant for the store. quota: units per window; rate:
+ * units/s. */
 void rk_quota_keep(const struct rk_quota *q, struct rk_quota_org *o, double quota,
-                   double rate, double parts[RK_QUOTA_PARTS], int64_t now_ms);
-/* Is that no less than what was used within the window? */
+                   double rate, double slices[RK_QUOTA_PARTS], int64_t now_ms);
+
+/* Returns whether rk_quota_keep() reports at least what was used within the window.
+ * It does not while the persisted usage has not been read after a restart. */
 bool rk_quota_knows_all(const struct rk_quota *q, int64_t now_ms);
 
-/* What all nodes used by what was kept in the store, the newest part of the window
- * first, and the units a second that they were asked for; it was true so long ago,
- * and what may have been used since is added. It counts until a peer tells what it
- * remembers itself. */
+/* Adds usage persisted before a restart: slices is what all nodes used, in units
+ * per window slice, newest first; asking is their demand in units/s; age_ms is the
+ * age of the record. Also adds an estimate of what was used since the record was
+ * written. Counts until a peer reports its own data. */
 void rk_quota_restore(struct rk_quota *q, const char *org,
-                      const double parts[RK_QUOTA_PARTS], double asking,
+                      const double slices[RK_QUOTA_PARTS], double asking,
                       int64_t age_ms, int64_t now_ms);
 
-/* That was all. What was kept just before this start is gone by; else any more may
- * have been used up to the quota. */
+/* Ends a series of rk_quota_restore() calls. If the record is recent enough
+ * (age_ms), only what was restored counts as used before the restart; otherwise up
+ * to the whole quota may have been used. */
 void rk_quota_restored(struct rk_quota *q, int64_t age_ms);
 
-/* Units used by all within the window, as far as known here. */
+/* Returns units used by all nodes within the window, as far as this node knows. */
 double rk_quota_known(const struct rk_quota_org *o);
 
-/* Units a second that this node is asked for, refused ones included. */
+/* Returns units/s requested at this node, refused calls included. */
 double rk_quota_asking(const struct rk_quota_org *o, int64_t now_ms);
-/* Give back what was admitted here and did not run. */
+
+/* Gives back units that this node admitted for a call that did not run. */
 void rk_quota_refund(struct rk_quota *q, const char *org, double units,
                      int64_t now_ms);
 
--- a/core/tally.h
+++ b/core/tally.h
@@ -1,5 +1,6 @@
-/* Counters by name that only add up what sources told, so that a source that starts
- * again, or takes over from another, doesn't make a sum jump. Pure. */
+/* Running totals by name. Callers add only the rise of what a source reports, so a
+ * sum does not jump when a source restarts or takes over from another one. Pure: no
+ * I/O, no clock. */
 #ifndef RK_CORE_TALLY_H
 #define RK_CORE_TALLY_H
 
@@ -9,22 +10,27 @@
 #include "core/names.h"
 
 struct rk_tally_row {
-    char name[RK_ID_MAX]; /* first: see core/names.h */
+    char name[RK_ID_MAX]; /* must be first: see core/names.h */
     double total;
 };
 
+/* Counters with an index by name. All zero: empty. */
 struct rk_tally {
     struct rk_tally_row *rows;
     size_t len, cap;
     struct rk_names index;
 };
 
-/* The counter of a name, made if need be; valid until the next is made. */
+/* Returns the counter of a name, added at 0 if it is new. Valid until the next one
+ * is added. */
 double *rk_tally_at(struct rk_tally *t, const char *name);
-double rk_tally_total(const struct rk_tally *t, const char *name); /* 0: none */
-/* Set a counter; by how much it rose. */
+/* Returns the total of a name; 0 if there is none. */
+double rk_tally_total(const struct rk_tally *t, const char *name);
+/* Sets a counter and returns by how much it rose. */
 double rk_tally_rise(struct rk_tally *t, const char *name, double now);
-void rk_tally_clear(struct rk_tally *t); /* no counter is left */
+/* Removes all counters. */
+void rk_tally_clear(struct rk_tally *t);
+/* Frees what t owns and resets it to empty. */
 void rk_tally_free(struct rk_tally *t);
 
 #endif
--- a/core/usage.c
+++ b/core/usage.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_ROWS 64 /* a power of two */
+#define FIRST_ROWS 64 /* must be a power of two */
 
 static uint64_t key_of(uint64_t node, int64_t window, const char *org)
 {
@@ -17,15 +17,15 @@
     return row->window == window && row->node == node && !strcmp(row->org, org);
 }
 
-/* The index has twice as many places as there may be rows: one is always free. */
+/* The index has two slots per possible row, so a slot is always free. */
 static size_t index_mask(const struct rk_usage *u)
 {
     return u->cap * 2 - 1;
 }
 
-/* The place of a row in the index, or the free one where it would stand. */
-static size_t place_of(const struct rk_usage *u, uint64_t node, int64_t window,
-                       const char *org)
+/* Returns the index slot of a row, or the free slot where it belongs. */
+static size_t slot_of(const struct rk_usage *u, uint64_t node, int64_t window,
+                      const char *org)
 {
     size_t at = key_of(node, window, org) & index_mask(u);
     while (u->index[at] && !is_row(&u->rows[u->index[at] - 1], node, window, org))
@@ -38,7 +38,7 @@
     memset(u->index, 0, u->cap * 2 * sizeof(*u->index));
     for (size_t i = 0; i < u->len; i++) {
         const struct rk_usage_row *row = &u->rows[i];
-        u->index[place_of(u, row->node, row->window, row->org)] = (uint32_t)i + 1;
+        u->index[slot_of(u, row->node, row->window, row->org)] = (uint32_t)i + 1;
     }
 }
 
@@ -50,12 +50,12 @@
     index_rows(u);
 }
 
-static struct rk_usage_row *find(struct rk_usage *u, uint64_t node, int64_t window,
-                                 const char *org)
+static struct rk_usage_row *find_or_add(struct rk_usage *u, uint64_t node,
+                                        int64_t window, const char *org)
 {
     if (u->len == u->cap)
         grow(u);
-    size_t at = place_of(u, node, window, org);
+    size_t at = slot_of(u, node, window, org);
     if (u->index[at])
         return &u->rows[u->index[at] - 1];
     struct rk_usage_row *row = &u->rows[u->len++];
@@ -68,54 +68,54 @@
 void rk_usage_count(struct rk_usage *u, uint64_t node, int64_t window,
                     const char *org)
 {
-    struct rk_usage_row *row = find(u, node, window, org);
+    struct rk_usage_row *row = find_or_add(u, node, window, org);
     row->since_ms = u->since_ms;
     row->count++;
 }
 
 void rk_usage_merge(struct rk_usage *u, const struct rk_usage_row *row)
 {
-    struct rk_usage_row *mine = find(u, row->node, row->window, row->org);
-    bool later = row->node == RK_USAGE_KEPT && row->since_ms > mine->since_ms;
-    if (later || row->count > mine->count)
-        mine->count = row->count;
-    if (later || !mine->since_ms)
-        mine->since_ms = row->since_ms;
+    struct rk_usage_row *known = find_or_add(u, row->node, row->window, row->org);
+    bool newer = row->node == RK_USAGE_KEPT && row->since_ms > known->since_ms;
+    if (newer || row->count > known->count)
+        known->count = row->count;
+    if (newer || !known->since_ms)
+        known->since_ms = row->since_ms;
 }
 
-static const struct rk_usage_row *kept(const struct rk_usage *u, int64_t window,
-                                       const char *org)
+static const struct rk_usage_row *persisted_row(const struct rk_usage *u,
+                                                int64_t window, const char *org)
 {
     if (!u->cap)
         return NULL;
-    uint32_t at = u->index[place_of(u, RK_USAGE_KEPT, window, org)];
+    uint32_t at = u->index[slot_of(u, RK_USAGE_KEPT, window, org)];
     return at ? &u->rows[at - 1] : NULL;
 }
 
-static bool is_kept(const struct rk_usage_row *row)
+static bool is_persisted(const struct rk_usage_row *row)
 {
     return row->node == RK_USAGE_KEPT;
 }
 
 void rk_usage_sums(const struct rk_usage *u, int64_t window, struct rk_tally *sums)
 {
-    struct rk_tally since = {0}; /* of nodes that began after what was kept */
+    struct rk_tally since = {0}; /* calls of nodes that started after the record */
     for (size_t i = 0; i < u->len; i++) {
         const struct rk_usage_row *row = &u->rows[i];
-        if (row->window != window || is_kept(row))
+        if (row->window != window || is_persisted(row))
             continue;
-        const struct rk_usage_row *record = kept(u, window, row->org);
+        const struct rk_usage_row *record = persisted_row(u, window, row->org);
         *rk_tally_at(sums, row->org) += (double)row->count;
         if (record && row->since_ms > record->since_ms)
             *rk_tally_at(&since, row->org) += (double)row->count;
     }
     for (size_t i = 0; i < u->len; i++) {
         const struct rk_usage_row *row = &u->rows[i];
-        if (row->window != window || !is_kept(row))
+        if (row->window != window || !is_persisted(row))
             continue;
         double all = (double)row->count + rk_tally_total(&since, row->org);
-        double *told = rk_tally_at(sums, row->org);
-        *told = all > *told ? all : *told;
+        double *reported = rk_tally_at(sums, row->org);
+        *reported = all > *reported ? all : *reported;
     }
     rk_tally_free(&since);
 }
@@ -131,13 +131,13 @@
 
 void rk_usage_forget(struct rk_usage *u, int64_t window)
 {
-    size_t kept = 0;
+    size_t remaining = 0;
     for (size_t i = 0; i < u->len; i++)
         if (u->rows[i].window >= window)
-            u->rows[kept++] = u->rows[i];
-    if (kept == u->len)
+            u->rows[remaining++] = u->rows[i];
+    if (remaining == u->len)
         return;
-    u->len = kept;
+    u->len = remaining;
     index_rows(u);
 }
 
--- a/core/usage.h
+++ b/core/usage.h
@@ -1,6 +1,6 @@
-/* How many calls of each organisation began to run in each window of the wall
- * clock, as told by each node. Counts of one node only rise, so they may be told
- * any number of times, in any order. Pure. */
+/* Number of calls of each organisation that started in each window of the wall
+ * clock, as reported by each node. A node's count only rises, so reports may be
+ * merged any number of times and in any order. Pure: no I/O, no clock. */
 #ifndef RK_CORE_USAGE_H
 #define RK_CORE_USAGE_H
 
@@ -10,45 +10,47 @@
 #include "common/util.h"
 #include "core/tally.h"
 
-/* One node's count. node: a hash of its id and incarnation; or RK_USAGE_KEPT: what
- * all nodes had counted when that was kept, for a kill of all. */
+/* One node's count. node: hash of its id and incarnation, or RK_USAGE_KEPT for a
+ * persisted record of what all nodes had counted, which survives a kill of all
+ * nodes. */
 #define RK_USAGE_KEPT 0
 struct rk_usage_row {
     uint64_t node;
     int64_t window;
     char org[RK_ID_MAX];
     uint64_t count;
-    int64_t
-        since_ms; /* by the wall clock: since when it counts; when it was kept */
+    /* Wall clock: since when the node counts, or when the record was persisted. */
+    int64_t since_ms;
 };
 
-/* Rows in no order, found by an index: a fleet has thousands. */
+/* Counts in no order, with a hash index, as a fleet has thousands of them. */
 struct rk_usage {
     struct rk_usage_row *rows;
-    uint32_t *index; /* hash table of row numbers plus one; 0: free */
+    uint32_t *index; /* hash table of row index plus one; 0: free */
     size_t len, cap;
-    int64_t since_ms; /* of the rows that are counted here */
+    int64_t since_ms; /* since_ms of the rows counted by this node */
 };
 
-/* Add one at this node. */
+/* Adds one call that started at this node. */
 void rk_usage_count(struct rk_usage *u, uint64_t node, int64_t window,
                     const char *org);
 
-/* A node's count as told: taken if it is more than what was known; what was kept,
- * if it was later. */
+/* Merges a reported count: the higher count of a node wins; of persisted records,
+ * the later one. */
 void rk_usage_merge(struct rk_usage *u, const struct rk_usage_row *row);
 
-/* Sum over all nodes. What was kept counts for the nodes that had begun by then,
- * where it is more than what they told: who was killed before it could tell told
- * nothing. */
+/* Returns the sum over all nodes. A persisted record covers the nodes that had
+ * started before it was written, and is used where it exceeds their reports: a node
+ * that was killed before it could report is missing from those. */
 uint64_t rk_usage_sum(const struct rk_usage *u, int64_t window, const char *org);
-/* The same of all organisations that have any, in one pass: a holder of the duties
- * has rows of each node for each organisation that it serves. sums: empty before.
- */
+/* Adds the sums of all organisations with calls in the window to sums, which must
+ * be empty. Takes one pass, as the leader has a row per node and organisation that
+ * the node serves. */
 void rk_usage_sums(const struct rk_usage *u, int64_t window, struct rk_tally *sums);
 
-/* Forget windows before `window`. */
+/* Removes the counts of windows before `window`. */
 void rk_usage_forget(struct rk_usage *u, int64_t window);
+/* Frees what u owns and resets it to empty. */
 void rk_usage_free(struct rk_usage *u);
 
 #endif
