--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -4,12 +4,14 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A suspect that isn't seen again for so long begins anew. Callers ask again within
- * seconds; an hour covers those that an operator or a queue sends again. */
-#define SUSPECT_KEPT_MS (10 * 60 * RK_MS_PER_S)
-#define STOPPED_KEPT_MS (60 * 60 * RK_MS_PER_S)
-/* Later, VMs of another version may not survive what their predecessors did. */
-#define SOUND_MS (60 * RK_MS_PER_S)
+/* A suspect that does not recur within this time starts anew. Callers retry within
+ * seconds; an hour for stopped requests also covers retries by an operator or from
+ * a queue. */
+#define SUSPECT_EXPIRY_MS (10 * 60 * RK_MS_PER_S)
+#define STOPPED_EXPIRY_MS (60 * 60 * RK_MS_PER_S)
+/* After a minute the VMs may run another version, which may not survive what its
+ * predecessor did. */
+#define HARMLESS_MS (60 * RK_MS_PER_S)
 
 uint64_t rk_quarantine_request(const struct rk_request_parts *parts)
 {
@@ -36,13 +38,14 @@
     return NULL;
 }
 
-/* ---- room ---- */
+/* ---- eviction ---- */
 
 bool rk_quarantine_is_over(const struct rk_quarantine_row *row, int64_t now_ms)
 {
     int64_t last_ms =
-        row->asked_ms > row->changed_ms ? row->asked_ms : row->changed_ms;
-    return now_ms - last_ms > (row->stopped ? STOPPED_KEPT_MS : SUSPECT_KEPT_MS);
+        row->requested_ms > row->changed_ms ? row->requested_ms : row->changed_ms;
+    return now_ms - last_ms >
+           (row->stopped ? STOPPED_EXPIRY_MS : SUSPECT_EXPIRY_MS);
 }
 
 static void remove_row(struct rk_quarantine *q, struct rk_quarantine_row *row)
@@ -64,17 +67,19 @@
     return rk_hash_str(0, row->org) % BUCKETS;
 }
 
-/* Should a go before b? A suspect goes before one that is stopped. */
-static bool goes_before(const struct rk_quarantine_row *a,
-                        const struct rk_quarantine_row *b)
+/* Returns whether to evict a before b: suspects before stopped requests, then the
+ * least recently changed. */
+static bool evicts_before(const struct rk_quarantine_row *a,
+                          const struct rk_quarantine_row *b)
 {
     if (a->stopped != b->stopped)
         return b->stopped;
     return a->changed_ms < b->changed_ms;
 }
 
-/* One organisation that sends many such requests pushes out its own. */
-static void make_room(struct rk_quarantine *q)
+/* Evicts a row of the organisation with the most rows, so an organisation that
+ * sends many such requests displaces only its own. */
+static void evict_row(struct rk_quarantine *q)
 {
     struct rk_quarantine_row *victim = NULL;
     size_t rows[BUCKETS] = {0}, most = 0;
@@ -83,7 +88,7 @@
     for (size_t i = 0; i < q->len; i++) {
         struct rk_quarantine_row *row = &q->rows[i];
         size_t n = rows[bucket_of(row)];
-        if (n > most || (n == most && goes_before(row, victim))) {
+        if (n > most || (n == most && evicts_before(row, victim))) {
             most = n;
             victim = row;
         }
@@ -100,7 +105,7 @@
         return row;
     rk_quarantine_expire(q, now_ms);
     if (q->len == RK_QUARANTINE_ROWS)
-        make_room(q);
+        evict_row(q);
     row = &q->rows[q->len++];
     *row =
         (struct rk_quarantine_row){.request = names->request, .changed_ms = now_ms};
@@ -119,9 +124,10 @@
     return NULL;
 }
 
-/* Where an end that isn't known goes; NULL: all that are known say as much. */
-static struct rk_vm_end *place_for(struct rk_quarantine_row *row,
-                                   enum rk_suspicion suspicion)
+/* Returns the slot for a new end, or NULL if all recorded ends weigh at least as
+ * much. */
+static struct rk_vm_end *slot_for(struct rk_quarantine_row *row,
+                                  enum rk_suspicion suspicion)
 {
     if (row->ends_len < RK_QUARANTINE_ENDS)
         return &row->ends[row->ends_len++];
@@ -131,27 +137,27 @@
     return NULL;
 }
 
-/* True if it was not known, or spoke less against the request. */
+/* Returns whether the end is new or weighs more than it was recorded with. */
 static bool add_end(struct rk_quarantine_row *row, struct rk_vm_end end)
 {
     struct rk_vm_end *known = find_end(row, end.vm);
     if (known && known->suspicion >= end.suspicion)
         return false;
-    struct rk_vm_end *to = known ? known : place_for(row, end.suspicion);
+    struct rk_vm_end *to = known ? known : slot_for(row, end.suspicion);
     if (!to)
         return false;
     *to = end;
     return true;
 }
 
-/* Did a VM end under a request that is stopped, and had just begun it? Then no
- * other is to be suspected. */
+/* Returns whether the VM had just begun a stopped request when it ended. Other
+ * requests are not suspected of that end. */
 static bool is_explained(struct rk_quarantine *q,
-                         const struct rk_quarantine_row *but, uint32_t vm)
+                         const struct rk_quarantine_row *except, uint32_t vm)
 {
     for (size_t i = 0; i < q->len; i++) {
         struct rk_quarantine_row *row = &q->rows[i];
-        if (row == but || !row->stopped)
+        if (row == except || !row->stopped)
             continue;
         const struct rk_vm_end *end = find_end(row, vm);
         if (end && end->suspicion == RK_HAD_JUST_BEGUN)
@@ -169,7 +175,7 @@
     return sum;
 }
 
-/* Where there is no room for another end, those go that speak against others. */
+/* If the row is full, removes the ends that other requests explain. */
 static void drop_explained(struct rk_quarantine *q, struct rk_quarantine_row *row)
 {
     if (row->ends_len < RK_QUARANTINE_ENDS)
@@ -179,9 +185,10 @@
             row->ends[i] = row->ends[--row->ends_len];
 }
 
-/* Other requests that two VMs or more ended under. */
-static int count_beside(const struct rk_quarantine *q,
-                        const struct rk_quarantine_row *but)
+/* Counts the other requests with at least two ends of VMs that had just begun
+ * them. */
+static int count_other_suspects(const struct rk_quarantine *q,
+                                const struct rk_quarantine_row *except)
 {
     int count = 0;
     for (size_t i = 0; i < q->len; i++) {
@@ -189,19 +196,19 @@
         int ends = 0;
         for (size_t j = 0; j < row->ends_len; j++)
             ends += row->ends[j].suspicion == RK_HAD_JUST_BEGUN;
-        count += row != but && ends >= 2;
+        count += row != except && ends >= 2;
     }
     return count;
 }
 
-/* What the ends under a request have to come to. */
+/* Returns the suspicion at which a row is stopped. */
 static int limit(const struct rk_quarantine *q, const struct rk_quarantine_row *row)
 {
-    bool crowded = count_beside(q, row) >= RK_QUARANTINE_CROWD;
+    bool crowded = count_other_suspects(q, row) >= RK_QUARANTINE_CROWD;
     return RK_QUARANTINE_LIMIT + (crowded ? RK_HAD_JUST_BEGUN : 0);
 }
 
-/* True if it is stopped from now on. */
+/* Stops the request if its evidence suffices; returns whether it did. */
 static bool judge(struct rk_quarantine *q, struct rk_quarantine_row *row)
 {
     int sum = row->stopped ? 0 : evidence(q, row);
@@ -211,18 +218,19 @@
     return true;
 }
 
-static bool is_sound(const struct rk_quarantine *q, uint64_t request,
-                     int64_t now_ms)
+static bool is_harmless(const struct rk_quarantine *q, uint64_t request,
+                        int64_t now_ms)
 {
-    const struct rk_sound_request *s = &q->sound[request % RK_QUARANTINE_SOUND];
-    return s->request == request && now_ms - s->ran_ms < SOUND_MS;
+    const struct rk_harmless_request *s =
+        &q->harmless[request % RK_QUARANTINE_HARMLESS];
+    return s->request == request && now_ms - s->completed_ms < HARMLESS_MS;
 }
 
 bool rk_quarantine_note(struct rk_quarantine *q,
                         const struct rk_quarantine_row *names, struct rk_vm_end end,
                         int64_t now_ms)
 {
-    if (is_sound(q, names->request, now_ms))
+    if (is_harmless(q, names->request, now_ms))
         return false;
     struct rk_quarantine_row *row = find_or_add(q, names, now_ms);
     drop_explained(q, row);
@@ -238,7 +246,7 @@
     struct rk_quarantine_row *row = rk_quarantine_find(q, request);
     if (!row || !row->stopped)
         return false;
-    row->asked_ms = now_ms;
+    row->requested_ms = now_ms;
     return true;
 }
 
@@ -261,8 +269,8 @@
 
 void rk_quarantine_ran(struct rk_quarantine *q, uint64_t request, int64_t now_ms)
 {
-    q->sound[request % RK_QUARANTINE_SOUND] =
-        (struct rk_sound_request){.request = request, .ran_ms = now_ms};
+    q->harmless[request % RK_QUARANTINE_HARMLESS] =
+        (struct rk_harmless_request){.request = request, .completed_ms = now_ms};
     rk_quarantine_clear(q, request, now_ms);
 }
 
@@ -274,16 +282,18 @@
     return row->stopped || 2 * sum >= RK_QUARANTINE_LIMIT;
 }
 
-/* Take over what a row of the same generation tells; true if some of it is news. */
-static bool take_evidence(struct rk_quarantine_row *row,
-                          const struct rk_quarantine_row *told)
+/* Merges the evidence of a row of the same generation; returns whether anything
+ * changed. */
+static bool merge_evidence(struct rk_quarantine_row *row,
+                           const struct rk_quarantine_row *remote)
 {
-    bool news = (told->stopped && !row->stopped) || (told->stored && !row->stored);
-    row->stopped = row->stopped || told->stopped;
-    row->stored = row->stored || told->stored;
-    for (size_t i = 0; i < told->ends_len; i++)
-        news = add_end(row, told->ends[i]) || news;
-    return news;
+    bool changed =
+        (remote->stopped && !row->stopped) || (remote->stored && !row->stored);
+    row->stopped = row->stopped || remote->stopped;
+    row->stored = row->stored || remote->stored;
+    for (size_t i = 0; i < remote->ends_len; i++)
+        changed = add_end(row, remote->ends[i]) || changed;
+    return changed;
 }
 
 bool rk_quarantine_merge(struct rk_quarantine *q,
@@ -291,23 +301,23 @@
                          int64_t now_ms)
 {
     struct rk_quarantine_row *known = rk_quarantine_find(q, row->request);
-    bool says_nothing = !row->ends_len && !row->stopped;
-    if (known ? row->cleared < known->cleared : says_nothing)
-        return false; /* of before it was cleared, or nothing */
+    bool is_empty = !row->ends_len && !row->stopped;
+    if (known ? row->cleared < known->cleared : is_empty)
+        return false; /* older than the last reset, or empty */
     known = find_or_add(q, row, now_ms);
-    bool news = row->cleared > known->cleared;
-    if (news) {
+    bool changed = row->cleared > known->cleared;
+    if (changed) {
         reset_row(known, row->cleared);
-        known->stored = false; /* who cleared it sees to the store */
+        known->stored = false; /* the node that reset it updates the store */
     }
-    news = take_evidence(known, row) || news;
-    bool found = judge(q, known);
-    if (news || found) {
+    changed = merge_evidence(known, row) || changed;
+    bool newly_stopped = judge(q, known);
+    if (changed || newly_stopped) {
         known->changed_ms = now_ms;
-        known->own = own || found;
+        known->own = own || newly_stopped;
     }
-    /* The others don't know that it ran here. */
-    if (is_sound(q, row->request, now_ms))
+    /* The peers do not know that the request completed here. */
+    if (is_harmless(q, row->request, now_ms))
         rk_quarantine_clear(q, row->request, now_ms);
-    return news || found;
+    return changed || newly_stopped;
 }
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -1,13 +1,16 @@
-/* Requests under which VMs ended: one that ends each VM that begins to run it comes
- * again, as new calls at any node, and must be stopped for all of them. A table of
- * such requests and of the lives of VMs that ended under each; tables of several
- * nodes are merged, in any order and any number of times. Pure.
+/* Quarantine of requests that end the VMs which run them. Callers send such a
+ * request again, as new calls at any node, so it has to be stopped on all nodes. A
+ * table keeps suspected requests and the VM incarnations that ended under each; the
+ * tables of several nodes can be merged in any order and any number of times.
  *
- * What it protects: each VM that ends takes up to a hundred other calls along.
- * What it costs: a VM's end speaks against every call that it had just begun, so
- * one of these may be stopped for nothing. It takes three such ends in a row
- * without a whole answer in between, four while several requests end VMs, and an
- * end that a stopped request explains speaks against no other. */
+ * Each VM that ends takes up to a hundred other calls along, which this prevents.
+ * It has a cost: a VM's end counts against every call that had just begun there, so
+ * one of those may be stopped wrongly. Therefore a request is stopped only after
+ * three such ends in a row without a complete response in between, or four while
+ * several requests end VMs, and an end that is explained by a stopped request does
+ * not count against any other request.
+ *
+ * Pure: no I/O and no clock. Not thread-safe. */
 #ifndef RK_CORE_QUARANTINE_H
 #define RK_CORE_QUARANTINE_H
 
@@ -17,103 +20,118 @@
 
 #include "common/util.h"
 
-/* 256 rows of 220 bytes. The first to go, when it is full, are of the organisation
- * that has most. */
+/* 256 rows of 220 bytes. A full table first evicts rows of the organisation with
+ * the most rows. */
 #define RK_QUARANTINE_ROWS 256
-#define RK_QUARANTINE_ENDS 8 /* of VMs, kept for a row */
+#define RK_QUARANTINE_ENDS 8 /* VM ends kept per row */
 
-/* How much the end of a VM speaks against a call that was there. */
+/* How strongly a VM's end counts against a call that it was running. */
 enum rk_suspicion {
-    RK_NOT_SUSPECT = 0,    /* it ran there for long: it doesn't end VMs */
-    RK_MAY_HAVE_BEGUN = 1, /* nothing of its answer had come, or a while ago */
+    RK_NOT_SUSPECT = 0,    /* had run there for long, so it does not end VMs */
+    RK_MAY_HAVE_BEGUN = 1, /* no response data yet, or it began a while ago */
     RK_HAD_JUST_BEGUN = 2,
 };
 
-/* A request is stopped when the ends under it come to this: three VMs that had just
- * begun it. Of six of which that isn't known, three are beyond what is allowed. */
+/* Total suspicion at which a request is stopped: three VMs that ended when they had
+ * just begun it, or six VMs of which this is not known, which is three more VMs
+ * than a request may end. */
 #define RK_QUARANTINE_LIMIT (3 * RK_HAD_JUST_BEGUN)
-/* While so many others have two such ends, VMs end everywhere, and to have been
- * there when three of them did is no rare chance: then it takes one more. */
+/* If at least this many other requests have two such ends each, VMs are ending
+ * everywhere. A request may then have been present at three ends by chance, so one
+ * more end is needed to stop it. */
 #define RK_QUARANTINE_CROWD 3
 
-/* A VM's life that ended under a request. */
+/* The end of a VM incarnation that was running a request. */
 struct rk_vm_end {
-    uint32_t vm; /* a hash of its id and of when it was started */
+    uint32_t vm; /* hash of the VM's id and start time */
     enum rk_suspicion suspicion;
 };
 
+/* What is known of one request. */
 struct rk_quarantine_row {
-    uint64_t request; /* rk_quarantine_request() */
+    uint64_t request; /* hash of the request */
     char org[RK_ID_MAX], route[RK_ID_MAX];
-    /* How often it was found innocent by a whole answer, or was let through again
-     * by an operator: what was known before doesn't count. */
+    /* Generation: how often the row was reset, by a complete response or by an
+     * operator. Evidence from lower generations is ignored. */
     uint32_t cleared;
     bool stopped;
-    bool stored; /* the platform's store has it */
+    bool stored; /* saved in the platform's store */
     struct rk_vm_end ends[RK_QUARANTINE_ENDS];
     size_t ends_len;
-    /* Of this table, not told: */
-    int64_t changed_ms; /* when something of it was learnt here last */
-    int64_t asked_ms;   /* when it was asked for here last */
-    bool own;           /* what was learnt last was seen here, not told by a peer */
+    /* Local, never sent: */
+    int64_t changed_ms;   /* when anything in the row last changed */
+    int64_t requested_ms; /* when a caller last sent it to this node */
+    /* The last change was observed by this node, not reported by a peer. */
+    bool own;
 };
 
-/* A request that a VM ran to its end here: it doesn't end VMs, though many may end
- * under it when it is asked for often. Kept by its hash, 16 bytes each. */
-#define RK_QUARANTINE_SOUND 1024
-struct rk_sound_request {
+/* A request that a VM of this node completed, so it does not end VMs, even though
+ * many VMs may end under it if it is frequent. Stored by hash, 16 bytes each. */
+#define RK_QUARANTINE_HARMLESS 1024
+struct rk_harmless_request {
     uint64_t request;
-    int64_t ran_ms;
+    int64_t completed_ms;
 };
 
+/* Table of suspected and stopped requests. All zero: empty. harmless is indexed by
+ * hash; a collision overwrites the older entry. */
 struct rk_quarantine {
     struct rk_quarantine_row rows[RK_QUARANTINE_ROWS];
     size_t len;
-    struct rk_sound_request sound[RK_QUARANTINE_SOUND];
+    struct rk_harmless_request harmless[RK_QUARANTINE_HARMLESS];
 };
 
-/* What makes two calls the same request. */
+/* Fields that identify a request: two calls are the same request if all are
+ * equal. */
 struct rk_request_parts {
     const char *org, *method, *host, *target;
     const char *body;
     size_t body_len;
 };
-uint64_t rk_quarantine_request(const struct rk_request_parts *parts); /* not 0 */
+/* Returns the hash of a request; never 0. */
+uint64_t rk_quarantine_request(const struct rk_request_parts *parts);
 
-/* A request in logs and in the store: 16 hexadecimal digits. */
+/* Formats a request hash for logs and the store, as 16 hexadecimal digits and a
+ * NUL. */
 #define RK_QUARANTINE_NAME 17
 void rk_quarantine_name(uint64_t request, char out[RK_QUARANTINE_NAME]);
 
-/* The row of a request, valid until the next change; NULL: nothing is known. */
+/* Returns the row of a request, valid until the table next changes, or NULL. */
 struct rk_quarantine_row *rk_quarantine_find(struct rk_quarantine *q,
                                              uint64_t request);
 
-/* A VM's life ended under the request, as seen here. True if that stops it now. */
+/* Records that a VM incarnation ended under a request, as observed by this node.
+ * names: a row of which only request, org and route are read. Returns whether the
+ * request is stopped as a result. */
 bool rk_quarantine_note(struct rk_quarantine *q,
                         const struct rk_quarantine_row *names, struct rk_vm_end end,
                         int64_t now_ms);
 
-/* Is the request stopped? It is asked for. */
+/* Returns whether the request is stopped, and notes that a caller sent it now. */
 bool rk_quarantine_stops(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
 
-/* A VM ran it to its end, or for so long that it isn't what ends VMs. */
+/* Records that a VM completed the request, or ran it for so long that it cannot be
+ * the cause, and clears its row. */
 void rk_quarantine_ran(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
 
-/* It is let through again: what was known of it counts no more. */
+/* Resets the row of a request, so that it runs again and earlier evidence no longer
+ * counts. */
 void rk_quarantine_clear(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
 
-/* A row of another table; own: of this node's. True if something of it was news. */
+/* Merges a row of another table. own: the row comes from this node. Returns whether
+ * anything changed. */
 bool rk_quarantine_merge(struct rk_quarantine *q,
                          const struct rk_quarantine_row *row, bool own,
                          int64_t now_ms);
 
-/* Is a row halfway to being stopped? Then all nodes keep knowing it. */
+/* Returns whether a row has at least half the suspicion that stops a request. All
+ * nodes keep such rows. */
 bool rk_quarantine_is_near(const struct rk_quarantine_row *row);
 
-/* Was a row not asked for, nor anything learnt of it, for so long that it says
- * nothing any more? */
+/* Returns whether a row has been neither requested nor changed for so long that it
+ * no longer counts. */
 bool rk_quarantine_is_over(const struct rk_quarantine_row *row, int64_t now_ms);
-/* Forget such rows. */
+/* Removes expired rows. */
 void rk_quarantine_expire(struct rk_quarantine *q, int64_t now_ms);
 
 #endif
