--- a/core/rollout.c
+++ b/core/rollout.c
@@ -3,41 +3,46 @@
 #include <math.h>
 #include <string.h>
 
-/* Parts of the time ordered, by which each phase ends. A version may turn bad some
- * seconds after its start, so most of the time is trial; what is left must do for
- * the old vms to end what they run and for a store that is away. */
-#define TRIAL_MIN 0.5 /* not before it, however good it looks */
-#define TRIAL_END 0.65
-#define SHIFT_END 0.85
-/* Whatever the time ordered, so much of it is left at the end: the holder hears of
- * an order and records its end by calls to the store. Without it 3 of 96 good
- * versions ordered for 9 s were taken up to 0.3 s too late, by nodes on a machine
- * that had twice as much to do as it could. */
-#define SPARE_MS 1000
-
-/* Of what a bad version may get (bounds.share and slack): trial, and the most. The
- * rest is for calls on their way when it is given back. */
-#define TRIAL_PART      0.4
-#define MOST_PART       0.85
-#define TRIAL_SHARE_MIN 0.02
-#define TRIAL_SHARE_MAX 0.3
-#define RATE_MS         1000 /* calls are counted for so long before they are a rate */
-
-/* A vm under load gets a little more than an old one does, for a moment: a second
- * of a third of all calls is 3% of what 12 s bring. */
-#define LOAD_OVER  1.2
-#define LOAD_SHARE 0.4
-#define LOAD_MS    1000
-
-/* When there is no time for more: one good version in twenty tries of few calls,
- * and few bad ones are left by then. */
-#define LATE_BAD_AT 3.0
-
-#define TRIED_MIN 10 /* calls that say something of a version */
-
-#define TURN_MS 1500 /* the same vms try it: others may be in other domains */
-/* After all calls have moved: until every node knows, and has told what runs on the
- * old vms. With 500 ms streams of 0.6 s were cut. */
+/* Shares of the ordered time by which each phase ends. A version may turn bad some
+ * seconds after its start, so most of the time goes to the canary phase. The rest
+ * must suffice for old VMs to finish their calls and for the store to be
+ * unavailable for a while. */
+#define CANARY_MIN  0.5 /* minimum, however good the results */
+#define CANARY_END  0.65
+#define CUTOVER_END 0.85
+/* Time kept free at the end of the ordered time, however long that is: the leader
+ * reads an order from the store and records its end there. Without it 3 of 96 good
+ * versions ordered for 9 s were committed up to 0.3 s too late, by nodes on a
+ * machine with twice as much work as it could do. */
+#define RESERVE_MS 1000
+
+/* Shares of what a bad version may get (bounds.share and bounds.slack): in the
+ * canary phase, and in total. The rest covers calls on their way at the time of a
+ * rollback. */
+#define CANARY_PART      0.4
+#define MAX_PART         0.85
+#define CANARY_SHARE_MIN 0.02
+#define CANARY_SHARE_MAX 0.3
+#define RATE_MIN_MS      1000 /* minimum time over which a call rate is computed */
+
+/* The VM under test briefly gets a little more than an old VM: a second of a third
+ * of all calls is 3% of the calls of 12 s. */
+#define LOAD_EXCESS 1.2
+#define LOAD_SHARE  0.4
+#define LOAD_MS     1000
+
+/* Evidence above which the version is rolled back when the time for the canary
+ * phase is over. With few calls one good version in twenty reaches it, and few bad
+ * ones remain below it. */
+#define LATE_EVIDENCE_MAX 3.0
+
+#define CANARY_CALLS_MIN 10 /* canary calls needed to judge a version */
+
+/* How long the same VMs serve the canary calls; then others do, which may be in
+ * other failure domains. */
+#define ROTATION_MS 1500
+/* After all calls have moved, until every node knows and has reported what is still
+ * running on the old VMs. With 500 ms, streams of 0.6 s were cut off. */
 #define DRAIN_MS 1500
 
 struct rk_rollout_seen *rk_rollout_seen_of(struct rk_rollout_seen *all, size_t len,
@@ -61,7 +66,7 @@
 
 size_t rk_rollout_add(struct rk_trial_rows *sum, const struct rk_trial_rows *more)
 {
-    size_t left_out = 0;
+    size_t skipped = 0;
     for (size_t i = 0; i < more->len; i++) {
         const struct rk_trial_row *row = &more->rows[i];
         struct rk_trial_row *to =
@@ -70,20 +75,20 @@
                 : NULL;
         if (to)
             rk_trial_add(&to->seen, &row->seen);
-        left_out += !to;
+        skipped += !to;
     }
-    return left_out;
+    return skipped;
 }
 
 void rk_rollout_begin(struct rk_rollout *r, const struct rk_rollout_order *order,
                       const struct rk_rollout_bounds *bounds, int64_t now_ms,
-                      int64_t passed_ms)
+                      int64_t elapsed_ms)
 {
     int64_t revision = r->rule.revision;
     *r = (struct rk_rollout){.order = *order,
                              .bounds = *bounds,
-                             .begun_ms = now_ms - passed_ms,
-                             .turned_ms = now_ms,
+                             .begun_ms = now_ms - elapsed_ms,
+                             .rotated_ms = now_ms,
                              .phase_ms = now_ms};
     rk_strcpy(r->rule.service, sizeof(r->rule.service), order->service);
     rk_strcpy(r->rule.version, sizeof(r->rule.version), order->version);
@@ -102,142 +107,149 @@
            r->rule.phase == RK_ROLLOUT_GIVEN_BACK;
 }
 
-/* Of the time ordered, what has passed. */
-static double passed_ms(const struct rk_rollout *r, int64_t now_ms)
+/* Returns the time since the order, in ms. */
+static double elapsed_ms(const struct rk_rollout *r, int64_t now_ms)
 {
     return (double)(now_ms - r->begun_ms);
 }
 
-/* The same as a part of it; no time at all is over at once. */
-static double passed(const struct rk_rollout *r, int64_t now_ms)
+/* Returns the elapsed share of the ordered time; 1 if no time was ordered. */
+static double elapsed_share(const struct rk_rollout *r, int64_t now_ms)
 {
     if (r->order.duration_ms <= 0)
         return 1;
-    return passed_ms(r, now_ms) / (double)r->order.duration_ms;
+    return elapsed_ms(r, now_ms) / (double)r->order.duration_ms;
 }
 
-static void enter(struct rk_rollout *r, enum rk_rollout_phase phase, int64_t now_ms)
+static void enter_phase(struct rk_rollout *r, enum rk_rollout_phase phase,
+                        int64_t now_ms)
 {
     r->rule.phase = phase;
     r->phase_ms = now_ms;
 }
 
-/* ---- how much it gets ---- */
+/* ---- share of calls ---- */
 
-static void count_calls(const struct rk_trial_rows *t, double *all, double *tried)
+static void count_calls(const struct rk_trial_rows *t, double *all, double *canary)
 {
-    *all = *tried = 0;
+    *all = *canary = 0;
     for (size_t i = 0; i < t->len; i++) {
         *all += t->rows[i].seen.calls;
-        *tried += t->rows[i].tried ? t->rows[i].seen.calls : 0;
+        *canary += t->rows[i].tried ? t->rows[i].seen.calls : 0;
     }
 }
 
-/* Calls that it may still get, of a part of what a bad one may. */
-static double left(const struct rk_rollout *r, const struct rk_rollout_view *v,
-                   double part)
+/* Returns how many calls the new version may still get, if it may use the given
+ * part of its bounds. */
+static double remaining_calls(const struct rk_rollout *r,
+                              const struct rk_rollout_view *v, double part)
 {
-    double all, tried;
-    count_calls(v->seen, &all, &tried);
-    return part * (r->bounds.share * all + r->bounds.slack) - tried;
+    double all, canary;
+    count_calls(v->seen, &all, &canary);
+    return part * (r->bounds.share * all + r->bounds.slack) - canary;
 }
 
-/* As many vms as get about what an old one gets; one in each domain would get too
- * little to show anything under load. */
-static uint32_t vms_for(double share, size_t old_vms)
+/* Returns how many VMs to use so that each gets about as many calls as an old one.
+ * One VM per domain would get too few calls to show anything under load. */
+static uint32_t vms_for_share(double share, size_t old_vms)
 {
     double vms = floor(share * (double)old_vms);
     return vms > 1 ? (uint32_t)vms : 1;
 }
 
-static uint32_t share_of(double part)
+static uint32_t to_rule_share(double part)
 {
     return (uint32_t)(part * RK_ROLLOUT_ALL);
 }
 
-static bool may_load(const struct rk_rollout *r, const struct rk_rollout_view *v)
+static bool can_load_test(const struct rk_rollout *r,
+                          const struct rk_rollout_view *v)
 {
-    double all, tried;
-    count_calls(v->seen, &all, &tried);
+    double all, canary;
+    count_calls(v->seen, &all, &canary);
     double per_ms = all / fmax(1, (double)(v->now_ms - r->begun_ms));
-    double share = fmin(LOAD_SHARE, LOAD_OVER / fmax(1, (double)v->old_vms));
-    return left(r, v, MOST_PART) > per_ms * LOAD_MS * share;
+    double share = fmin(LOAD_SHARE, LOAD_EXCESS / fmax(1, (double)v->old_vms));
+    return remaining_calls(r, v, MAX_PART) > per_ms * LOAD_MS * share;
 }
 
-/* Does one vm get full load before all calls move? Where each that tries it gets
- * about that anyway, it needn't. */
-static bool is_to_load(const struct rk_rollout *r, const struct rk_rollout_view *v)
+/* Returns whether one VM gets full load before all calls move. This is unnecessary
+ * if each canary VM gets about that much already. */
+static bool needs_load_test(const struct rk_rollout *r,
+                            const struct rk_rollout_view *v)
 {
-    bool tried_at_load = (double)v->old_vms * TRIAL_SHARE_MIN >= 1;
-    return !r->loaded && !tried_at_load && may_load(r, v);
+    bool full_load_in_canary = (double)v->old_vms * CANARY_SHARE_MIN >= 1;
+    return !r->load_tested && !full_load_in_canary && can_load_test(r, v);
 }
 
-/* When the trial is over whatever it showed: what follows it has its time, too. */
-static double trial_end_ms(const struct rk_rollout *r,
-                           const struct rk_rollout_view *v)
+/* Returns when the canary phase ends regardless of its results, in ms since the
+ * order, leaving time for the later phases. */
+static double canary_end_ms(const struct rk_rollout *r,
+                            const struct rk_rollout_view *v)
 {
     double all_ms = (double)r->order.duration_ms;
-    double after_ms = DRAIN_MS + SPARE_MS + (is_to_load(r, v) ? LOAD_MS : 0);
-    return fmax(TRIAL_MIN * all_ms, fmin(TRIAL_END * all_ms, all_ms - after_ms));
+    double after_ms = DRAIN_MS + RESERVE_MS + (needs_load_test(r, v) ? LOAD_MS : 0);
+    return fmax(CANARY_MIN * all_ms, fmin(CANARY_END * all_ms, all_ms - after_ms));
 }
 
-/* As much as uses up, by the end of the trial, what it may get: the slack lets a
- * small service show something, too. */
-static double trial_share(const struct rk_rollout *r,
-                          const struct rk_rollout_view *v)
+/* Returns the share of calls that uses up the canary budget by the end of the
+ * phase. The slack lets a small service get meaningful results, too. */
+static double canary_share(const struct rk_rollout *r,
+                           const struct rk_rollout_view *v)
 {
-    double all, tried;
-    count_calls(v->seen, &all, &tried);
-    double gone_ms = fmax(RATE_MS, (double)(v->now_ms - r->phase_ms));
-    double per_ms = fmax(all / gone_ms, 1e-6);
-    double left_ms = fmax(RATE_MS, trial_end_ms(r, v) - passed_ms(r, v->now_ms));
-    double may = TRIAL_PART * (r->bounds.share * (all + per_ms * left_ms) +
-                               r->bounds.slack) -
-                 tried;
+    double all, canary;
+    count_calls(v->seen, &all, &canary);
+    double counted_ms = fmax(RATE_MIN_MS, (double)(v->now_ms - r->phase_ms));
+    double per_ms = fmax(all / counted_ms, 1e-6);
+    double remaining_ms =
+        fmax(RATE_MIN_MS, canary_end_ms(r, v) - elapsed_ms(r, v->now_ms));
+    double budget = CANARY_PART * (r->bounds.share * (all + per_ms * remaining_ms) +
+                                   r->bounds.slack) -
+                    canary;
     if (all <= 0)
-        return r->bounds.share * TRIAL_PART;
-    return fmax(TRIAL_SHARE_MIN, fmin(TRIAL_SHARE_MAX, may / (per_ms * left_ms)));
+        return r->bounds.share * CANARY_PART;
+    return fmax(CANARY_SHARE_MIN,
+                fmin(CANARY_SHARE_MAX, budget / (per_ms * remaining_ms)));
 }
 
-static void set_trial(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void update_canary(struct rk_rollout *r, const struct rk_rollout_view *v)
 {
-    double share = trial_share(r, v);
-    bool some = left(r, v, TRIAL_PART) > 0;
-    uint32_t told = v->new_vms && some ? share_of(share) : 0;
-    /* Small changes aren't told. */
-    if (!told || fabs((double)told - r->rule.share) > r->rule.share * 0.2)
-        r->rule.share = told;
-    r->rule.vms = vms_for(share, v->old_vms);
-    int64_t turn_ms = v->now_ms - r->turned_ms;
+    double share = canary_share(r, v);
+    bool has_budget = remaining_calls(r, v, CANARY_PART) > 0;
+    uint32_t new_share = v->new_vms && has_budget ? to_rule_share(share) : 0;
+    /* Changes of up to a fifth are not worth publishing. */
+    if (!new_share || fabs((double)new_share - r->rule.share) > r->rule.share * 0.2)
+        r->rule.share = new_share;
+    r->rule.vms = vms_for_share(share, v->old_vms);
+    int64_t since_rotation_ms = v->now_ms - r->rotated_ms;
     bool suspect = r->finding.verdict == RK_TRIAL_SUSPECT;
-    if (turn_ms < (suspect ? TURN_MS / 3 : TURN_MS))
+    if (since_rotation_ms < (suspect ? ROTATION_MS / 3 : ROTATION_MS))
         return;
     r->rule.turn++;
-    r->turned_ms = v->now_ms;
+    r->rotated_ms = v->now_ms;
 }
 
 /* ---- phases ---- */
 
-static void begin_load(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void begin_load_test(struct rk_rollout *r, const struct rk_rollout_view *v)
 {
-    enter(r, RK_ROLLOUT_LOAD, v->now_ms);
-    r->loaded = true;
+    enter_phase(r, RK_ROLLOUT_LOAD, v->now_ms);
+    r->load_tested = true;
     r->rule.vms = 1;
     r->rule.turn++;
     r->rule.share =
-        share_of(fmin(LOAD_SHARE, LOAD_OVER / fmax(1, (double)v->old_vms)));
+        to_rule_share(fmin(LOAD_SHARE, LOAD_EXCESS / fmax(1, (double)v->old_vms)));
 }
 
-static void begin_shift(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void begin_cutover(struct rk_rollout *r, const struct rk_rollout_view *v)
 {
-    enter(r, RK_ROLLOUT_SHIFT, v->now_ms);
+    enter_phase(r, RK_ROLLOUT_SHIFT, v->now_ms);
     r->rule.share = RK_ROLLOUT_ALL;
     r->rule.vms = 0;
 }
 
-static void give_back(struct rk_rollout *r, int64_t now_ms)
+static void roll_back(struct rk_rollout *r, int64_t now_ms)
 {
-    enter(r, RK_ROLLOUT_GIVEN_BACK, now_ms);
+    enter_phase(r, RK_ROLLOUT_GIVEN_BACK, now_ms);
     r->rule.share = 0;
 }
 
@@ -245,55 +257,58 @@
 {
     if (is_over(r))
         return;
-    give_back(r, now_ms);
+    roll_back(r, now_ms);
     r->rule.revision++;
 }
 
-/* Calls came, and next to none of them tried it. */
-static bool is_unknown(const struct rk_rollout_view *v)
+/* Returns whether calls arrived, but next to none of them went to the new
+ * version. */
+static bool lacks_canary_calls(const struct rk_rollout_view *v)
 {
-    double all, tried;
-    count_calls(v->seen, &all, &tried);
-    return all >= TRIED_MIN && tried < TRIED_MIN;
+    double all, canary;
+    count_calls(v->seen, &all, &canary);
+    return all >= CANARY_CALLS_MIN && canary < CANARY_CALLS_MIN;
 }
 
-/* Was it found good, and not too soon? */
-static bool is_tried(const struct rk_rollout *r, const struct rk_rollout_view *v)
+/* Returns whether the version was found good after the minimum time. */
+static bool passed_canary(const struct rk_rollout *r,
+                          const struct rk_rollout_view *v)
 {
-    return passed(r, v->now_ms) >= TRIAL_MIN && r->finding.verdict == RK_TRIAL_GOOD;
+    return elapsed_share(r, v->now_ms) >= CANARY_MIN &&
+           r->finding.verdict == RK_TRIAL_GOOD;
 }
 
-static void step_trial(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void step_canary(struct rk_rollout *r, const struct rk_rollout_view *v)
 {
-    bool late = passed_ms(r, v->now_ms) >= trial_end_ms(r, v);
-    set_trial(r, v);
-    /* Time is over and it hasn't come, hardly was tried, or more speaks against it
-     * than for it. */
-    bool over = passed(r, v->now_ms) >= 1;
-    if (over || (late && (!v->new_vms || is_unknown(v) ||
-                          r->finding.evidence > LATE_BAD_AT))) {
-        give_back(r, v->now_ms);
+    bool late = elapsed_ms(r, v->now_ms) >= canary_end_ms(r, v);
+    update_canary(r, v);
+    /* Either the ordered time is over; or the canary phase is, and the new version
+     * has no VMs, has hardly had any calls, or has too much evidence against it. */
+    bool out_of_time = elapsed_share(r, v->now_ms) >= 1;
+    if (out_of_time || (late && (!v->new_vms || lacks_canary_calls(v) ||
+                                 r->finding.evidence > LATE_EVIDENCE_MAX))) {
+        roll_back(r, v->now_ms);
         return;
     }
-    if ((!late && !is_tried(r, v)) || !v->new_vms)
+    if ((!late && !passed_canary(r, v)) || !v->new_vms)
         return;
-    if (is_to_load(r, v))
-        begin_load(r, v);
+    if (needs_load_test(r, v))
+        begin_load_test(r, v);
     else
-        begin_shift(r, v);
+        begin_cutover(r, v);
 }
 
-static void step_shift(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void step_cutover(struct rk_rollout *r, const struct rk_rollout_view *v)
 {
     double all_ms = (double)r->order.duration_ms;
-    double end_ms = fmin(SHIFT_END * all_ms, all_ms - SPARE_MS);
-    bool quiet = v->old_running <= 0 || passed_ms(r, v->now_ms) >= end_ms;
-    if (quiet && v->now_ms - r->phase_ms >= DRAIN_MS)
-        enter(r, RK_ROLLOUT_TAKEN, v->now_ms);
+    double end_ms = fmin(CUTOVER_END * all_ms, all_ms - RESERVE_MS);
+    bool drained = v->old_running <= 0 || elapsed_ms(r, v->now_ms) >= end_ms;
+    if (drained && v->now_ms - r->phase_ms >= DRAIN_MS)
+        enter_phase(r, RK_ROLLOUT_TAKEN, v->now_ms);
 }
 
-static bool is_same(const struct rk_rollout_rule *a,
-                    const struct rk_rollout_rule *b)
+static bool same_rule(const struct rk_rollout_rule *a,
+                      const struct rk_rollout_rule *b)
 {
     return a->phase == b->phase && a->share == b->share && a->vms == b->vms &&
            a->turn == b->turn;
@@ -306,23 +321,23 @@
         return false;
     r->finding = rk_trial_judge(v->seen, v->new_domains);
     if (r->finding.verdict == RK_TRIAL_BAD)
-        give_back(r, v->now_ms);
+        roll_back(r, v->now_ms);
     switch (r->rule.phase) {
     case RK_ROLLOUT_TRIAL:
-        step_trial(r, v);
+        step_canary(r, v);
         break;
     case RK_ROLLOUT_LOAD:
         if (v->now_ms - r->phase_ms >= LOAD_MS)
-            begin_shift(r, v);
+            begin_cutover(r, v);
         break;
     case RK_ROLLOUT_SHIFT:
-        step_shift(r, v);
+        step_cutover(r, v);
         break;
     case RK_ROLLOUT_TAKEN:
     case RK_ROLLOUT_GIVEN_BACK:
         break;
     }
-    if (is_same(&before, &r->rule))
+    if (same_rule(&before, &r->rule))
         return false;
     r->rule.revision++;
     return true;
--- a/core/rollout.h
+++ b/core/rollout.h
@@ -1,7 +1,11 @@
-/* The course of a roll-out: an operator orders that a service's calls move to vms
- * of another version within a time. Few calls try it, then a vm of it at full load,
- * then all new calls move while what runs on the old vms ends; or it is given back.
- * What each node does of it is a rule that the holder of the duties tells. Pure. */
+/* Progress of a rollout. An operator orders that a service's calls move to VMs of
+ * another version within a given time. First a few calls go to the new version
+ * (canary). Then one of its VMs gets full load. Then all new calls move, while the
+ * old VMs finish what they are running. A version that turns out to be bad is
+ * rolled back.
+ *
+ * The leader decides and publishes a rule, which every node applies to its calls.
+ * Pure: no I/O, no clock. Not thread-safe. */
 #ifndef RK_CORE_ROLLOUT_H
 #define RK_CORE_ROLLOUT_H
 
@@ -11,108 +15,115 @@
 
 #include "core/trial.h"
 
-#define RK_ROLLOUTS 4 /* services at once */
-#define RK_ROLLOUT_ALL                                                             \
-    10000 /* a share of all calls, in hundredths of a percent                      \
-           */
-#define RK_VERSION_TEXT 32
+#define RK_ROLLOUTS 4 /* services rolled out at the same time, at most */
+/* All calls, in the unit of shares: hundredths of a percent. */
+#define RK_ROLLOUT_ALL  10000
+#define RK_VERSION_TEXT 32 /* bytes, including the NUL */
 
+/* Phases, in their order. RK_ROLLOUT_TRIAL: a small share of the calls goes to the
+ * new version. RK_ROLLOUT_LOAD may be skipped. */
 enum rk_rollout_phase {
     RK_ROLLOUT_TRIAL,
-    RK_ROLLOUT_LOAD,       /* one vm gets as many calls as an old one does */
-    RK_ROLLOUT_SHIFT,      /* all new calls move; old vms end what they run */
-    RK_ROLLOUT_TAKEN,      /* for good: the old vms are gone */
-    RK_ROLLOUT_GIVEN_BACK, /* for good: the new version gets no call */
+    RK_ROLLOUT_LOAD,       /* one VM gets as many calls as an old one */
+    RK_ROLLOUT_SHIFT,      /* all new calls move; old VMs finish their calls */
+    RK_ROLLOUT_TAKEN,      /* final: the old VMs are gone */
+    RK_ROLLOUT_GIVEN_BACK, /* final: the new version gets no calls */
 };
 
-/* As the operator ordered it and the store records its state. */
+/* State of an order, as recorded in the store. */
 enum rk_rollout_state {
     RK_ROLLOUT_ORDERED,
     RK_ROLLOUT_RUNNING,
     RK_ROLLOUT_DONE,
     RK_ROLLOUT_UNDONE,
 };
+/* An operator's order. */
 struct rk_rollout_order {
     char service[RK_ID_MAX];
     char version[RK_VERSION_TEXT];
     int64_t duration_ms;
-    enum rk_rollout_state state; /* of this very version */
+    enum rk_rollout_state state; /* state of this version */
 };
 
-/* What bounds a version that turns out to be bad; from the process file. */
+/* Limits on the damage by a bad version, from the process file. */
 struct rk_rollout_bounds {
-    double share;       /* of the service's calls that it may get */
-    double slack;       /* and so many on top */
-    int64_t give_up_ms; /* after its 50th bad answer it gets none */
+    double share; /* share of the service's calls that it may get */
+    double slack; /* calls that it may get in addition */
+    /* Time in ms from its 50th bad response until it must get no more calls. */
+    int64_t give_up_ms;
 };
 
-/* What the nodes do for one service. */
+/* What all nodes apply to the calls of one service. */
 struct rk_rollout_rule {
     char service[RK_ID_MAX];
-    char version[RK_VERSION_TEXT]; /* the new one */
+    char version[RK_VERSION_TEXT]; /* the new version */
     enum rk_rollout_phase phase;
-    uint32_t share;   /* of new calls, of RK_ROLLOUT_ALL */
-    uint32_t vms;     /* of the new version that get them; 0: all */
-    uint32_t turn;    /* which ones: others with each number */
-    int64_t revision; /* rises with each change of the rule */
+    uint32_t share;   /* of new calls, in units of 1 / RK_ROLLOUT_ALL */
+    uint32_t vms;     /* number of new VMs that get them; 0: all */
+    uint32_t turn;    /* selects which VMs; each number selects others */
+    int64_t revision; /* incremented with every change of the rule */
 };
 
-/* What calls to both versions showed, as nodes tell each other. */
+/* Results of calls to both versions, as nodes report them to each other. */
 struct rk_rollout_seen {
     char service[RK_ID_MAX];
     char version[RK_VERSION_TEXT];
     struct rk_trial_rows rows;
-    double old_running; /* calls in hand at old vms, of all nodes */
+    double old_running; /* calls in flight on old VMs, over all nodes */
 };
 
-/* What the holder sees when it decides. */
+/* What the leader bases a decision on. */
 struct rk_rollout_view {
     int64_t now_ms;
-    size_t old_vms, new_vms; /* that take calls */
-    size_t new_domains;      /* that have new ones */
-    double old_running;      /* calls in hand there */
+    size_t old_vms, new_vms; /* VMs that accept calls */
+    size_t new_domains;      /* failure domains with new VMs */
+    double old_running;      /* calls in flight on old VMs */
     const struct rk_trial_rows *seen;
 };
 
+/* A rollout at the leader. */
 struct rk_rollout {
     struct rk_rollout_order order;
     struct rk_rollout_bounds bounds;
     struct rk_rollout_rule rule;
-    int64_t begun_ms;  /* when it was ordered, as far as is known */
-    int64_t turned_ms; /* when the vms changed that try it */
-    int64_t phase_ms;  /* when the phase began */
-    bool loaded;       /* RK_ROLLOUT_LOAD is over */
+    int64_t begun_ms;   /* when it was ordered, as far as known */
+    int64_t rotated_ms; /* when the canary VMs were last changed */
+    int64_t phase_ms;   /* when the phase began */
+    bool load_tested;   /* RK_ROLLOUT_LOAD was entered already */
     struct rk_trial_finding finding;
 };
 
-/* Each roll-out that calls were counted for. */
+/* Returns the results for a service and version among len entries, or NULL. */
 struct rk_rollout_seen *rk_rollout_seen_of(struct rk_rollout_seen *all, size_t len,
                                            const char *service,
                                            const char *version);
-/* The rule of a service; NULL: there is none. */
+/* Returns the rule of a service among len rules, or NULL. */
 const struct rk_rollout_rule *
 rk_rollout_rule_find(const struct rk_rollout_rule *rules, size_t len,
                      const char *service);
-/* Add rows to a sum; those that can't be are left out, and counted. */
+/* Adds rows to a sum. Skips invalid rows and rows without room; returns how many
+ * were skipped. */
 size_t rk_rollout_add(struct rk_trial_rows *sum, const struct rk_trial_rows *more);
 
-/* passed_ms: of its time, already. */
+/* Starts a rollout, or resumes it. elapsed_ms: time since it was ordered. Keeps the
+ * revision in r->rule, so *r must be zeroed or hold an earlier rollout. */
 void rk_rollout_begin(struct rk_rollout *r, const struct rk_rollout_order *order,
                       const struct rk_rollout_bounds *bounds, int64_t now_ms,
-                      int64_t passed_ms);
+                      int64_t elapsed_ms);
 
-/* The order was taken back. */
+/* Rolls back after the operator cancelled the order, unless the rollout is over. */
 void rk_rollout_drop(struct rk_rollout *r, int64_t now_ms);
 
-/* Decide; r->rule is what to tell. True: it changed. */
+/* Updates r->rule, which the caller publishes; returns whether it changed. */
 bool rk_rollout_step(struct rk_rollout *r, const struct rk_rollout_view *view);
 
-/* What the store should record now. */
+/* Returns the state that the store should record now. */
 enum rk_rollout_state rk_rollout_state_of(const struct rk_rollout *r);
 
-/* Does the call with this hash try the new version under a rule? */
+/* Returns whether a rule sends the call with this hash to the new version. */
 bool rk_rollout_tries(const struct rk_rollout_rule *rule, uint64_t request);
 
+/* Returns the name of a phase, as logged. Static. */
 const char *rk_rollout_phase_str(enum rk_rollout_phase phase);
 
 #endif
