--- a/core/holding.c
+++ b/core/holding.c
@@ -4,15 +4,16 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* Of what a vm can do, planned with, as calls come in clumps. By measurement on
- * three sites: 0.6 and more of reading is within noise, 0.55 of slots costs 0.05 of
- * worth. */
-#define READ_SHARE      0.48
-#define RUNNING_SHARE   0.35 /* of its slots */
-#define RECLAIMABLE_MIN 2    /* a domain, where that kind is cheaper */
-#define STAND_IN_SHARE  0.8  /* of the need that on-demand vms stand in for */
-#define UNMEASURED      4.0  /* times slower than taken for an engine may be */
-#define GIVEN_UP_SHARE  0.5  /* of the stand-ins that are not needed, at a time */
+/* Shares of a VM's capacity to plan with, as calls arrive in bursts. On three
+ * sites, 0.6 and more of the reading capacity gave results within noise, and 0.55
+ * of the slots cost 0.05 of the value of the calls. */
+#define READ_SHARE      0.48 /* of the reading capacity */
+#define RUNNING_SHARE   0.35 /* of the slots */
+#define RECLAIMABLE_MIN 2    /* per domain, if that kind is cheaper */
+/* Share of the need that on-demand substitutes cover. */
+#define SUBSTITUTE_SHARE 0.8
+#define SLOWDOWN_MAX     4.0 /* maximum slowdown of an engine against assumptions */
+#define STOP_SHARE       0.5 /* of the surplus substitutes, stopped at a time */
 
 double rk_holding_need(double read_per_s, double vm_per_s, double running,
                        double slots)
@@ -24,14 +25,14 @@
 
 double rk_holding_most(double quotas_per_s, double vm_per_s)
 {
-    return rk_holding_need(quotas_per_s, vm_per_s, 0, 0) * UNMEASURED;
+    return rk_holding_need(quotas_per_s, vm_per_s, 0, 0) * SLOWDOWN_MAX;
 }
 
 double rk_holding_smooth(double before, double now, int64_t passed_ms,
                          double halved_ms)
 {
-    double left = before * exp2(-(double)passed_ms / halved_ms);
-    return now > left ? now : left;
+    double remaining = before * exp2(-(double)passed_ms / halved_ms);
+    return now > remaining ? now : remaining;
 }
 
 static int max(int a, int b)
@@ -44,10 +45,10 @@
     return a < b ? a : b;
 }
 
-/* How many more the platform lets a domain have. Reclaimable vms that can't be had
- * take no room. */
-static int room(const struct rk_holding_input *in,
-                const struct rk_holding_target *targets, size_t i)
+/* Returns how many more VMs the platform allows in a domain. Reclaimable VMs that
+ * cannot be had do not count against its limit. */
+static int free_vms(const struct rk_holding_input *in,
+                    const struct rk_holding_target *targets, size_t i)
 {
     int reclaimable = targets[i].reclaimable;
     if (in->none)
@@ -55,22 +56,24 @@
     return in->max_vms - targets[i].on_demand - reclaimable;
 }
 
-/* Would one more reclaimable vm there have to be got? */
-static bool is_closed(const struct rk_holding_input *in,
-                      const struct rk_holding_target *targets, size_t i)
+/* Returns whether one more reclaimable VM would have to be started in a domain that
+ * has none to give. */
+static bool is_exhausted(const struct rk_holding_input *in,
+                         const struct rk_holding_target *targets, size_t i)
 {
     return in->domains[i].closed &&
            targets[i].reclaimable >= in->domains[i].reclaimable;
 }
 
-/* The domain for one more reclaimable vm: the fewest, then the cheapest. */
+/* Returns the domain for one more reclaimable VM: the one with the fewest, then the
+ * cheapest; -1: none. */
 static int next_reclaimable(const struct rk_holding_input *in,
                             const struct rk_holding_target *targets)
 {
     int best = -1;
     for (size_t i = 0; i < in->domains_len; i++) {
         if (targets[i].on_demand + targets[i].reclaimable >= in->max_vms ||
-            is_closed(in, targets, i))
+            is_exhausted(in, targets, i))
             continue;
         if (best < 0 || targets[i].reclaimable < targets[best].reclaimable ||
             (targets[i].reclaimable == targets[best].reclaimable &&
@@ -80,8 +83,8 @@
     return best;
 }
 
-/* The domain for one more on-demand vm: one that has it already, else the
- * cheapest with room. */
+/* Returns the domain for one more on-demand VM: one that already holds or boots it,
+ * or else the cheapest with room; -1: none. */
 static int next_on_demand(const struct rk_holding_input *in,
                           const struct rk_holding_target *targets)
 {
@@ -90,7 +93,7 @@
     for (size_t i = 0; i < in->domains_len; i++) {
         const struct rk_holding_domain *d = &in->domains[i];
         bool held = targets[i].on_demand < d->on_demand + d->booting;
-        if (room(in, targets, i) <= 0 && !held)
+        if (free_vms(in, targets, i) <= 0 && !held)
             continue;
         if (best < 0 || held > best_held ||
             (held == best_held && d->price < in->domains[best].price)) {
@@ -101,8 +104,8 @@
     return best;
 }
 
-static int planned(const struct rk_holding_input *in,
-                   const struct rk_holding_target *targets)
+static int planned_vms(const struct rk_holding_input *in,
+                       const struct rk_holding_target *targets)
 {
     int sum = 0;
     for (size_t i = 0; i < in->domains_len; i++)
@@ -119,34 +122,36 @@
     return sum;
 }
 
-/* The least of a domain. */
-static int first_reclaimable(const struct rk_holding_input *in,
-                             const struct rk_holding_target *targets, size_t i)
+/* Returns the minimum number of reclaimable VMs of a domain. */
+static int min_reclaimable(const struct rk_holding_input *in,
+                           const struct rk_holding_target *targets, size_t i)
 {
-    int least = min(RECLAIMABLE_MIN, room(in, targets, i));
-    return in->domains[i].closed ? min(least, in->domains[i].reclaimable) : least;
+    int minimum = min(RECLAIMABLE_MIN, free_vms(in, targets, i));
+    return in->domains[i].closed ? min(minimum, in->domains[i].reclaimable)
+                                 : minimum;
 }
 
-/* A domain whose vms were taken gets some again: until they serve, no other domain
- * gives up those that stand in for them. */
+/* While fewer reclaimable VMs are in service than planned, no domain stops any: VMs
+ * that make up for a reclaim in another domain stay until that domain's
+ * replacements are in service. */
 static void keep_until_replaced(const struct rk_holding_input *in,
                                 struct rk_holding_target *targets)
 {
-    int held = 0, wanted = sum_reclaimable(in, targets);
+    int held = 0, needed = sum_reclaimable(in, targets);
     for (size_t i = 0; i < in->domains_len; i++)
         held += in->domains[i].reclaimable;
-    for (size_t i = 0; held < wanted && i < in->domains_len; i++) {
+    for (size_t i = 0; held < needed && i < in->domains_len; i++) {
         int kept =
             min(in->domains[i].reclaimable, in->max_vms - targets[i].on_demand);
         targets[i].reclaimable = max(targets[i].reclaimable, kept);
     }
 }
 
-/* On-demand vms above the floor. Once all reclaimable ones that are planned serve,
- * those that stood in go at once: 25 of them for 8 s more cost a hundredth of what
- * a minute's calls are worth. */
-static int stand_ins(const struct rk_holding_input *in, int floor,
-                     int planned_reclaimable, bool cheaper)
+/* Returns the on-demand VMs to hold above the floor. Once all planned reclaimable
+ * VMs are in service, the substitutes are stopped at once: 25 of them for 8 s more
+ * cost a hundredth of the value of a minute's calls. */
+static int substitutes(const struct rk_holding_input *in, int floor,
+                       int planned_reclaimable, bool cheaper)
 {
     int on_demand = 0, reclaimable = 0;
     for (size_t i = 0; i < in->domains_len; i++) {
@@ -154,31 +159,34 @@
         reclaimable += in->domains[i].reclaimable;
     }
     int held = on_demand > floor ? on_demand - floor : 0;
-    int left = in->none ? 0 : reclaimable;
-    int wanted = (int)ceil(in->need_now * STAND_IN_SHARE) - floor - left;
-    if (wanted < 0)
-        wanted = 0;
-    if (wanted >= held)
-        return in->none || !cheaper ? wanted : held;
+    int remaining = in->none ? 0 : reclaimable;
+    int needed = (int)ceil(in->need_now * SUBSTITUTE_SHARE) - floor - remaining;
+    if (needed < 0)
+        needed = 0;
+    if (needed >= held)
+        return in->none || !cheaper ? needed : held;
     if (in->idle || (!in->none && reclaimable >= planned_reclaimable))
-        return wanted;
-    int given_up = (int)((held - wanted) * GIVEN_UP_SHARE);
-    return in->settled ? held - (given_up > 1 ? given_up : 1) : held;
+        return needed;
+    int to_stop = (int)((held - needed) * STOP_SHARE);
+    return in->settled ? held - (to_stop > 1 ? to_stop : 1) : held;
 }
 
-/* It was ordered for a demand that this process hasn't seen, or a version moves. */
-static void keep_what_stands(const struct rk_holding_input *in,
-                             struct rk_holding_target *targets)
+/* Raises the targets to what is held. The VMs were ordered for a demand that this
+ * process has not observed, or a rollout is moving calls. */
+static void keep_held(const struct rk_holding_input *in,
+                      struct rk_holding_target *targets)
 {
     for (size_t i = 0; i < in->domains_len; i++) {
         const struct rk_holding_domain *d = &in->domains[i];
         int on_demand = max(targets[i].on_demand, d->on_demand);
         int reclaimable = max(targets[i].reclaimable, d->reclaimable);
-        /* What comes on top gives way where the platform allows no more. */
-        int over = max(on_demand + reclaimable - in->max_vms, 0);
-        int less = min(over, on_demand - d->on_demand);
-        targets[i].on_demand = on_demand - less;
-        targets[i].reclaimable = max(reclaimable - (over - less), d->reclaimable);
+        /* Where the platform allows no more, additions are dropped rather than VMs
+         * that are held. */
+        int excess = max(on_demand + reclaimable - in->max_vms, 0);
+        int dropped = min(excess, on_demand - d->on_demand);
+        targets[i].on_demand = on_demand - dropped;
+        targets[i].reclaimable =
+            max(reclaimable - (excess - dropped), d->reclaimable);
     }
 }
 
@@ -192,9 +200,9 @@
         targets[i].on_demand = in->min_vms > 1 ? in->min_vms : 1;
         floor += targets[i].on_demand;
         if (cheaper)
-            targets[i].reclaimable = first_reclaimable(in, targets, i);
+            targets[i].reclaimable = min_reclaimable(in, targets, i);
     }
-    for (int at; cheaper && planned(in, targets) < total;) {
+    for (int at; cheaper && planned_vms(in, targets) < total;) {
         if ((at = next_reclaimable(in, targets)) < 0)
             break;
         targets[at].reclaimable++;
@@ -202,12 +210,12 @@
     if (cheaper)
         keep_until_replaced(in, targets);
     int reclaimable = sum_reclaimable(in, targets);
-    for (int more = stand_ins(in, floor, reclaimable, cheaper), at; more > 0;
-         more--) {
+    for (int extra = substitutes(in, floor, reclaimable, cheaper), at; extra > 0;
+         extra--) {
         if ((at = next_on_demand(in, targets)) < 0)
             break;
         targets[at].on_demand++;
     }
     if (in->keep)
-        keep_what_stands(in, targets);
+        keep_held(in, targets);
 }
--- a/core/plan.c
+++ b/core/plan.c
@@ -5,8 +5,8 @@
 
 #define BACKOFF_MS     5000
 #define BACKOFF_MAX_MS 120000
-#define STOP_SLACK     1    /* vms held beyond the plan before any is stopped */
-#define SWAP_RATIO     1.25 /* of prices, at which a vm is replaced by a cheaper */
+#define STOP_SLACK     1    /* VMs held beyond the plan before any is stopped */
+#define SWAP_RATIO     1.25 /* price ratio at which a VM is replaced */
 
 double rk_plan_price(const struct rk_plan_input *in, const struct rk_plan_class *c)
 {
@@ -15,13 +15,14 @@
     return in->weight_cost * c->price + in->weight_recompute * recompute;
 }
 
-static int vms_for(const struct rk_plan_input *in, double slots)
+static int vms_for_slots(const struct rk_plan_input *in, double slots)
 {
-    double with_room = slots / (1.0 - in->headroom);
-    return (int)ceil(with_room / in->slots_per_vm - 1e-9);
+    double with_headroom = slots / (1.0 - in->headroom);
+    return (int)ceil(with_headroom / in->slots_per_vm - 1e-9);
 }
 
-/* The cheapest class that may be started, among the on-demand ones or all. */
+/* Returns the cheapest class that may be started, of the on-demand ones or of all;
+ * -1: none. */
 static int cheapest(const struct rk_plan_input *in, bool on_demand)
 {
     int best = -1;
@@ -36,7 +37,8 @@
     return best;
 }
 
-static void add(struct rk_plan *out, enum rk_plan_kind kind, int cls, int count)
+static void add_action(struct rk_plan *out, enum rk_plan_kind kind, int cls,
+                       int count)
 {
     if (cls < 0 || count <= 0 || out->len == RK_PLAN_ACTIONS)
         return;
@@ -44,35 +46,36 @@
         (struct rk_plan_action){.kind = kind, .cls = (size_t)cls, .count = count};
 }
 
-/* Stop what is beyond the plan, the dearest first; never below the floor. */
+/* Plans stops of VMs beyond the target, the most expensive first, but never below
+ * the floor. */
 static void plan_stops(const struct rk_plan_input *in, struct rk_plan *out,
                        int ready, int on_demand)
 {
     int excess = ready - out->want_total - STOP_SLACK;
     bool done[RK_PLAN_CLASSES] = {0};
     while (excess > 0) {
-        int dearest = -1;
+        int costliest = -1;
         for (size_t i = 0; i < in->classes_len; i++)
             if (!done[i] && in->classes[i].ready &&
-                (dearest < 0 || rk_plan_price(in, &in->classes[i]) >
-                                    rk_plan_price(in, &in->classes[dearest])))
-                dearest = (int)i;
-        if (dearest < 0)
+                (costliest < 0 || rk_plan_price(in, &in->classes[i]) >
+                                      rk_plan_price(in, &in->classes[costliest])))
+                costliest = (int)i;
+        if (costliest < 0)
             return;
-        done[dearest] = true;
-        const struct rk_plan_class *c = &in->classes[dearest];
+        done[costliest] = true;
+        const struct rk_plan_class *c = &in->classes[costliest];
         int n = c->ready < excess ? c->ready : excess;
         if (!c->reclaimable && on_demand - n < out->want_floor)
             n = on_demand - out->want_floor;
         if (n <= 0)
             continue;
-        add(out, RK_PLAN_STOP, dearest, n);
+        add_action(out, RK_PLAN_STOP, costliest, n);
         excess -= n;
     }
 }
 
-/* Start one vm of a cheaper class beyond the plan; once it is ready, the stops
- * take the dearest. */
+/* Plans the start of one VM of a cheaper class beyond the target; once it is ready,
+ * plan_stops() stops the most expensive one. */
 static void plan_swap(const struct rk_plan_input *in, struct rk_plan *out, int held,
                       int on_demand)
 {
@@ -85,7 +88,8 @@
         bool may_go = c->ready && (c->reclaimable || on_demand > out->want_floor);
         if (!may_go || rk_plan_price(in, c) <= price)
             continue;
-        add(out, RK_PLAN_START, cheap, out->want_total + STOP_SLACK + 1 - held);
+        add_action(out, RK_PLAN_START, cheap,
+                   out->want_total + STOP_SLACK + 1 - held);
         return;
     }
 }
@@ -100,19 +104,19 @@
         on_demand += in->classes[i].reclaimable ? 0 : in->classes[i].held;
     }
     double urgent = in->urgent_slots - in->elsewhere_slots;
-    out->want_floor = urgent > 0 ? vms_for(in, urgent) : 0;
-    out->want_total = vms_for(in, in->demand_slots);
+    out->want_floor = urgent > 0 ? vms_for_slots(in, urgent) : 0;
+    out->want_total = vms_for_slots(in, in->demand_slots);
     if (out->want_total < in->min_vms)
         out->want_total = in->min_vms;
     if (out->want_total < out->want_floor)
         out->want_total = out->want_floor;
     int floor_missing = out->want_floor - on_demand;
     if (floor_missing > 0) {
-        add(out, RK_PLAN_START, cheapest(in, true), floor_missing);
+        add_action(out, RK_PLAN_START, cheapest(in, true), floor_missing);
         held += floor_missing;
     }
     if (held < out->want_total)
-        add(out, RK_PLAN_START, cheapest(in, false), out->want_total - held);
+        add_action(out, RK_PLAN_START, cheapest(in, false), out->want_total - held);
     else
         plan_stops(in, out, ready, on_demand);
     if (!out->len && held)
@@ -121,12 +125,12 @@
 
 void rk_plan_refused(struct rk_plan_class *c, int64_t now_ms)
 {
-    int64_t pause = BACKOFF_MS;
-    for (int i = 0; i < c->refusals && pause < BACKOFF_MAX_MS; i++)
-        pause *= 2;
+    int64_t backoff_ms = BACKOFF_MS;
+    for (int i = 0; i < c->refusals && backoff_ms < BACKOFF_MAX_MS; i++)
+        backoff_ms *= 2;
     c->refusals++;
     c->refused_until_ms =
-        now_ms + (pause < BACKOFF_MAX_MS ? pause : BACKOFF_MAX_MS);
+        now_ms + (backoff_ms < BACKOFF_MAX_MS ? backoff_ms : BACKOFF_MAX_MS);
 }
 
 void rk_plan_started(struct rk_plan_class *c)
--- a/core/plan.h
+++ b/core/plan.h
@@ -1,13 +1,14 @@
-/* Which vms to hold for one service in one failure domain. A pure plan: from
- * demand, vms held, prices, refused starts and reclaim history to a few starts
- * and stops.
+/* VM planning for one service in one failure domain. Computes a few starts and
+ * stops from demand, VMs held, prices, refused starts and the history of reclaims.
+ * Pure: no I/O, no clock.
  *
- * The floor: work that must answer now is carried by vms that can't all be
- * reclaimed at once. Every reclaimable vm of a failure domain may go in one
- * wave, so the floor is on-demand, less what other failure domains have spare.
- * All above the floor goes to the class of the least effective price, which
- * counts the tokens that its reclaims make us compute again. Prices move: a vm
- * that became much dearer than another class is replaced, one at a time. */
+ * The floor: work that must be answered now runs on VMs that cannot all be
+ * reclaimed at once. All reclaimable VMs of a failure domain may go in one wave, so
+ * the floor is on-demand VMs, less the spare capacity of other failure domains.
+ * Everything above the floor goes to the class with the lowest effective price,
+ * which includes the tokens that have to be computed again after reclaims. Prices
+ * change: a VM that has become much more expensive than another class is replaced,
+ * one VM at a time. */
 #ifndef RK_CORE_PLAN_H
 #define RK_CORE_PLAN_H
 
@@ -20,55 +21,64 @@
 #define RK_PLAN_CLASSES 16
 #define RK_PLAN_ACTIONS 32
 
-/* A vm class as the plan sees it. */
+/* A VM class as input of the plan. */
 struct rk_plan_class {
     char name[RK_ID_MAX];
-    double price; /* of a vm hour */
+    double price; /* per VM hour */
     bool reclaimable;
-    double reclaims_per_hour; /* of one vm, from history */
-    int held;                 /* live and starting, not leaving */
-    int ready;                /* live, not leaving */
-    int64_t refused_until_ms; /* no start is tried before */
-    int refusals;             /* in a row */
+    double reclaims_per_hour; /* per VM, from history */
+    int held;                 /* VMs in service or starting, not leaving */
+    int ready;                /* VMs in service, not leaving */
+    int64_t refused_until_ms; /* no start is attempted before this time */
+    int refusals;             /* consecutive refused starts */
 };
 
+/* Input of a plan. Work is counted in slots: a slot runs one call. */
 struct rk_plan_input {
     struct rk_plan_class classes[RK_PLAN_CLASSES];
     size_t classes_len;
     int slots_per_vm;
-    double demand_slots;    /* all work in hand, smoothed */
-    double urgent_slots;    /* the part that must answer now */
-    double elsewhere_slots; /* spare in other failure domains, for a wave */
+    double demand_slots;    /* all work in flight, smoothed */
+    double urgent_slots;    /* work that must be answered now */
+    double elsewhere_slots; /* spare in other failure domains, for a wave of
+                               reclaims */
     int min_vms;
-    double headroom; /* share of slots kept free, e.g. 0.25 */
-    double weight_cost, weight_recompute;
-    double tokens_per_reclaim; /* recomputed when a busy vm goes */
-    double price_per_mtoken;   /* of recomputed tokens, in vm prices */
+    double headroom;                      /* share of slots kept free, e.g. 0.25 */
+    double weight_cost, weight_recompute; /* of the two parts of the price */
+    double tokens_per_reclaim; /* tokens computed again when a busy VM goes */
+    /* Price per million of these tokens, in the currency of VM prices. */
+    double price_per_mtoken;
     int64_t now_ms;
 };
 
 enum rk_plan_kind { RK_PLAN_START, RK_PLAN_STOP };
 
+/* Starts or stops of VMs of one class. */
 struct rk_plan_action {
     enum rk_plan_kind kind;
     size_t cls; /* index into classes */
     int count;
 };
 
+/* Result of a plan: at most RK_PLAN_ACTIONS actions, and the targets behind
+ * them. */
 struct rk_plan {
     struct rk_plan_action actions[RK_PLAN_ACTIONS];
     size_t len;
-    int want_floor; /* on-demand vms wanted */
+    int want_floor; /* on-demand VMs wanted */
     int want_total;
 };
 
-/* What one hour of a class costs, reclaims weighed in. */
+/* Returns the price of a VM hour of a class, including the cost of reclaims. */
 double rk_plan_price(const struct rk_plan_input *in, const struct rk_plan_class *c);
 
+/* Computes a plan into *out, which it overwrites. */
 void rk_plan_make(const struct rk_plan_input *in, struct rk_plan *out);
 
-/* A start was refused: back off from the class, doubling. */
+/* Notes a refused start: no start of the class is attempted for a time that doubles
+ * with each refusal. */
 void rk_plan_refused(struct rk_plan_class *c, int64_t now_ms);
+/* Notes a successful start: ends the backoff. */
 void rk_plan_started(struct rk_plan_class *c);
 
 #endif
--- a/core/reclaims.h
+++ b/core/reclaims.h
@@ -1,7 +1,7 @@
-/* Whether reclaimable vms of a service can be had, domain by domain, by what the
- * list shows and how orders end. Two signs count: a domain loses at once vms that
- * nobody ordered away (a reclaim), and an order ends with "none to be had". Pure.
- */
+/* Tracks in which failure domains reclaimable VMs of a service are available, from
+ * the VM list and the results of orders. A domain counts as exhausted if it
+ * suddenly loses VMs that nobody ordered to stop (a reclaim), or if the platform
+ * refuses an order because it has none to give. Pure: no I/O, no clock. */
 #ifndef RK_CORE_RECLAIMS_H
 #define RK_CORE_RECLAIMS_H
 
@@ -9,28 +9,30 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* One failure domain. All zero at the start. */
+/* State of one failure domain. All zero at the start. */
 struct rk_reclaims_domain {
-    int most;            /* vms not leaving, the most lately */
-    int64_t most_ms;     /* when that was */
-    bool dry;            /* reclaimed, or refused more, and none granted since */
-    int64_t ask_from_ms; /* of a dry one: not asked before */
+    int peak;            /* highest recent number of VMs not leaving */
+    int64_t peak_ms;     /* when peak was observed */
+    bool exhausted;      /* reclaimed or refused, and no order granted since */
+    int64_t retry_at_ms; /* earliest time of the next order while exhausted */
 };
 
-/* held: vms not leaving; ordered: how many there should be, by the last order that
- * was granted; -1: none was. */
+/* Updates a domain from the VM list. held: reclaimable VMs not leaving; ordered:
+ * target of the last granted order, -1: none. */
 void rk_reclaims_seen(struct rk_reclaims_domain *d, int held, int ordered,
                       int64_t now_ms);
 
+/* Notes that the platform refused an order for more VMs. */
 void rk_reclaims_refused(struct rk_reclaims_domain *d, int64_t now_ms);
 
-/* An order for more was granted in one domain: the others may have some, too. */
+/* Notes that an order for more VMs was granted in domain `at`. The other domains
+ * may be tried again at once, as they may have VMs, too. */
 void rk_reclaims_granted(struct rk_reclaims_domain *domains, size_t len, size_t at);
 
-/* Is it worth asking for more there now? */
+/* Returns whether an order for more VMs may be sent now. */
 bool rk_reclaims_may_ask(const struct rk_reclaims_domain *d, int64_t now_ms);
 
-/* Is there none to be had anywhere? */
+/* Returns whether all domains are exhausted. */
 bool rk_reclaims_none(const struct rk_reclaims_domain *domains, size_t len);
 
 #endif
