--- a/core/lease.h
+++ b/core/lease.h
@@ -1,10 +1,12 @@
-/* A lease kept by conditional updates of one object. No wall clock: a candidate
- * takes the lease when it has seen the same version for a whole lease time by
- * its own clock; the holder counts from before its last write that stood, less
- * a margin, and checks that before each order. Every order carries the epoch. A
- * process that finds the lease held by its own earlier life takes it at once.
+/* Lease on a single object, held by conditional updates. It needs no synchronised
+ * clocks: a candidate takes the lease after it has seen the same version for a
+ * whole lease duration by its own clock. The holder counts from before its last
+ * successful write, less a margin, and checks that before each order. Every order
+ * carries the epoch of the lease. A process that finds the lease held by its own
+ * past incarnation takes it at once.
  *
- * Pure; the caller reads and writes the object. */
+ * Pure: no I/O, no clock; the caller reads and writes the object. Times are in ms
+ * of the caller's monotonic clock. */
 #ifndef RK_CORE_LEASE_H
 #define RK_CORE_LEASE_H
 
@@ -14,38 +16,44 @@
 #include "common/status.h"
 #include "common/util.h"
 
+/* Percentage of the lease duration, at its end, during which the holder sends no
+ * orders. */
 #define RK_LEASE_MARGIN_PCT 20
-#define RK_LEASE_VALUE_MAX  192
+#define RK_LEASE_VALUE_MAX  192 /* bytes of the object's value, with the NUL */
 
+/* A process's view of a lease. The owner sets holder and life_ms; everything else
+ * starts at zero. */
 struct rk_lease {
-    char holder[RK_ID_MAX]; /* this process: "NAME/LIFE", or a name alone */
-    int64_t life_ms;
-    /* What the object said last. */
+    char holder[RK_ID_MAX]; /* this process: "NAME/INCARNATION", or a name alone */
+    int64_t life_ms;        /* lease duration */
+    /* Last known state of the object. */
     int64_t version; /* 0: absent */
     int64_t epoch;
     char seen_holder[RK_ID_MAX];
-    int64_t seen_ms; /* when this version was first seen */
-    /* What this process holds. */
+    int64_t seen_ms; /* when this version was first seen; 0: must be read */
+    /* State of this process as holder. */
     bool held;
     int64_t held_epoch;
-    int64_t held_from_ms; /* start of the last write that stood */
-    int64_t try_ms;       /* start of the write under way */
+    int64_t renewed_ms;       /* start of the last successful write */
+    int64_t write_started_ms; /* start of the write in progress */
 };
 
-/* The object was read; version 0 when absent. */
+/* Processes a read of the object; version 0 if it is absent, and then value is not
+ * used. */
 void rk_lease_seen(struct rk_lease *l, int64_t version, const char *value,
                    int64_t now_ms);
 
-/* Should this process write now (renew or take)? Fills value and the version
- * the write must be conditional on. */
+/* Returns whether to write the object now, to renew or take the lease. If so, fills
+ * value, and *expect with the version on which the write must be conditional. */
 bool rk_lease_wants(struct rk_lease *l, int64_t now_ms,
                     char value[RK_LEASE_VALUE_MAX], int64_t *expect);
 
-/* The write's end. RK_EUNKNOWN: read the object before anything else. */
+/* Processes the result of that write; version is the new one if st is RK_OK. After
+ * RK_EUNKNOWN the caller must read the object before anything else. */
 void rk_lease_written(struct rk_lease *l, enum rk_status st, int64_t version,
                       int64_t now_ms);
 
-/* May an order go out now? Its epoch is *epoch. */
+/* Returns whether orders may be sent now; if so, sets *epoch to their epoch. */
 bool rk_lease_valid(const struct rk_lease *l, int64_t now_ms, int64_t *epoch);
 
 #endif
--- a/core/returning.c
+++ b/core/returning.c
@@ -1,10 +1,10 @@
 #include "core/returning.h"
 
-#define EACH_MS 4.0 /* between two nodes that read */
-/* By then those that read first have told the others. */
-#define TOLD_MS 1000
-/* So many may read at once whatever they are. */
-#define FEW 12
+#define INTERVAL_MS 4.0 /* between the reads of two nodes */
+/* By then the nodes that read first have sent the state to the others. */
+#define PEER_UPDATE_MS 1000
+/* Fleets of up to this many nodes read at once. */
+#define SMALL_FLEET_NODES 12
 
 void rk_fleet_size_add(struct rk_fleet_size *size, int64_t capacity)
 {
@@ -19,10 +19,11 @@
 int64_t rk_returning_wait_ms(const struct rk_fleet_size *size, int64_t capacity,
                              double draw)
 {
-    if (size->nodes <= FEW)
+    if (size->nodes <= SMALL_FLEET_NODES)
         return 0;
     if (capacity >= size->capacity)
-        return (int64_t)(draw * size->largest * EACH_MS);
+        return (int64_t)(draw * size->largest * INTERVAL_MS);
     double others = size->nodes - size->largest;
-    return TOLD_MS + (int64_t)((size->largest + draw * others) * EACH_MS);
+    return PEER_UPDATE_MS +
+           (int64_t)((size->largest + draw * others) * INTERVAL_MS);
 }
--- a/core/returning.h
+++ b/core/returning.h
@@ -1,26 +1,28 @@
-/* When a node that comes back may read what the store has of everybody: the nodes,
- * the settings, the vms. After a kill of all each of them would read all of it at
- * once, which grows with the square of the fleet: at a thousand nodes more than the
- * store's link carries before the calls time out, so that all ask again, and nobody
- * is told anything. A few read it at once, those with the largest machines, as they
- * will bridge; the others wait for their turn, and most are told by peers before.
- * Pure. */
+/* Staggers the reads of restarting nodes, which read the whole fleet state from the
+ * store: nodes, settings and VMs. After a kill of all nodes, all of them would read
+ * all of it at once. That load grows with the square of the fleet size: at a
+ * thousand nodes it is more than the store's link carries before the calls time
+ * out, so all nodes retry and none gets an answer. Therefore only a few nodes read
+ * at once: those with the largest machines, as they become bridges. The others
+ * delay their read, and most of them receive the state from peers before that.
+ * Pure: no I/O, no clock. */
 #ifndef RK_CORE_RETURNING_H
 #define RK_CORE_RETURNING_H
 
 #include <stdint.h>
 
-/* The fleet as nodes keep it in the store. Zeroed: not known. */
+/* Size of the fleet, from the node list in the store. All zero: unknown. */
 struct rk_fleet_size {
     int nodes;
-    int largest;      /* nodes whose machines are the largest there are */
-    int64_t capacity; /* of each of those, in thousandths of a core */
+    int largest;      /* number of nodes with the largest machines */
+    int64_t capacity; /* capacity of each of those, in thousandths of a core */
 };
 
-/* Count one more node. */
+/* Adds one node; capacity in thousandths of a core. */
 void rk_fleet_size_add(struct rk_fleet_size *size, int64_t capacity);
 
-/* How long a node waits, in ms; draw: from 0 to 1, other nodes draw others. */
+/* Returns the read delay of a node in ms. capacity: of this node, in thousandths of
+ * a core; draw: random number from 0 to 1, drawn independently by each node. */
 int64_t rk_returning_wait_ms(const struct rk_fleet_size *size, int64_t capacity,
                              double draw);
 
