--- a/core/members.c
+++ b/core/members.c
@@ -4,10 +4,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOAD_STEP_PART 4     /* of a load: moves up to this part are kept back */
-#define LOAD_RETELL_MS 12000 /* an unchanged load is told again after */
-#define LOAD_SPREAD_MS 2000  /* a load is passed on while it is no older */
-#define INDEX_SLOTS    16384 /* a power of two, well above all rows */
+/* Load changes of up to load / LOAD_STEP_DIVISOR are not passed on. */
+#define LOAD_STEP_DIVISOR 4
+/* Time after which an unchanged load is passed on again. */
+#define LOAD_RESEND_MS       12000
+#define LOAD_SEND_MAX_AGE_MS 2000  /* maximum age of a load that is passed on */
+#define INDEX_SLOTS          16384 /* a power of two, far more than rows */
 
 struct rk_members {
     struct rk_member *members; /* [0] is this node */
@@ -15,8 +17,8 @@
     struct rk_vm *vms;
     size_t vms_len;
     uint64_t seq;
-    uint16_t *member_index; /* open addressing: place plus one; 0: free */
-    uint16_t *vm_index;     /* by id_hash */
+    uint16_t *member_index; /* open addressing: row index plus one; 0: free */
+    uint16_t *vm_index;     /* the same for VMs, by id_hash */
 };
 
 static uint32_t id_hash(const char *id)
@@ -26,12 +28,12 @@
 
 /* ---- index ---- */
 
-static void index_put(uint16_t *index, uint32_t hash, size_t place)
+static void index_put(uint16_t *index, uint32_t hash, size_t row)
 {
     size_t i = hash % INDEX_SLOTS;
     while (index[i])
         i = (i + 1) % INDEX_SLOTS;
-    index[i] = (uint16_t)(place + 1);
+    index[i] = (uint16_t)(row + 1);
 }
 
 static void rebuild_index(struct rk_members *m)
@@ -65,7 +67,7 @@
     return NULL;
 }
 
-/* ---- making and looking ---- */
+/* ---- creation and lookup ---- */
 
 struct rk_members *rk_members_create(const struct rk_member *self)
 {
@@ -77,7 +79,7 @@
     m->members[0] = *self;
     m->members[0].state = RK_MEMBER_ALIVE;
     m->members[0].changed = ++m->seq;
-    m->members[0].told_by = -1;
+    m->members[0].source = -1;
     m->members_len = 1;
     rebuild_index(m);
     return m;
@@ -144,21 +146,22 @@
 
 /* ---- members ---- */
 
-static void touch(struct rk_members *m, struct rk_member *row, int told_by)
+static void mark_changed(struct rk_members *m, struct rk_member *row, int source)
 {
     row->changed = ++m->seq;
-    row->told_by = told_by;
+    row->source = source;
 }
 
 static void set_state(struct rk_members *m, struct rk_member *row,
-                      enum rk_member_state state, int told_by, int64_t now_ms)
+                      enum rk_member_state state, int source, int64_t now_ms)
 {
     row->state = state;
     row->since_ms = now_ms;
-    touch(m, row, told_by);
+    mark_changed(m, row, source);
 }
 
-/* Somebody says we are suspect or dead, or an older run of us is remembered. */
+/* Refutes a report that this node is suspect or dead, or one of an earlier run that
+ * peers still know, by a higher incarnation. Returns whether that was necessary. */
 static bool refute(struct rk_members *m, const struct rk_member *row)
 {
     struct rk_member *self = &m->members[0];
@@ -167,32 +170,32 @@
     if (row->incarnation == self->incarnation && row->state == RK_MEMBER_ALIVE)
         return false;
     self->incarnation = row->incarnation + 1;
-    touch(m, self, -1);
+    mark_changed(m, self, -1);
     return true;
 }
 
 static bool add_member(struct rk_members *m, const struct rk_member *row,
-                       int told_by, int64_t now_ms)
+                       int source, int64_t now_ms)
 {
-    /* A dead member that we never knew is no news. */
+    /* A dead member that was never known needs no row. */
     if (row->state == RK_MEMBER_DEAD || m->members_len == RK_MAX_MEMBERS)
         return false;
     struct rk_member *n = &m->members[m->members_len];
     *n = *row;
     n->since_ms = now_ms;
-    touch(m, n, told_by);
+    mark_changed(m, n, source);
     index_put(m->member_index, id_hash(n->id), m->members_len++);
     return true;
 }
 
-bool rk_members_merge(struct rk_members *m, const struct rk_member *row,
-                      int told_by, int64_t now_ms)
+bool rk_members_merge(struct rk_members *m, const struct rk_member *row, int source,
+                      int64_t now_ms)
 {
     int i = rk_members_index(m, row->id);
     if (i == 0)
         return refute(m, row);
     if (i < 0)
-        return add_member(m, row, told_by, now_ms);
+        return add_member(m, row, source, now_ms);
     struct rk_member *old = &m->members[i];
     if (row->incarnation < old->incarnation)
         return false;
@@ -201,32 +204,33 @@
         struct rk_member keep = *old;
         *old = *row;
         if (row->attr_seq < attr_seq && row->incarnation == keep.incarnation + 1) {
-            /* A refutation carries the attributes of the same run. */
+            /* After a refutation the run is the same, so its newer attributes stay
+             * valid. */
             old->attr_seq = attr_seq;
             old->head = keep.head;
             old->spare = keep.spare;
         }
         old->since_ms = now_ms;
-        touch(m, old, told_by);
+        mark_changed(m, old, source);
         return true;
     }
-    bool acted = false;
+    bool relevant = false;
     if (row->attr_seq > old->attr_seq) {
         old->attr_seq = row->attr_seq;
         old->head = row->head;
         old->spare = row->spare;
-        touch(m, old, told_by);
+        mark_changed(m, old, source);
     }
     if (row->leaving && !old->leaving) {
         old->leaving = true;
-        touch(m, old, told_by);
-        acted = true;
+        mark_changed(m, old, source);
+        relevant = true;
     }
     if (row->state > old->state) {
-        set_state(m, old, row->state, told_by, now_ms);
-        acted = true;
+        set_state(m, old, row->state, source, now_ms);
+        relevant = true;
     }
-    return acted;
+    return relevant;
 }
 
 void rk_members_set_head(struct rk_members *m, int64_t head)
@@ -237,25 +241,25 @@
         return;
     self->head = head;
     self->attr_seq++;
-    touch(m, self, -1);
+    mark_changed(m, self, -1);
 }
 
 void rk_members_set_spare(struct rk_members *m, uint32_t spare)
 {
     struct rk_member *self = &m->members[0];
-    /* Told only when it moved by a quarter: a round number costs no bytes. */
+    /* A change of less than a quarter is not worth a message. */
     uint32_t step = self->spare / 4 + 1;
     if (spare + step > self->spare && spare < self->spare + step)
         return;
     self->spare = spare;
     self->attr_seq++;
-    touch(m, self, -1);
+    mark_changed(m, self, -1);
 }
 
 void rk_members_set_leaving(struct rk_members *m)
 {
     m->members[0].leaving = true;
-    touch(m, &m->members[0], -1);
+    mark_changed(m, &m->members[0], -1);
 }
 
 void rk_members_suspect(struct rk_members *m, const char *id, int64_t now_ms)
@@ -268,9 +272,10 @@
 void rk_members_heard(struct rk_members *m, const char *id, int64_t now_ms)
 {
     int i = rk_members_index(m, id);
-    /* Only our own suspicion is taken back here; the member refutes the rest. */
+    /* Clears only this node's own suspicion; the member itself refutes those of
+     * others. */
     if (i > 0 && m->members[i].state == RK_MEMBER_SUSPECT &&
-        m->members[i].told_by == -1)
+        m->members[i].source == -1)
         set_state(m, &m->members[i], RK_MEMBER_ALIVE, -1, now_ms);
 }
 
@@ -307,38 +312,38 @@
     }
     if (m->members_len + m->vms_len == before)
         return;
-    /* Places moved: nobody's told_by can be trusted any more. */
+    /* Row indices have changed, so every source is invalid. */
     for (size_t i = 0; i < m->members_len; i++)
-        m->members[i].told_by = -1;
+        m->members[i].source = -1;
     for (size_t i = 0; i < m->vms_len; i++)
-        m->vms[i].told_by = -1;
+        m->vms[i].source = -1;
     rebuild_index(m);
 }
 
-/* ---- vms ---- */
+/* ---- VMs ---- */
 
-static void take_load(struct rk_members *m, struct rk_vm *v, uint64_t load_seq,
-                      uint32_t running, uint32_t queued, int told_by,
-                      int64_t now_ms)
+static void update_load(struct rk_members *m, struct rk_vm *v, uint64_t load_seq,
+                        uint32_t running, uint32_t queued, int source,
+                        int64_t now_ms)
 {
     if (load_seq <= v->load_seq)
         return;
-    /* An unchanged load refreshes its age here; it is passed on only now and then.
-     */
+    /* An unchanged load renews the age of the row, but is passed on only now and
+     * then. */
     bool same = v->load_seq && v->running == running && v->queued == queued &&
-                load_seq - v->load_told < LOAD_RETELL_MS;
+                load_seq - v->load_sent_seq < LOAD_RESEND_MS;
     v->load_seq = load_seq;
     v->load_ms = now_ms;
     v->running = running;
     v->queued = queued;
     if (same)
         return;
-    v->load_told = load_seq;
+    v->load_sent_seq = load_seq;
     v->load_changed = ++m->seq;
-    v->told_by = told_by;
+    v->source = source;
 }
 
-bool rk_members_merge_vm(struct rk_members *m, const struct rk_vm *row, int told_by,
+bool rk_members_merge_vm(struct rk_members *m, const struct rk_vm *row, int source,
                          int64_t now_ms)
 {
     uint32_t hash = id_hash(row->id);
@@ -354,29 +359,29 @@
     } else if (row->incarnation == old->incarnation && row->state > old->state) {
         old->state = row->state;
         old->leave_at_ms = row->leave_at_ms;
-        take_load(m, old, row->load_seq, row->running, row->queued, told_by,
-                  now_ms);
+        update_load(m, old, row->load_seq, row->running, row->queued, source,
+                    now_ms);
     } else {
         if (row->incarnation == old->incarnation)
-            take_load(m, old, row->load_seq, row->running, row->queued, told_by,
-                      now_ms);
+            update_load(m, old, row->load_seq, row->running, row->queued, source,
+                        now_ms);
         return false;
     }
     old->id_hash = hash;
     old->changed = ++m->seq;
     old->since_ms = now_ms;
     old->load_ms = now_ms;
-    old->told_by = told_by;
+    old->source = source;
     return true;
 }
 
 void rk_members_merge_load(struct rk_members *m, uint32_t hash, uint64_t load_seq,
-                           uint32_t running, uint32_t queued, int told_by,
+                           uint32_t running, uint32_t queued, int source,
                            int64_t now_ms)
 {
     struct rk_vm *v = vm_by_hash(m, hash, NULL);
     if (v)
-        take_load(m, v, load_seq, running, queued, told_by, now_ms);
+        update_load(m, v, load_seq, running, queued, source, now_ms);
 }
 
 void rk_members_polled(struct rk_members *m, uint32_t hash, uint64_t load_seq,
@@ -385,11 +390,11 @@
     struct rk_vm *v = vm_by_hash(m, hash, NULL);
     if (!v)
         return;
-    uint32_t was = v->running + v->queued, is = running + queued;
-    uint32_t moved = was > is ? was - is : is - was;
-    bool small = v->load_seq && moved && moved <= was / LOAD_STEP_PART;
-    take_load(m, v, load_seq, small ? v->running : running,
-              small ? v->queued : queued, -1, now_ms);
+    uint32_t before = v->running + v->queued, now = running + queued;
+    uint32_t moved = before > now ? before - now : now - before;
+    bool small = v->load_seq && moved && moved <= before / LOAD_STEP_DIVISOR;
+    update_load(m, v, load_seq, small ? v->running : running,
+                small ? v->queued : queued, -1, now_ms);
 }
 
 /* ---- deltas ---- */
@@ -401,16 +406,17 @@
     out->next_mark = m->seq;
     for (size_t i = 0; i < m->members_len; i++) {
         const struct rk_member *row = &m->members[i];
-        if (row->changed > mark && (peer < 0 || row->told_by != peer))
+        if (row->changed > mark && (peer < 0 || row->source != peer))
             out->members[out->members_len++] = (uint16_t)i;
     }
     for (size_t i = 0; i < m->vms_len; i++) {
         const struct rk_vm *v = &m->vms[i];
-        if (peer >= 0 && v->told_by == peer)
+        if (peer >= 0 && v->source == peer)
             continue;
         if (v->changed > mark)
             out->vms[out->vms_len++] = (uint16_t)i;
-        else if (v->load_changed > mark && now_ms - v->load_ms <= LOAD_SPREAD_MS)
+        else if (v->load_changed > mark &&
+                 now_ms - v->load_ms <= LOAD_SEND_MAX_AGE_MS)
             out->loads[out->loads_len++] = (uint16_t)i;
     }
 }
@@ -425,15 +431,15 @@
     struct rk_digest d = {0};
     for (size_t i = 0; i < m->members_len; i++) {
         const struct rk_member *row = &m->members[i];
-        uint64_t about[] = {row->incarnation, row->leaving};
+        uint64_t fields[] = {row->incarnation, row->leaving};
         if (row->state != RK_MEMBER_DEAD)
-            d.members ^= rk_hash(rk_hash_str(0, row->id), about, sizeof(about));
+            d.members ^= rk_hash(rk_hash_str(0, row->id), fields, sizeof(fields));
     }
     for (size_t i = 0; i < m->vms_len; i++) {
         const struct rk_vm *v = &m->vms[i];
-        uint64_t about[] = {v->incarnation, v->state};
+        uint64_t fields[] = {v->incarnation, v->state};
         if (v->state != RK_VM_GONE)
-            d.vms ^= rk_hash(rk_hash_str(0, v->id), about, sizeof(about));
+            d.vms ^= rk_hash(rk_hash_str(0, v->id), fields, sizeof(fields));
     }
     return d;
 }
