--- a/core/engine.c
+++ b/core/engine.c
@@ -5,40 +5,47 @@
 
 #define KTOKEN 1000.0
 
-/* Until anything is known: between the engines that were measured, which read 20
- * to 90 tokens a ms as callers see it. It weighs as much as one call. */
+/* Prior until anything is known: in between the measured engines, which read 20 to
+ * 90 tokens/ms as seen by callers. It weighs as much as one call. */
 #define PRIOR_FIXED_MS   50.0
 #define PRIOR_KTOKEN_MS  20.0
 #define PRIOR_RUNNING_MS 0.4
 #define PRIOR_ERROR_MS   30.0
 
-/* How far the prior may be off, in the terms' own units: wider than the spread
- * of the engines measured. */
-static const double prior_off[RK_ENGINE_TERMS] = {60.0, 30.0, 1.0};
-
-#define TOLD_WEIGHT     4.0   /* calls that peers' estimates weigh at most */
-#define MEMORY          120.0 /* calls: seconds of a busy node's, a minute's else */
-#define MEMORY_DRIFTING 12.0  /* calls, while the estimate doesn't fit any more */
-#define DRIFTS          1.2   /* errors all to one side, in units of error_ms */
-#define WORSENS         1.8   /* errors of any sign, the same way */
-#define DRIFT_SHARE     0.1   /* weight of a new error in drift and worsening */
-#define ERROR_SHARE     0.03  /* weight of a new error in error_ms */
-#define ERROR_CUT       5.0   /* an outlier counts as so many times error_ms */
-#define HUBER           2.0   /* errors above so many times error_ms weigh less */
-#define ERROR_MIN_MS    3.0   /* clocks and loops are no finer */
-/* What an engine can read shows while little waits there: overload looks like slow
- * reading, and must not ask for ever more vms. Weights of a new estimate: */
-#define CALM_DOWN     0.1
-#define CALM_UP       0.005 /* some hundred calls for engines that became slower */
-#define FIRST_CALLS   30    /* before them nothing is known */
-#define READING_LEFT  0.5   /* of a prompt that is being read, at a random moment */
-#define SOUND_MAX     1e6 /* ms, or samples: what is told above it is no estimate */
-#define KTOKEN_MIN_MS 0.5 /* no engine reads more than 2,000 tokens a ms */
+/* Uncertainty of the prior, in the units of the terms: wider than the spread of the
+ * measured engines. */
+static const double prior_spread[RK_ENGINE_TERMS] = {60.0, 30.0, 1.0};
+
+#define PEER_WEIGHT_MAX 4.0 /* maximum weight of peers' estimates, in calls */
+/* Calls that are remembered: those of some seconds on a busy node, of a minute on
+ * others. */
+#define MEMORY_CALLS          120.0
+#define MEMORY_CALLS_DRIFTING 12.0 /* the same while the estimate does not fit */
+/* Limits beyond which the estimate does not fit any more, in units of error_ms. */
+#define DRIFT_MAX        1.2  /* of drift, for errors of one sign */
+#define ERROR_GROWTH_MAX 1.8  /* of error_growth, for errors of either sign */
+#define DRIFT_WEIGHT     0.1  /* weight of an error in drift, error_growth */
+#define ERROR_WEIGHT     0.03 /* weight of an error in error_ms */
+#define ERROR_CLIP       5.0  /* multiple of error_ms to clip errors at */
+#define HUBER_LIMIT      2.0  /* multiple of error_ms; larger errors weigh less */
+/* Lower limit of error_ms, as clocks and event loops are no finer. */
+#define ERROR_MIN_MS 3.0
+/* The reading capacity of an engine shows while little is waiting there. Overload
+ * looks like slow reading and must not lead to orders for ever more VMs. So the
+ * smoothing follows a lower estimate with this weight, and a higher one with
+ * UNLOADED_WEIGHT_UP. */
+#define UNLOADED_WEIGHT_DOWN 0.1
+/* It takes some hundred calls until a slower engine shows. */
+#define UNLOADED_WEIGHT_UP 0.005
+#define WARMUP_CALLS       30  /* calls to average before the smoothing */
+#define UNREAD_SHARE       0.5 /* of a prompt being read, on average */
+#define VALUE_MAX          1e6 /* ms or samples; larger values are invalid */
+#define KTOKEN_MIN_MS      0.5 /* no engine reads more than 2,000 tokens/ms */
 
 static void terms_of(const struct rk_engine_load *load, double x[RK_ENGINE_TERMS])
 {
     x[0] = 1;
-    x[1] = (load->unread + load->waiting * READING_LEFT) / KTOKEN;
+    x[1] = (load->unread + load->waiting * UNREAD_SHARE) / KTOKEN;
     x[2] = load->running;
 }
 
@@ -50,7 +57,7 @@
     return sum;
 }
 
-/* The inverse of a symmetric positive matrix, by its cofactors. */
+/* Inverts a symmetric positive definite matrix by its cofactors. */
 static void invert(const double m[RK_ENGINE_TERMS][RK_ENGINE_TERMS],
                    double out[RK_ENGINE_TERMS][RK_ENGINE_TERMS])
 {
@@ -67,15 +74,15 @@
             out[i][j] /= det;
 }
 
-/* Coefficients out of what is remembered and the prior. */
+/* Computes the coefficients from the decayed sums and the prior. */
 static void solve(struct rk_engine *e)
 {
     double gram[RK_ENGINE_TERMS][RK_ENGINE_TERMS], moment[RK_ENGINE_TERMS];
     memcpy(gram, e->gram, sizeof(gram));
     memcpy(moment, e->moment, sizeof(moment));
     for (int i = 0; i < RK_ENGINE_TERMS; i++) {
-        double off = PRIOR_ERROR_MS / prior_off[i];
-        double weight = e->prior_weight * off * off;
+        double scale = PRIOR_ERROR_MS / prior_spread[i];
+        double weight = e->prior_weight * scale * scale;
         gram[i][i] += weight;
         moment[i] += weight * e->prior[i];
     }
@@ -105,31 +112,34 @@
                              estimate->calm_ktoken_ms, estimate->running_ms,
                              estimate->error_ms,       estimate->samples};
     for (size_t i = 0; i < sizeof(values) / sizeof(values[0]); i++)
-        if (!isfinite(values[i]) || values[i] < 0 || values[i] > SOUND_MAX)
+        if (!isfinite(values[i]) || values[i] < 0 || values[i] > VALUE_MAX)
             return false;
     return true;
 }
 
-void rk_engine_set_prior(struct rk_engine *e, const struct rk_engine_estimate *told)
+void rk_engine_set_prior(struct rk_engine *e,
+                         const struct rk_engine_estimate *reported)
 {
-    if (told->samples <= 0)
+    if (reported->samples <= 0)
         return;
-    e->prior[0] = told->fixed_ms;
-    e->prior[1] = told->ktoken_ms;
-    e->prior[2] = told->running_ms;
-    e->prior_weight = fmax(1, fmin(told->samples, TOLD_WEIGHT));
+    e->prior[0] = reported->fixed_ms;
+    e->prior[1] = reported->ktoken_ms;
+    e->prior[2] = reported->running_ms;
+    e->prior_weight = fmax(1, fmin(reported->samples, PEER_WEIGHT_MAX));
     if (e->samples < 1) {
-        e->error_ms = fmax(told->error_ms, ERROR_MIN_MS);
-        e->calm_ktoken_ms = fmax(told->calm_ktoken_ms, KTOKEN_MIN_MS);
+        e->error_ms = fmax(reported->error_ms, ERROR_MIN_MS);
+        e->calm_ktoken_ms = fmax(reported->calm_ktoken_ms, KTOKEN_MIN_MS);
     }
     solve(e);
 }
 
-/* Forget a little; quickly while errors say that the engines have changed. */
-static void forget(struct rk_engine *e)
+/* Decays the sums: slowly, or fast while errors indicate that the engines have
+ * changed. */
+static void decay_sums(struct rk_engine *e)
 {
-    bool changed = fabs(e->drift) > DRIFTS || e->worsening > WORSENS;
-    double memory = changed ? MEMORY_DRIFTING : MEMORY;
+    bool drifting =
+        fabs(e->drift) > DRIFT_MAX || e->error_growth > ERROR_GROWTH_MAX;
+    double memory = drifting ? MEMORY_CALLS_DRIFTING : MEMORY_CALLS;
     double keep = 1 - 1 / memory;
     for (int i = 0; i < RK_ENGINE_TERMS; i++) {
         e->moment[i] *= keep;
@@ -139,11 +149,12 @@
     e->samples *= keep;
 }
 
-static void follow_calm(struct rk_engine *e)
+static void update_unloaded(struct rk_engine *e)
 {
-    double share = e->coef[1] < e->calm_ktoken_ms ? CALM_DOWN : CALM_UP;
-    if (e->learnt < FIRST_CALLS)
-        share = fmax(share, 1 / (e->learnt + 1)); /* the mean, at first */
+    double share =
+        e->coef[1] < e->calm_ktoken_ms ? UNLOADED_WEIGHT_DOWN : UNLOADED_WEIGHT_UP;
+    if (e->total_calls < WARMUP_CALLS)
+        share = fmax(share, 1 / (e->total_calls + 1)); /* plain mean at first */
     e->calm_ktoken_ms += share * (e->coef[1] - e->calm_ktoken_ms);
 }
 
@@ -153,13 +164,14 @@
     double x[RK_ENGINE_TERMS];
     terms_of(load, x);
     double error = first_ms - dot(e->coef, x);
-    double cut = fmax(-ERROR_CUT, fmin(ERROR_CUT, error / e->error_ms));
-    double weight = fabs(cut) > HUBER ? HUBER * e->error_ms / fabs(error) : 1;
-    e->drift += DRIFT_SHARE * (cut - e->drift);
-    e->worsening += DRIFT_SHARE * (fabs(cut) - e->worsening);
-    e->error_ms += ERROR_SHARE * (fabs(cut) - 1) * e->error_ms;
+    double clipped = fmax(-ERROR_CLIP, fmin(ERROR_CLIP, error / e->error_ms));
+    double weight =
+        fabs(clipped) > HUBER_LIMIT ? HUBER_LIMIT * e->error_ms / fabs(error) : 1;
+    e->drift += DRIFT_WEIGHT * (clipped - e->drift);
+    e->error_growth += DRIFT_WEIGHT * (fabs(clipped) - e->error_growth);
+    e->error_ms += ERROR_WEIGHT * (fabs(clipped) - 1) * e->error_ms;
     e->error_ms = fmax(e->error_ms, ERROR_MIN_MS);
-    forget(e);
+    decay_sums(e);
     e->samples += 1;
     for (int i = 0; i < RK_ENGINE_TERMS; i++) {
         e->moment[i] += weight * x[i] * first_ms;
@@ -167,8 +179,8 @@
             e->gram[i][j] += weight * x[i] * x[j];
     }
     solve(e);
-    e->learnt++;
-    follow_calm(e);
+    e->total_calls++;
+    update_unloaded(e);
 }
 
 double rk_engine_first_ms(const struct rk_engine *e,
--- a/core/engine.h
+++ b/core/engine.h
@@ -1,11 +1,12 @@
-/* What is known of an engine service's speed, learnt from the calls that a node
- * sent there: the time to the first token as a linear function of the prompt tokens
- * that have to be read first and of the calls that run beside them. Pure.
+/* Latency model of an engine service, learned from the calls that a node sent to
+ * it. The time to first token is modelled as a linear function of the prompt tokens
+ * to be read before it and of the calls that run on the same VM. Pure: no I/O, no
+ * clock. Not thread-safe.
  *
  * Method: weighted least squares with exponential forgetting (Ljung, "System
- * Identification", 1999, ch. 11) and Huber's weights (1964) against outliers such
- * as frozen vms; ridge towards a prior, which is what peers have learnt, if they
- * told it. */
+ * Identification", 1999, ch. 11). Huber's weights (1964) limit the effect of
+ * outliers such as frozen VMs. Ridge regularisation pulls the estimate towards a
+ * prior, which is the estimate of peers where they have reported one. */
 #ifndef RK_CORE_ENGINE_H
 #define RK_CORE_ENGINE_H
 
@@ -13,69 +14,80 @@
 
 #define RK_ENGINE_TERMS 3 /* fixed, reading, running */
 
-/* What a call met at its vm when it was sent, as far as the node knew. */
+/* Load on the VM when a call was sent to it, as far as the node knew. */
 struct rk_engine_load {
-    double unread;  /* tokens of its own prompt that were not cached */
-    double waiting; /* tokens of other prompts that were not read yet */
-    double running; /* calls in hand there */
+    double unread;  /* prompt tokens of the call that were not cached */
+    double waiting; /* prompt tokens of other calls, not read yet */
+    double running; /* calls in flight there */
 };
 
-/* An estimate, as nodes tell each other. */
+/* An estimate, as nodes report it to each other. */
 struct rk_engine_estimate {
-    double fixed_ms;       /* of every first token */
-    double ktoken_ms;      /* more for each 1,000 tokens to be read */
-    double calm_ktoken_ms; /* the same by its fastest times: what it can read */
-    double running_ms;     /* more for each call in hand */
-    double error_ms;       /* typical size of what it misses by */
-    double samples;        /* calls that it rests on; 0: nothing is known */
+    double fixed_ms;  /* fixed part of every time to first token */
+    double ktoken_ms; /* additional time per 1,000 tokens to be read */
+    /* The same without load, which shows the reading capacity. */
+    double calm_ktoken_ms;
+    double running_ms; /* additional time per call in flight */
+    double error_ms;   /* typical absolute error of the estimate */
+    double samples;    /* calls that it is based on; 0: nothing is known */
 };
 
+/* The model. */
 struct rk_engine {
-    double gram[RK_ENGINE_TERMS][RK_ENGINE_TERMS]; /* sums of products, forgotten */
-    double moment[RK_ENGINE_TERMS];                /* the same with the outcome */
-    double cov[RK_ENGINE_TERMS][RK_ENGINE_TERMS]; /* of coef, in units of error² */
+    /* Sums of products of the terms, decaying. */
+    double gram[RK_ENGINE_TERMS][RK_ENGINE_TERMS];
+    /* Sums of the terms times the outcome, decaying. */
+    double moment[RK_ENGINE_TERMS];
+    /* Covariance of coef, in units of error_ms². */
+    double cov[RK_ENGINE_TERMS][RK_ENGINE_TERMS];
     double coef[RK_ENGINE_TERMS];
     double prior[RK_ENGINE_TERMS];
     double prior_weight;   /* in calls */
-    double samples;        /* calls that are remembered */
-    double learnt;         /* calls ever */
-    double calm_ktoken_ms; /* follows coef down soon, and up slowly */
-    double error_ms;       /* smoothed absolute error, outliers cut */
-    double drift;          /* smoothed error in units of error_ms: 0 if it fits */
-    double worsening;      /* the same of its size: about 1 if it fits */
+    double samples;        /* effective number of calls, decaying */
+    double total_calls;    /* calls learned from in total */
+    double calm_ktoken_ms; /* follows coef fast downwards and slowly upwards */
+    double error_ms;       /* smoothed absolute error, with outliers clipped */
+    double drift;          /* smoothed error / error_ms; near 0 if the model fits */
+    double error_growth; /* smoothed absolute error / error_ms; near 1 if it fits */
 };
 
+/* A prediction for one call. */
 struct rk_engine_forecast {
-    double ms;       /* expected time to the first token */
-    double doubt_ms; /* standard error of that, for want of knowledge */
+    double ms;       /* expected time to first token */
+    double doubt_ms; /* standard error of ms, due to few samples */
 };
 
+/* Resets the model to the built-in prior. */
 void rk_engine_init(struct rk_engine *e);
 
-/* A call of that load got its first token after so long. */
+/* Learns from a call: first_ms is its time to first token, in ms, under that
+ * load. */
 void rk_engine_learn(struct rk_engine *e, const struct rk_engine_load *load,
                      double first_ms);
 
-/* Expected time to the first token, in ms, and the same with its doubt. */
+/* Returns the expected time to first token in ms; rk_engine_first() also returns
+ * its standard error. */
 double rk_engine_first_ms(const struct rk_engine *e,
                           const struct rk_engine_load *load);
 struct rk_engine_forecast rk_engine_first(const struct rk_engine *e,
                                           const struct rk_engine_load *load);
 
-/* What others learnt, with samples > 0: the new prior. */
+/* Sets the prior to the estimate of peers; ignored if it has no samples. */
 void rk_engine_set_prior(struct rk_engine *e,
-                         const struct rk_engine_estimate *told);
+                         const struct rk_engine_estimate *reported);
 
-/* Can it be one? A peer or the store may tell anything. */
+/* Returns whether the values are possible. A peer or the store may send
+ * anything. */
 bool rk_engine_is_sound(const struct rk_engine_estimate *estimate);
 
-/* samples counts this node's own calls only: what was told isn't told on. */
+/* Returns the estimate. samples counts this node's own calls only, so estimates of
+ * peers are not reported again. */
 struct rk_engine_estimate rk_engine_learnt(const struct rk_engine *e);
 
-/* Prompt tokens a second that such an engine reads. */
+/* Returns the prompt tokens/s that an engine with this estimate reads. */
 double rk_engine_read_per_s(const struct rk_engine_estimate *estimate);
 
-/* The mean of estimates, by their samples. */
+/* Merges an estimate into a mean weighted by samples. */
 void rk_engine_merge(struct rk_engine_estimate *sum,
                      const struct rk_engine_estimate *more);
 
