--- a/core/engine.h
+++ b/core/engine.h
@@ -36,7 +36,7 @@
 struct rk_engine {
     /* Sums of products of the terms, decaying. */
     double gram[RK_ENGINE_TERMS][RK_ENGINE_TERMS];
-    /* Sums of the terms times the outcome, decaying. */
+    /* Sums of the terms times the time to first token, decaying. */
     double moment[RK_ENGINE_TERMS];
     /* Covariance of coef, in units of error_ms². */
     double cov[RK_ENGINE_TERMS][RK_ENGINE_TERMS];
--- a/core/holding.h
+++ b/core/holding.h
@@ -6,9 +6,9 @@
  * started; once reclaimable VMs have replaced them they are stopped, half of them
  * at a time.
  *
- * While no reclaimable VMs can be had, the remaining ones do not count: waves of
- * reclaims go from domain to domain within seconds, and an on-demand VM boots in
- * four seconds. Pure: no I/O, no clock. */
+ * While no reclaimable VMs can be had, those still running are not counted as
+ * capacity: waves of reclaims go from domain to domain within seconds, and an
+ * on-demand VM boots in four seconds. Pure: no I/O, no clock. */
 #ifndef RK_CORE_HOLDING_H
 #define RK_CORE_HOLDING_H
 
--- a/core/lease.h
+++ b/core/lease.h
@@ -1,9 +1,10 @@
 /* Lease on a single object, held by conditional updates. It needs no synchronised
  * clocks: a candidate takes the lease after it has seen the same version for a
- * whole lease duration by its own clock. The holder counts from before its last
- * successful write, less a margin, and checks that before each order. Every order
- * carries the epoch of the lease. A process that finds the lease held by its own
- * past incarnation takes it at once.
+ * whole lease duration by its own clock. The holder may rely on the lease
+ * from the start of its last successful write, for the lease duration less a
+ * margin, and checks this before each order. Every order carries the epoch of the
+ * lease. A process that finds the lease held by its own past incarnation takes it
+ * at once.
  *
  * Pure: no I/O, no clock; the caller reads and writes the object. Times are in ms
  * of the caller's monotonic clock. */
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -1,7 +1,8 @@
-/* Quarantine of requests that end the VMs which run them. Callers send such a
- * request again, as new calls at any node, so it has to be stopped on all nodes. A
- * table keeps suspected requests and the VM incarnations that ended under each; the
- * tables of several nodes can be merged in any order and any number of times.
+/* Quarantine of requests that bring down every VM that runs them ("queries of
+ * death"). Callers send such a request again, as new calls at any node, so it has
+ * to be stopped, that is refused, on all nodes. A table keeps suspected requests
+ * and the VM incarnations that ended under each. The tables of several nodes can be
+ * merged in any order and any number of times.
  *
  * Each VM that ends takes up to a hundred other calls along, which this prevents.
  * It has a cost: a VM's end counts against every call that had just begun there, so
@@ -65,8 +66,9 @@
     bool own;
 };
 
-/* A request that a VM of this node completed, so it does not end VMs, even though
- * many VMs may end under it if it is frequent. Stored by hash, 16 bytes each. */
+/* A request that a VM completed, as this node observed. It does not bring down VMs,
+ * even if many VMs end under it because it is frequent. Stored by hash, 16 bytes
+ * each. */
 #define RK_QUARANTINE_HARMLESS 1024
 struct rk_harmless_request {
     uint64_t request;
--- a/core/quota.c
+++ b/core/quota.c
@@ -23,14 +23,14 @@
 /* Maximum rate assumed of peers, as a multiple of the mean. */
 #define PEERS_SURGE_MAX 3.0
 #define RESTORED_MAX_MS 2500 /* maximum age of reliable persisted usage */
-/* Usage during this time, in ms, is missing from a record, as its writer had not
- * received it yet. */
+/* A persisted record lacks the peers' usage of about this time, in ms, as its
+ * writer had not received it yet. */
 #define UNREPORTED_MS 400.0
-/* Share of a record's age for which usage is added; for the rest nothing ran any
- * more. */
+/* Share of the age of a persisted record during which calls are assumed to have
+ * run; for the rest of it nothing ran any more. */
 #define UNSAVED_ACTIVE_SHARE 0.5
-/* Usage rate assumed after a record was written, as a multiple of the rate in the
- * record. */
+/* Usage rate assumed after a record was written, as a multiple of the rate that the
+ * record shows. */
 #define UNSAVED_SURGE 2.0
 /* If the reachable share rises by more than this factor, a partition has ended. */
 #define REJOIN_RATIO 1.05
@@ -78,7 +78,7 @@
     return q->window_ms / (RK_QUOTA_BUCKETS - 1);
 }
 
-/* Returns the record of an organisation, added if it is new. Valid until the next
+/* Returns the entry of an organisation, added if it is new. Valid until the next
  * one is added. */
 static struct rk_quota_org *find_or_add(struct rk_quota *q, const char *name)
 {
@@ -90,7 +90,7 @@
     return &q->orgs[q->orgs_len - 1];
 }
 
-/* Clears the buckets that have left the window. */
+/* Advances the buckets to now_ms and clears those that have left the window. */
 static void advance(const struct rk_quota *q, struct rk_quota_org *o,
                     int64_t now_ms)
 {
@@ -341,10 +341,10 @@
     o->restored_asking = asking;
     double all = 0, newest = slices[0] > slices[1] ? slices[0] : slices[1];
     int64_t slice_ms = q->window_ms / RK_QUOTA_PARTS;
-    /* A record does not say when within a slice the units were used. They are
-     * counted as late as possible, so they leave the window up to a slice too late.
-     * When they were spread over the slice, a burst left half a slice too soon and
-     * 1.08 of a quota was admitted around a kill of all nodes. */
+    /* A persisted record does not say when within a slice the units were used. They
+     * are counted as late as possible, so they leave the window up to a slice too
+     * late. When they were spread over the slice, a burst left half a slice too
+     * soon and 1.08 of a quota was admitted around a kill of all nodes. */
     for (int64_t i = 0; i < RK_QUOTA_PARTS; i++) {
         add_restored(q, o, slices[i], age_ms + i * slice_ms);
         all += slices[i];
--- a/core/quota.h
+++ b/core/quota.h
@@ -111,7 +111,7 @@
 void rk_quota_remind(struct rk_quota *q, int64_t remembers_ms);
 
 /* Merges what a peer knows of the usage of all nodes, in units per window slice,
- * newest first. Raises the slices of which this node knows less. */
+ * newest first. Slices of which this node knows more stay as they are. */
 void rk_quota_know(struct rk_quota *q, const char *org,
                    const double slices[RK_QUOTA_PARTS], int64_t now_ms);
 
@@ -130,10 +130,10 @@
  * It does not while the persisted usage has not been read after a restart. */
 bool rk_quota_knows_all(const struct rk_quota *q, int64_t now_ms);
 
-/* Adds usage persisted before a restart: slices is what all nodes used, in units
+/* Adds usage persisted before a restart. slices is what all nodes used, in units
  * per window slice, newest first; asking is their demand in units/s; age_ms is the
- * age of the record. Also adds an estimate of what was used since the record was
- * written. Counts until a peer reports its own data. */
+ * age of this record. Also adds an estimate of what was used after the record was
+ * written. All of it counts until a peer reports its own data. */
 void rk_quota_restore(struct rk_quota *q, const char *org,
                       const double slices[RK_QUOTA_PARTS], double asking,
                       int64_t age_ms, int64_t now_ms);
--- a/core/returning.c
+++ b/core/returning.c
@@ -3,7 +3,7 @@
 #define INTERVAL_MS 4.0 /* between the reads of two nodes */
 /* By then the nodes that read first have sent the state to the others. */
 #define PEER_UPDATE_MS 1000
-/* Fleets of up to this many nodes read at once. */
+/* In fleets of up to this many nodes all nodes read at once. */
 #define SMALL_FLEET_NODES 12
 
 void rk_fleet_size_add(struct rk_fleet_size *size, int64_t capacity)
