--- a/core/claims.c
+++ b/core/claims.c
@@ -9,12 +9,12 @@
 #include "common/json.h"
 #include "core/claims_impl.h"
 
-#define TAKEOVER_PAUSE_MS 15 /* after each lost race for the shard, growing */
-#define RETRY_AFTER_MS    1000
-#define RELOAD_PAUSE_MS   200
-#define AWAY_PATIENCE_PCT 10 /* of the patience, while the platform is away */
+#define TAKEOVER_BACKOFF_MS 15   /* per race for the shard lost in a row */
+#define RETRY_AFTER_MS      1000 /* for callers whose claim is refused */
+#define REREAD_DELAY_MS     200  /* after a failed read */
+#define DOWN_TIMEOUT_PCT    10   /* of the time-out, while the platform is down */
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 struct rk_claims *rk_claims_create(const struct rk_claims_config *cfg,
                                    const struct rk_claims_ops *ops, void *ctx)
@@ -63,7 +63,7 @@
 
 void rk_claims_set_away(struct rk_claims *c, bool away)
 {
-    c->away = away;
+    c->platform_down = away;
 }
 
 bool rk_claims_busy(const struct rk_claims *c)
@@ -71,25 +71,28 @@
     return c->pending != NULL;
 }
 
-/* ---- committing ---- */
+/* ---- writes ---- */
 
 static void refuse_pending(struct rk_claims *c, const char *detail);
 
-static bool slot_is_free(const struct rk_claims *c, unsigned slot, int64_t wall_ms)
+/* Returns whether a slot is absent or all its keys are past the retention. */
+static bool slot_is_reusable(const struct rk_claims *c, unsigned slot,
+                             int64_t wall_ms)
 {
     const struct claim_slot *s = &c->slots[slot];
     return !s->version || wall_ms - s->newest_wall_ms > c->cfg.retention_ms;
 }
 
-/* Decide where the next write goes. False: the ring is full of young keys. */
-static bool aim_write(struct rk_claims *c, int64_t wall_ms)
+/* Chooses the slot of the next write. Returns false if the ring is full of keys
+ * that must be retained. */
+static bool choose_write_slot(struct rk_claims *c, int64_t wall_ms)
 {
     unsigned slot = c->current;
     c->write_base = c->current_len;
     c->write_seq = c->slots[slot].seq;
     if (c->sealed) {
         slot = (slot + 1) % RK_CLAIM_SLOTS;
-        if (!slot_is_free(c, slot, wall_ms))
+        if (!slot_is_reusable(c, slot, wall_ms))
             return false;
         c->write_base = 0;
         c->write_seq++;
@@ -102,7 +105,7 @@
 
 static void start_write(struct rk_claims *c, int64_t wall_ms)
 {
-    if (!aim_write(c, wall_ms)) {
+    if (!choose_write_slot(c, wall_ms)) {
         refuse_pending(c, "the shard's ring is full");
         return;
     }
@@ -110,11 +113,12 @@
         c->epoch++;
     size_t room = c->cfg.slot_keys - c->write_base;
     c->write_new = 0;
-    for (struct claim_entry *e = c->pending; e; e = e->next_wait) {
+    for (struct claim_entry *e = c->pending; e; e = e->next_pending) {
         e->in_batch = c->write_new < room;
         c->write_new += e->in_batch;
     }
-    /* Unlike any other write's, so that a read-back knows its own. */
+    /* Differs from that of any other write, so that a read-back can identify this
+     * one. */
     c->nonce = rk_hash_str((uint64_t)wall_ms ^ c->nonce ^ c->cfg.seed, c->owner);
     rk_claim_build_value(c);
     c->state = OWNER_WRITING;
@@ -128,27 +132,31 @@
     c->ops->read_ring(c->ctx, c->cfg.shard);
 }
 
-/* May a write go out? Held back, keys gather and share the next one. */
-static bool has_credit(struct rk_claims *c, int64_t now_ms)
+/* Returns whether the write rate allows a write now. Keys that have to wait share
+ * the next write. */
+static bool may_write(struct rk_claims *c, int64_t now_ms)
 {
     if (!c->cfg.writes_per_s)
         return true;
     double earned =
-        (double)(now_ms - c->credit_ms) * c->cfg.writes_per_s / RK_MS_PER_S;
-    c->credit =
-        c->credit_ms ? fmin(RK_CLAIM_BURST, c->credit + earned) : RK_CLAIM_BURST;
-    c->credit_ms = now_ms;
-    return c->credit >= 1;
+        (double)(now_ms - c->refilled_ms) * c->cfg.writes_per_s / RK_MS_PER_S;
+    c->write_tokens = c->refilled_ms
+                          ? fmin(RK_CLAIM_BURST, c->write_tokens + earned)
+                          : RK_CLAIM_BURST;
+    c->refilled_ms = now_ms;
+    return c->write_tokens >= 1;
 }
 
+/* Starts the next I/O if keys wait to be written and none is in flight. */
 static void advance(struct rk_claims *c, int64_t now_ms, int64_t wall_ms)
 {
     if (!c->pending || now_ms < c->not_before_ms)
         return;
-    /* Credit first: a ring that was read must be written while it is fresh. */
-    bool begins =
+    /* The write rate is checked before the ring is read, so that the write follows
+     * the read at once: what was read soon becomes outdated. */
+    bool leads_to_write =
         c->state == OWNER_NONE || (c->state == OWNER_READY && !c->unresolved);
-    if (begins && !has_credit(c, now_ms))
+    if (leads_to_write && !may_write(c, now_ms))
         return;
     if (c->state == OWNER_NONE) {
         start_read(c);
@@ -156,32 +164,35 @@
         c->state = OWNER_CHECKING;
         c->ops->read_slot(c->ctx, c->cfg.shard, c->write_slot);
     } else if (c->state == OWNER_READY) {
-        c->credit -= 1;
+        c->write_tokens -= 1;
         start_write(c, wall_ms);
     }
 }
 
-/* Somebody else owns the shard: forget the ring, not what we know ourselves. */
+/* Gives up the shard, because another node owns it: forgets the ring, but not the
+ * table of keys. */
 static void step_down(struct rk_claims *c, int64_t now_ms)
 {
     c->state = OWNER_NONE;
     c->fenced = false;
     c->unresolved = false;
     clear_current(c);
-    for (struct claim_entry *e = c->pending; e; e = e->next_wait)
+    for (struct claim_entry *e = c->pending; e; e = e->next_pending)
         e->in_batch = false;
-    /* Another node believes it owns the shard, too, until its view and ours are
-     * one: give way a little longer each time, by an amount of our own. */
-    c->takeovers++;
-    int64_t pause = c->takeovers * TAKEOVER_PAUSE_MS;
-    c->not_before_ms = now_ms + pause + (int64_t)(c->nonce % TAKEOVER_PAUSE_MS);
+    /* Two nodes may both believe that they own the shard until their views of the
+     * members agree. So that they don't keep fencing each other, the back-off grows
+     * with each lost race, and has jitter. */
+    c->lost_races++;
+    int64_t backoff = c->lost_races * TAKEOVER_BACKOFF_MS;
+    c->not_before_ms = now_ms + backoff + (int64_t)(c->nonce % TAKEOVER_BACKOFF_MS);
 }
 
+/* Grants a key to its oldest ticket, when it is durable or granted from memory. */
 static void grant(struct rk_claims *c, struct claim_entry *e)
 {
     struct claim_ticket *t = rk_claim_pop_ticket(c, e);
     if (!t) {
-        e->state = ENTRY_RELEASED; /* everyone left while we wrote */
+        e->state = ENTRY_RELEASED; /* all tickets were cancelled during the write */
         return;
     }
     e->state = ENTRY_RUNNING;
@@ -190,6 +201,8 @@
     rk_claim_decide(c, &e->key, id, RK_CLAIM_GRANTED, RK_NOT_RUN, NULL, 0, "");
 }
 
+/* Takes over a write that took effect: slot and keys are durable, the claims
+ * granted. */
 static void write_stands(struct rk_claims *c, int64_t version)
 {
     c->slots[c->write_slot] =
@@ -203,10 +216,10 @@
     c->state = OWNER_READY;
     c->unresolved = false;
     c->fenced = true;
-    c->takeovers = 0;
+    c->lost_races = 0;
     struct claim_entry *e = rk_claim_take_queue(c);
     for (struct claim_entry *next; e; e = next) {
-        next = e->next_wait;
+        next = e->next_pending;
         if (!e->in_batch) {
             rk_claim_enqueue(c, e);
             continue;
@@ -229,7 +242,8 @@
     } else if (st == RK_ECONFLICT && !c->unresolved) {
         step_down(c, now_ms);
     } else {
-        /* Lost, or in conflict with what may be our own lost write. */
+        /* No answer was received, or the conflict may be with an earlier attempt of
+         * this very write. */
         c->unresolved = true;
         c->state = OWNER_READY;
     }
@@ -247,19 +261,20 @@
         value = "{}";
     }
     if (st != RK_OK) {
-        c->not_before_ms = now_ms + RELOAD_PAUSE_MS;
+        c->not_before_ms = now_ms + REREAD_DELAY_MS;
         return;
     }
     struct json_object *o = json_tokener_parse(value), *nonce;
-    char ours[24];
-    snprintf(ours, sizeof(ours), "%" PRIx64, c->nonce);
-    bool stands = json_object_object_get_ex(o, "nonce", &nonce) &&
-                  !strcmp(json_object_get_string(nonce), ours);
+    char own_nonce[24];
+    snprintf(own_nonce, sizeof(own_nonce), "%" PRIx64, c->nonce);
+    bool took_effect = json_object_object_get_ex(o, "nonce", &nonce) &&
+                       !strcmp(json_object_get_string(nonce), own_nonce);
     json_object_put(o);
-    if (stands) {
+    if (took_effect) {
         write_stands(c, version);
     } else if (version == c->write_expect) {
-        /* Not there yet, but it may still land: only the same write is safe. */
+        /* The write did not take effect yet, but still may: only the same write can
+         * be sent safely. */
         c->state = OWNER_WRITING;
         c->ops->write_slot(c->ctx, c->cfg.shard, c->write_slot, c->write_expect,
                            c->write_value);
@@ -270,35 +285,39 @@
     advance(c, now_ms, wall_ms);
 }
 
-/* ---- taking a shard over ---- */
+/* ---- takeover of a shard ---- */
 
-static void learn_key(struct rk_claims *c, const char *text, int64_t born_ms)
+/* Adds a key that was read from a slot, and decides the claims that wait on it. */
+static void load_key(struct rk_claims *c, const char *text, int64_t claimed_ms)
 {
     struct rk_claim_key k;
     if (!rk_claim_parse_key(text, &k))
         return;
     struct claim_entry *e = *rk_claim_find(c, &k);
     if (!e) {
-        rk_claim_add(c, &k, ENTRY_FOREIGN, born_ms);
+        rk_claim_add(c, &k, ENTRY_IN_DOUBT, claimed_ms);
         return;
     }
     if (e->state != ENTRY_PENDING)
         return;
-    /* We asked for it, another owner has it: it isn't ours to write. */
+    /* Claims on it wait here, but another owner has written it: it must not be
+     * written again. */
     struct claim_entry *all = rk_claim_take_queue(c);
     for (struct claim_entry *next; all; all = next) {
-        next = all->next_wait;
+        next = all->next_pending;
         if (all != e)
             rk_claim_enqueue(c, all);
     }
-    e->state = ENTRY_FOREIGN;
+    e->state = ENTRY_IN_DOUBT;
     e->in_batch = false;
     rk_claim_decide_all(c, e, RK_CLAIM_FOREIGN, RK_MAY_HAVE_RUN, NULL, 0,
                         "the key may have run under another node");
 }
 
-static void learn_slot(struct rk_claims *c, const struct rk_slot_read *r,
-                       int64_t now_ms, int64_t wall_ms)
+/* Takes over a slot that was read, and its keys unless they are past the
+ * retention. */
+static void load_slot(struct rk_claims *c, const struct rk_slot_read *r,
+                      int64_t now_ms, int64_t wall_ms)
 {
     struct json_object *o = json_tokener_parse(r->value), *keys = NULL, *v;
     struct claim_slot *s = &c->slots[r->slot];
@@ -313,10 +332,10 @@
     size_t len = keys ? json_object_array_length(keys) : 0;
     if (len > c->cfg.slot_keys)
         len = c->cfg.slot_keys;
-    bool young = age <= c->cfg.retention_ms;
-    for (size_t i = 0; young && i < len; i++)
-        learn_key(c, json_object_get_string(json_object_array_get_idx(keys, i)),
-                  now_ms - (age > 0 ? age : 0));
+    bool retained = age <= c->cfg.retention_ms;
+    for (size_t i = 0; retained && i < len; i++)
+        load_key(c, json_object_get_string(json_object_array_get_idx(keys, i)),
+                 now_ms - (age > 0 ? age : 0));
     if (s->seq >= c->slots[c->current].seq) {
         c->current = r->slot;
         c->sealed = json_object_object_get_ex(o, "sealed", &v) &&
@@ -336,7 +355,7 @@
     assert(c->state == OWNER_READING);
     if (st != RK_OK) {
         c->state = OWNER_NONE;
-        c->not_before_ms = now_ms + RELOAD_PAUSE_MS;
+        c->not_before_ms = now_ms + REREAD_DELAY_MS;
         return;
     }
     memset(c->slots, 0, sizeof(c->slots));
@@ -345,17 +364,18 @@
     clear_current(c);
     for (size_t i = 0; i < len; i++)
         if (slots[i].slot < RK_CLAIM_SLOTS)
-            learn_slot(c, &slots[i], now_ms, wall_ms);
+            load_slot(c, &slots[i], now_ms, wall_ms);
     c->state = OWNER_READY;
-    c->ever_ready = true;
+    c->ring_was_read = true;
     advance(c, now_ms, wall_ms);
 }
 
-/* ---- asking ---- */
+/* ---- claims and their ends ---- */
 
-static bool answer_known(struct rk_claims *c, struct claim_entry *e,
-                         uint64_t ticket, bool local,
-                         const struct rk_claim_key *key, int64_t now_ms)
+/* Decides a claim on a key that is in the table, or lets it wait. */
+static bool decide_known_key(struct rk_claims *c, struct claim_entry *e,
+                             uint64_t ticket, bool local,
+                             const struct rk_claim_key *key, int64_t now_ms)
 {
     if (e->key.fingerprint != key->fingerprint) {
         rk_claim_decide(c, key, ticket, RK_CLAIM_MISMATCH, RK_MAY_HAVE_RUN, NULL, 0,
@@ -367,7 +387,7 @@
         rk_claim_decide(c, key, ticket, RK_CLAIM_REPLAY, RK_RAN,
                         e->has_answer ? &e->answer : NULL, 0, "the key ran before");
         return true;
-    case ENTRY_FOREIGN:
+    case ENTRY_IN_DOUBT:
         rk_claim_decide(c, key, ticket, RK_CLAIM_FOREIGN, RK_MAY_HAVE_RUN, NULL, 0,
                         "the key may have run before");
         return true;
@@ -376,7 +396,8 @@
         rk_claim_add_ticket(c, e, ticket, local, now_ms);
         return true;
     case ENTRY_RELEASED:
-        /* It goes through a commit again: that proves we still own the shard. */
+        /* The key is written again, which proves that this node still owns the
+         * shard. */
         rk_claim_add_ticket(c, e, ticket, local, now_ms);
         e->state = ENTRY_PENDING;
         rk_claim_enqueue(c, e);
@@ -395,7 +416,7 @@
     }
     struct claim_entry *e = *rk_claim_find(c, &key);
     if (e) {
-        answer_known(c, e, ticket, local, &key, now_ms);
+        decide_known_key(c, e, ticket, local, &key, now_ms);
     } else {
         e = rk_claim_add(c, &key, ENTRY_PENDING, now_ms);
         rk_claim_add_ticket(c, e, ticket, local, now_ms);
@@ -421,6 +442,7 @@
     }
 }
 
+/* Copies an answer, unless the limit on kept bytes is reached. a may be NULL. */
 static void keep_answer(struct rk_claims *c, struct claim_entry *e,
                         const struct rk_answer *a)
 {
@@ -454,17 +476,18 @@
                             "the key ran once, for both");
         break;
     case RK_MAY_HAVE_RUN:
-        e->state = ENTRY_FOREIGN;
+        e->state = ENTRY_IN_DOUBT;
         rk_claim_decide_all(c, e, RK_CLAIM_FOREIGN, RK_MAY_HAVE_RUN, NULL, 0,
                             "the call this one joined may have run");
         break;
     }
 }
 
-/* ---- time ---- */
+/* ---- time-outs ---- */
 
-/* Keep a queued entry if somebody waits for it, if its write may stand, or if
- * it was granted from memory and is still to be written. */
+/* Queues an entry again if calls wait for it, if its write may have taken effect,
+ * or if it was granted from memory and is still to be written; otherwise frees
+ * it. */
 static void requeue_or_drop(struct rk_claims *c, struct claim_entry *e)
 {
     if (e->tickets || e->in_batch || e->state != ENTRY_PENDING)
@@ -473,13 +496,13 @@
         rk_claim_free(c, rk_claim_find(c, &e->key));
 }
 
-/* End every waiting claim. Not "not run": without a write of ours that stands
- * we can't know what another owner did with the key. */
+/* Refuses all waiting claims. Their verdict is not RK_NOT_RUN: without a write that
+ * took effect, it is unknown what another owner did with the key. */
 static void refuse_pending(struct rk_claims *c, const char *detail)
 {
     struct claim_entry *e = rk_claim_take_queue(c);
     for (struct claim_entry *next; e; e = next) {
-        next = e->next_wait;
+        next = e->next_pending;
         if (e->state == ENTRY_PENDING)
             rk_claim_decide_all(c, e, RK_CLAIM_REFUSED, RK_MAY_HAVE_RUN, NULL,
                                 RETRY_AFTER_MS, detail);
@@ -487,18 +510,18 @@
     }
 }
 
-/* The platform is away. Calls that may go on from memory do, if this node knew
- * the shard; the key stays queued and is written once the platform is back. */
-static void lose_patience(struct rk_claims *c, struct claim_entry *e,
-                          int64_t now_ms)
+/* Ends the wait of a key's claims if the platform didn't answer in time. A claim
+ * that may be granted from memory is, provided that this node has read the ring
+ * before; its key stays queued and is written when the platform answers again. */
+static void time_out_key(struct rk_claims *c, struct claim_entry *e, int64_t now_ms)
 {
     struct claim_ticket *t = e->tickets;
-    int64_t patience = c->cfg.patience_ms;
-    if (c->away)
-        patience = patience * AWAY_PATIENCE_PCT / 100;
-    if (!t || e->state != ENTRY_PENDING || now_ms - t->since_ms < patience)
+    int64_t timeout_ms = c->cfg.patience_ms;
+    if (c->platform_down)
+        timeout_ms = timeout_ms * DOWN_TIMEOUT_PCT / 100;
+    if (!t || e->state != ENTRY_PENDING || now_ms - t->since_ms < timeout_ms)
         return;
-    if (t->local && c->ever_ready) {
+    if (t->local && c->ring_was_read) {
         grant(c, e);
         return;
     }
@@ -506,25 +529,26 @@
                         RETRY_AFTER_MS, "the platform can't take the claim");
 }
 
-static void give_up_waiting(struct rk_claims *c, int64_t now_ms)
+static void time_out_pending(struct rk_claims *c, int64_t now_ms)
 {
     struct claim_entry *e = rk_claim_take_queue(c);
     for (struct claim_entry *next; e; e = next) {
-        next = e->next_wait;
-        lose_patience(c, e, now_ms);
+        next = e->next_pending;
+        time_out_key(c, e, now_ms);
         requeue_or_drop(c, e);
     }
 }
 
-static void sweep(struct rk_claims *c, int64_t now_ms)
+/* Once a second, drops the keys past their retention. */
+static void drop_expired(struct rk_claims *c, int64_t now_ms)
 {
-    if (now_ms - c->swept_ms < 1000)
+    if (now_ms - c->last_sweep_ms < 1000)
         return;
-    c->swept_ms = now_ms;
+    c->last_sweep_ms = now_ms;
     for (size_t i = 0; i < RK_CLAIM_BUCKETS; i++) {
         for (struct claim_entry **p = &c->buckets[i]; *p;) {
             bool idle = !(*p)->queued && (*p)->state != ENTRY_RUNNING;
-            if (idle && now_ms - (*p)->born_ms > c->cfg.retention_ms)
+            if (idle && now_ms - (*p)->claimed_ms > c->cfg.retention_ms)
                 rk_claim_free(c, p);
             else
                 p = &(*p)->next;
@@ -534,7 +558,7 @@
 
 void rk_claims_tick(struct rk_claims *c, int64_t now_ms, int64_t wall_ms)
 {
-    give_up_waiting(c, now_ms);
-    sweep(c, now_ms);
+    time_out_pending(c, now_ms);
+    drop_expired(c, now_ms);
     advance(c, now_ms, wall_ms);
 }
--- a/core/claims_table.c
+++ b/core/claims_table.c
@@ -6,7 +6,7 @@
 
 #include "core/claims_impl.h"
 
-#define SECOND_HASH_SEED 0x5bd1e995
+#define SECOND_HASH_SEED 0x5bd1e995 /* makes lo independent of hi */
 
 struct rk_claim_key rk_claim_key_make(const char *organisation, const char *service,
                                       const char *key, const char *path,
@@ -37,12 +37,12 @@
 }
 
 struct claim_entry *rk_claim_add(struct rk_claims *c, const struct rk_claim_key *k,
-                                 enum claim_entry_state state, int64_t born_ms)
+                                 enum claim_entry_state state, int64_t claimed_ms)
 {
     struct claim_entry **p = rk_claim_find(c, k);
     assert(!*p);
     struct claim_entry *e = rk_alloc(1, sizeof(*e));
-    *e = (struct claim_entry){.key = *k, .state = state, .born_ms = born_ms};
+    *e = (struct claim_entry){.key = *k, .state = state, .claimed_ms = claimed_ms};
     *p = e;
     c->entries++;
     return e;
@@ -72,15 +72,15 @@
     if (e->queued)
         return;
     e->queued = true;
-    e->next_wait = NULL;
+    e->next_pending = NULL;
     *c->pending_end = e;
-    c->pending_end = &e->next_wait;
+    c->pending_end = &e->next_pending;
 }
 
 struct claim_entry *rk_claim_take_queue(struct rk_claims *c)
 {
     struct claim_entry *first = c->pending;
-    for (struct claim_entry *e = first; e; e = e->next_wait)
+    for (struct claim_entry *e = first; e; e = e->next_pending)
         e->queued = false;
     c->pending = NULL;
     c->pending_end = &c->pending;
@@ -164,7 +164,7 @@
     size_t n = 0;
     for (; n < c->write_base; n++)
         rk_buf_printf(&b, "%s\"%s\"", n ? "," : "", c->current_keys[n]);
-    for (struct claim_entry *e = c->pending; e; e = e->next_wait) {
+    for (struct claim_entry *e = c->pending; e; e = e->next_pending) {
         char text[RK_CLAIM_TEXT_LEN + 1];
         if (!e->in_batch)
             continue;
