--- a/core/changes.c
+++ b/core/changes.c
@@ -8,14 +8,14 @@
 #include "common/json.h"
 #include "common/util.h"
 
-/* Changes kept for peers; who is further behind takes a snapshot. */
+/* Latest changes kept for peers. A peer that lacks older ones takes a snapshot. */
 #define KEPT_CHANGES 256
 
 struct rk_changelog {
     struct rk_settings *tree;
     int64_t head;
     int64_t skipped;
-    char *kept[KEPT_CHANGES]; /* change n at n % KEPT_CHANGES */
+    char *kept[KEPT_CHANGES]; /* text of change n at n % KEPT_CHANGES */
     int64_t kept_number[KEPT_CHANGES];
 };
 
@@ -34,7 +34,9 @@
     return *end || n <= 0 ? -1 : n;
 }
 
-/* Set or delete one path in a tree that is ours to change. */
+/* Sets a path in the tree root to a copy of v, or deletes it if v is NULL, and adds
+ * the nodes above it. Returns false if path isn't absolute, has an overlong name or
+ * leads through a value. */
 static bool set_path(struct json_object *root, const char *path,
                      struct json_object *v)
 {
@@ -43,15 +45,15 @@
         return false;
     const char *p = path + 1;
     for (const char *slash; (slash = strchr(p, '/')); p = slash + 1) {
-        char part[RK_ID_MAX];
-        if ((size_t)(slash - p) >= sizeof(part))
+        char segment[RK_ID_MAX];
+        if ((size_t)(slash - p) >= sizeof(segment))
             return false;
-        memcpy(part, p, (size_t)(slash - p));
-        part[slash - p] = '\0';
-        struct json_object *next = rk_json_get(at, part);
+        memcpy(segment, p, (size_t)(slash - p));
+        segment[slash - p] = '\0';
+        struct json_object *next = rk_json_get(at, segment);
         if (!next) {
             next = json_object_new_object();
-            json_object_object_add(at, part, next);
+            json_object_object_add(at, segment, next);
         }
         if (!json_object_is_type(next, json_type_object))
             return false;
@@ -67,9 +69,11 @@
     return true;
 }
 
-/* Another number of shards would send a key to a shard that doesn't know it. Only
- * a tree without services may still choose it. */
-static bool moves_keys(const struct rk_settings *from, const struct rk_settings *to)
+/* Returns whether a change of claim_shards would send keys to other shards, which
+ * don't know that they were claimed. The number can be chosen only while the tree
+ * has no services. */
+static bool remaps_claimed_keys(const struct rk_settings *from,
+                                const struct rk_settings *to)
 {
     return rk_json_get(rk_settings_json(from), "services") &&
            rk_settings_int(from, "", "claim_shards") !=
@@ -102,7 +106,7 @@
         }
     }
     st = rk_settings_from_json(root, out, problems);
-    if (st == RK_OK && moves_keys(tree, *out)) {
+    if (st == RK_OK && remaps_claimed_keys(tree, *out)) {
         rk_settings_destroy(*out);
         problems->count = 1;
         problems->items[0] = (struct rk_problem){
@@ -117,6 +121,7 @@
     return st;
 }
 
+/* Returns whether the paths are equal or one is above the other. */
 static bool paths_overlap(const char *a, const char *b)
 {
     size_t la = strlen(a), lb = strlen(b), n = la < lb ? la : lb;
--- a/core/config.c
+++ b/core/config.c
@@ -7,17 +7,18 @@
 
 #include "core/settings.h"
 
+/* Returns a section of the tree; NULL: the tree has none of this name. */
 static struct json_object *section(const struct rk_settings *s, const char *name)
 {
     struct json_object *v;
     return json_object_object_get_ex(rk_settings_json(s), name, &v) ? v : NULL;
 }
 
-/* Call fn for every node among o's members. */
-static void each_node(struct json_object *o,
-                      void (*fn)(void *ctx, const char *name,
-                                 struct json_object *node),
-                      void *ctx)
+/* Calls fn for every member of o that is a node. o may be NULL. */
+static void for_each_node(struct json_object *o,
+                          void (*fn)(void *ctx, const char *name,
+                                     struct json_object *node),
+                          void *ctx)
 {
     if (!o)
         return;
@@ -28,15 +29,17 @@
     }
 }
 
-struct build {
+struct builder {
     const struct rk_settings *s;
     struct rk_config *c;
-    const char *service; /* the one whose calls are walked */
+    const char *service; /* whose calls are being added */
 };
 
+/* Makes room for one more row in an array of len rows, and returns the array. */
 static void *grow(void *array, size_t len, size_t size)
 {
-    /* Powers of two, so that a long table is not copied for each row. */
+    /* Capacities are powers of two, so that a long table isn't copied for each
+     * row. */
     if (len & (len - 1))
         return array;
     return rk_realloc(array, (len ? len * 2 : 1) * size);
@@ -47,7 +50,7 @@
     rk_strcpy(dst, RK_ID_MAX, src ? src : "");
 }
 
-static void add_policy(struct build *b, const char *service, const char *call)
+static void add_policy(struct builder *b, const char *service, const char *call)
 {
     struct rk_config *c = b->c;
     char node[RK_SETTING_PATH_MAX];
@@ -84,22 +87,22 @@
 static void add_call(void *ctx, const char *name, struct json_object *node)
 {
     (void)node;
-    struct build *b = ctx;
+    struct builder *b = ctx;
     add_policy(b, b->service, name);
 }
 
 static void add_service(void *ctx, const char *name, struct json_object *node)
 {
-    struct build *b = ctx;
+    struct builder *b = ctx;
     b->service = name;
     add_policy(b, name, "");
-    each_node(node, add_call, b);
+    for_each_node(node, add_call, b);
 }
 
 static void add_class(void *ctx, const char *name, struct json_object *node)
 {
     (void)node;
-    struct build *b = ctx;
+    struct builder *b = ctx;
     struct rk_config *c = b->c;
     char path[RK_SETTING_PATH_MAX];
     snprintf(path, sizeof(path), "/classes/%s", name);
@@ -118,7 +121,7 @@
 static void add_org(void *ctx, const char *name, struct json_object *node)
 {
     (void)node;
-    struct build *b = ctx;
+    struct builder *b = ctx;
     struct rk_config *c = b->c;
     char path[RK_SETTING_PATH_MAX];
     snprintf(path, sizeof(path), "/organisations/%s", name);
@@ -135,7 +138,7 @@
 static void add_vm_class(void *ctx, const char *name, struct json_object *node)
 {
     (void)node;
-    struct build *b = ctx;
+    struct builder *b = ctx;
     struct rk_config *c = b->c;
     char path[RK_SETTING_PATH_MAX];
     snprintf(path, sizeof(path), "/vm_classes/%s", name);
@@ -151,7 +154,7 @@
 static void add_domain(void *ctx, const char *name, struct json_object *node)
 {
     (void)node;
-    struct build *b = ctx;
+    struct builder *b = ctx;
     struct rk_config *c = b->c;
     char path[RK_SETTING_PATH_MAX];
     snprintf(path, sizeof(path), "/failure_domains/%s", name);
@@ -162,21 +165,22 @@
     copy_str(d->region, rk_settings_str(b->s, path, "region"));
 }
 
-/* Rows start with their name, so one comparison serves every table. */
-static int by_first_string(const void *a, const void *b)
+/* Compares two rows, or a name and a row, of a table whose rows begin with their
+ * name. */
+static int compare_names(const void *a, const void *b)
 {
     return strcmp(a, b);
 }
 
-static int by_service_and_call(const void *a, const void *b)
+static int compare_policies(const void *a, const void *b)
 {
     const struct rk_policy *x = a, *y = b;
     int d = strcmp(x->service, y->service);
     return d ? d : strcmp(x->call, y->call);
 }
 
-static void sort(void *array, size_t len, size_t size,
-                 int (*cmp)(const void *, const void *))
+static void sort_rows(void *array, size_t len, size_t size,
+                      int (*cmp)(const void *, const void *))
 {
     if (len)
         qsort(array, len, size, cmp);
@@ -185,17 +189,17 @@
 struct rk_config *rk_config_create(const struct rk_settings *s, int64_t head)
 {
     struct rk_config *c = rk_alloc(1, sizeof(*c));
-    struct build b = {.s = s, .c = c};
+    struct builder b = {.s = s, .c = c};
     c->refs = 1;
     c->head = head;
-    each_node(section(s, "services"), add_service, &b);
-    each_node(section(s, "classes"), add_class, &b);
-    each_node(section(s, "organisations"), add_org, &b);
-    each_node(section(s, "vm_classes"), add_vm_class, &b);
-    each_node(section(s, "failure_domains"), add_domain, &b);
-    sort(c->policies, c->policies_len, sizeof(*c->policies), by_service_and_call);
-    sort(c->classes, c->classes_len, sizeof(*c->classes), by_first_string);
-    sort(c->orgs, c->orgs_len, sizeof(*c->orgs), by_first_string);
+    for_each_node(section(s, "services"), add_service, &b);
+    for_each_node(section(s, "classes"), add_class, &b);
+    for_each_node(section(s, "organisations"), add_org, &b);
+    for_each_node(section(s, "vm_classes"), add_vm_class, &b);
+    for_each_node(section(s, "failure_domains"), add_domain, &b);
+    sort_rows(c->policies, c->policies_len, sizeof(*c->policies), compare_policies);
+    sort_rows(c->classes, c->classes_len, sizeof(*c->classes), compare_names);
+    sort_rows(c->orgs, c->orgs_len, sizeof(*c->orgs), compare_names);
     c->retry_budget_pct = rk_settings_int(s, "", "retry_budget_pct");
     c->claim_shards = rk_settings_int(s, "", "claim_shards");
     c->claim_commit_ms = rk_settings_int(s, "", "claim_commit_ms");
@@ -233,8 +237,8 @@
     if (!c->policies_len || !rk_strcpy(key.service, RK_ID_MAX, service))
         return NULL;
     rk_strcpy(key.call, RK_ID_MAX, call);
-    const struct rk_policy *p = bsearch(&key, c->policies, c->policies_len,
-                                        sizeof(key), by_service_and_call);
+    const struct rk_policy *p =
+        bsearch(&key, c->policies, c->policies_len, sizeof(key), compare_policies);
     if (p || !call[0])
         return p;
     return rk_config_policy(c, service, "");
@@ -250,21 +254,21 @@
     return NULL;
 }
 
-static const void *find(const void *array, size_t len, size_t size,
-                        const char *name)
+static const void *find_row(const void *array, size_t len, size_t size,
+                            const char *name)
 {
     char key[RK_ID_MAX];
     if (!len || !rk_strcpy(key, sizeof(key), name))
         return NULL;
-    return bsearch(key, array, len, size, by_first_string);
+    return bsearch(key, array, len, size, compare_names);
 }
 
 const struct rk_org *rk_config_org(const struct rk_config *c, const char *name)
 {
-    return find(c->orgs, c->orgs_len, sizeof(*c->orgs), name);
+    return find_row(c->orgs, c->orgs_len, sizeof(*c->orgs), name);
 }
 
 const struct rk_class *rk_config_class(const struct rk_config *c, const char *name)
 {
-    return find(c->classes, c->classes_len, sizeof(*c->classes), name);
+    return find_row(c->classes, c->classes_len, sizeof(*c->classes), name);
 }
--- a/core/jsonlines.c
+++ b/core/jsonlines.c
@@ -9,35 +9,36 @@
 #define PATH_MAX_LEN 512
 #define BUCKETS      4096
 
-struct place {
+struct key_position {
     char *path;
     int line;
-    struct place *next; /* in the bucket */
+    struct key_position *next; /* in the same bucket */
 };
 
 struct rk_jsonlines {
-    struct place *buckets[BUCKETS];
-    const char *duplicate;
+    struct key_position *buckets[BUCKETS];
+    const char *duplicate; /* first path that occurred twice; NULL: none */
     int duplicate_line;
 };
 
 struct scanner {
     const char *p;
     int line;
-    int depth;
+    int depth; /* of objects */
     char path[PATH_MAX_LEN];
-    size_t path_len[MAX_DEPTH + 1]; /* length of the path above each level */
+    size_t path_len[MAX_DEPTH + 1]; /* length of path, by depth of its end */
 };
 
-static void add_place(struct rk_jsonlines *jl, const char *path, int line)
+static void add_key(struct rk_jsonlines *jl, const char *path, int line)
 {
     if (!jl->duplicate && rk_jsonlines_find(jl, path)) {
         jl->duplicate = rk_strdup(path);
         jl->duplicate_line = line;
     }
-    struct place **bucket = &jl->buckets[rk_hash_str(0, path) % BUCKETS];
-    struct place *p = rk_alloc(1, sizeof(*p));
-    *p = (struct place){.path = rk_strdup(path), .line = line, .next = *bucket};
+    struct key_position **bucket = &jl->buckets[rk_hash_str(0, path) % BUCKETS];
+    struct key_position *p = rk_alloc(1, sizeof(*p));
+    *p = (struct key_position){
+        .path = rk_strdup(path), .line = line, .next = *bucket};
     *bucket = p;
 }
 
@@ -53,7 +54,9 @@
         s->line += *s->p == '\n';
 }
 
-/* Copy the string at p (after its quote) raw and step behind its end. */
+/* Copies the string that starts at s->p, after its opening quote, and steps behind
+ * its closing one. Of an escape sequence, the backslash is dropped and the rest
+ * copied. */
 static void read_string(struct scanner *s, char *out, size_t size)
 {
     size_t n = 0;
@@ -70,6 +73,7 @@
         s->p++;
 }
 
+/* Returns whether a colon follows, so that the string before s->p is a key. */
 static int is_key(const struct scanner *s)
 {
     const char *p = s->p;
@@ -78,7 +82,8 @@
     return *p == ':';
 }
 
-static void take_string(struct rk_jsonlines *jl, struct scanner *s)
+/* Steps over a string, and adds it to the index if it is a key. */
+static void scan_string(struct rk_jsonlines *jl, struct scanner *s)
 {
     char key[RK_ID_MAX * 2];
     int line = s->line;
@@ -92,7 +97,7 @@
     s->path[at] = '/';
     strcpy(s->path + at + 1, key);
     s->path_len[s->depth] = at + 1 + strlen(key);
-    add_place(jl, s->path, line);
+    add_key(jl, s->path, line);
 }
 
 struct rk_jsonlines *rk_jsonlines_create(const char *text)
@@ -105,7 +110,7 @@
             skip_comment(&s);
             continue;
         case '"':
-            take_string(jl, &s);
+            scan_string(jl, &s);
             continue;
         case '{':
             s.depth++;
@@ -129,7 +134,7 @@
     if (!jl)
         return;
     for (size_t i = 0; i < BUCKETS; i++) {
-        for (struct place *p = jl->buckets[i], *next; p; p = next) {
+        for (struct key_position *p = jl->buckets[i], *next; p; p = next) {
             next = p->next;
             free(p->path);
             free(p);
@@ -141,7 +146,7 @@
 
 int rk_jsonlines_find(const struct rk_jsonlines *jl, const char *path)
 {
-    const struct place *p = jl->buckets[rk_hash_str(0, path) % BUCKETS];
+    const struct key_position *p = jl->buckets[rk_hash_str(0, path) % BUCKETS];
     while (p && strcmp(p->path, path) != 0)
         p = p->next;
     return p ? p->line : 0;
--- a/core/jsonlines.h
+++ b/core/jsonlines.h
@@ -1,6 +1,7 @@
-/* Where each key of a commented JSON text stands, so that a wrong setting can
- * be named by line: json-c keeps no positions. Also finds keys given twice,
- * which json-c lets pass. */
+/* Line numbers of the keys in a JSON text with comments, so that messages about a
+ * wrong setting can name its line: json-c keeps no positions. Also finds duplicate
+ * keys, which json-c accepts. Paths are "/a/b" for key "b" in the object of key
+ * "a". */
 #ifndef RK_CORE_JSONLINES_H
 #define RK_CORE_JSONLINES_H
 
@@ -8,17 +9,20 @@
 
 struct rk_jsonlines;
 
-/* Index text (which json-c has accepted). Never fails. */
+/* Indexes the keys of text, which json-c must have accepted. Never fails. Keys
+ * deeper than 16 objects and paths of 512 bytes or more are left out. */
 struct rk_jsonlines *rk_jsonlines_create(const char *text);
+/* Frees the index. NULL is allowed. */
 void rk_jsonlines_destroy(struct rk_jsonlines *jl);
 
-/* Line (from 1) of the key at "/a/b"; 0 when unknown. */
+/* Returns the line, from 1 on, of the key at a path; 0: unknown. */
 int rk_jsonlines_find(const struct rk_jsonlines *jl, const char *path);
 
-/* The first path given twice and the line of its second place; NULL if none. */
+/* Returns the first path that occurs twice, and sets *line to the line of its
+ * second occurrence; NULL: there is none. Borrowed from the index. */
 const char *rk_jsonlines_duplicate(const struct rk_jsonlines *jl, int *line);
 
-/* Line of the byte at offset. */
+/* Returns the line, from 1 on, of the byte at offset in text. */
 int rk_jsonlines_line_at(const char *text, size_t offset);
 
 #endif
--- a/core/procfile.c
+++ b/core/procfile.c
@@ -8,10 +8,11 @@
 
 #include "core/jsonlines.h"
 
-#define FILE_LIMIT (4 * 1024 * 1024)
+#define MAX_FILE_BYTES (4 * 1024 * 1024)
 
 enum field_type { FIELD_TEXT, FIELD_NUMBER, FIELD_REAL, FIELD_BOOL };
 
+/* The keys of the file but "peers": each is stored in the member of its name. */
 static const struct field {
     const char *name;
     enum field_type type;
@@ -79,7 +80,7 @@
         rk_fail(RK_ENOTFOUND, "%s: %s", path, strerror(errno));
         return NULL;
     }
-    struct rk_buf b = {.max = FILE_LIMIT};
+    struct rk_buf b = {.max = MAX_FILE_BYTES};
     char chunk[4096];
     size_t n;
     bool fits = rk_buf_addstr(&b, "");
@@ -89,11 +90,11 @@
     if (fits)
         return b.data;
     rk_buf_free(&b);
-    rk_fail(RK_EFULL, "%s: larger than %d bytes", path, FILE_LIMIT);
+    rk_fail(RK_EFULL, "%s: larger than %d bytes", path, MAX_FILE_BYTES);
     return NULL;
 }
 
-static enum rk_status take_peers(struct rk_procfile *out, struct json_object *v)
+static enum rk_status parse_peers(struct rk_procfile *out, struct json_object *v)
 {
     if (!json_object_is_type(v, json_type_array) ||
         json_object_array_length(v) > RK_MAX_PEERS)
@@ -107,13 +108,13 @@
     return RK_OK;
 }
 
-static enum rk_status take_field(struct rk_procfile *out, const struct field *f,
-                                 struct json_object *v)
+static enum rk_status parse_field(struct rk_procfile *out, const struct field *f,
+                                  struct json_object *v)
 {
-    void *at = (char *)out + f->offset;
+    void *member = (char *)out + f->offset;
     if (f->type == FIELD_TEXT) {
         if (!json_object_is_type(v, json_type_string) ||
-            !rk_strcpy(at, f->size, json_object_get_string(v)))
+            !rk_strcpy(member, f->size, json_object_get_string(v)))
             return rk_fail(RK_EINVAL, "expected a string of at most %zu characters",
                            f->size - 1);
         return RK_OK;
@@ -121,7 +122,7 @@
     if (f->type == FIELD_BOOL) {
         if (!json_object_is_type(v, json_type_boolean))
             return rk_fail(RK_EINVAL, "expected true or false");
-        *(bool *)at = json_object_get_boolean(v);
+        *(bool *)member = json_object_get_boolean(v);
         return RK_OK;
     }
     if (f->type == FIELD_REAL) {
@@ -132,25 +133,25 @@
         if (!(d >= (double)f->min && d <= (double)f->max))
             return rk_fail(RK_EINVAL, "expected a number from %lld to %lld",
                            (long long)f->min, (long long)f->max);
-        *(double *)at = d;
+        *(double *)member = d;
         return RK_OK;
     }
     int64_t n = json_object_get_int64(v);
     if (!json_object_is_type(v, json_type_int) || n < f->min || n > f->max)
         return rk_fail(RK_EINVAL, "expected a number from %lld to %lld",
                        (long long)f->min, (long long)f->max);
-    *(int64_t *)at = n;
+    *(int64_t *)member = n;
     return RK_OK;
 }
 
-static enum rk_status take_key(struct rk_procfile *out, const char *key,
-                               struct json_object *v)
+static enum rk_status parse_key(struct rk_procfile *out, const char *key,
+                                struct json_object *v)
 {
     if (!strcmp(key, "peers"))
-        return take_peers(out, v);
+        return parse_peers(out, v);
     for (size_t i = 0; i < RK_ARRAY_LEN(fields); i++)
         if (!strcmp(fields[i].name, key))
-            return take_field(out, &fields[i], v);
+            return parse_field(out, &fields[i], v);
     return rk_fail(RK_EINVAL, "expected a known key");
 }
 
@@ -188,7 +189,7 @@
     lines = rk_jsonlines_create(text);
     json_object_object_foreach(root, key, v)
     {
-        st = take_key(out, key, v);
+        st = parse_key(out, key, v);
         if (st != RK_OK) {
             char where[RK_ID_MAX + 1], why[256];
             snprintf(where, sizeof(where), "/%.*s", RK_ID_MAX - 1, key);
--- a/core/procfile.h
+++ b/core/procfile.h
@@ -1,5 +1,7 @@
-/* A process's own small settings file: JSON with comments, flat. Says who the
- * process is and where it listens; everything else is in the operators' tree. */
+/* The settings file of one process: a flat JSON object, comments allowed. It names
+ * the process and its addresses, and holds limits that the deployment sets for the
+ * process. Settings that all nodes share come from the operators' settings tree
+ * (core/settings.h) or from the platform. */
 #ifndef RK_CORE_PROCFILE_H
 #define RK_CORE_PROCFILE_H
 
@@ -12,46 +14,54 @@
 
 #define RK_MAX_PEERS 64
 
+/* A settings file. The names of the members are the keys of the file; addresses are
+ * ip:port where nothing else is said. */
 struct rk_procfile {
     char id[RK_ID_MAX];
     char failure_domain[RK_ID_MAX];
-    char listen[RK_ADDR_MAX];            /* callers */
-    char control_listen[RK_ADDR_MAX];    /* peers' control */
-    char forward_listen[RK_ADDR_MAX];    /* peers' calls */
-    char control_advertise[RK_ADDR_MAX]; /* "": as bound */
-    char forward_advertise[RK_ADDR_MAX]; /* "": as bound */
-    char entry[RK_ADDR_MAX];             /* keeper: its entry node's control */
-    char platform[RK_ADDR_MAX * 2];      /* http://ip:port */
+    char listen[RK_ADDR_MAX];            /* listener for callers */
+    char control_listen[RK_ADDR_MAX];    /* listener for peers' control messages */
+    char forward_listen[RK_ADDR_MAX];    /* listener for calls forwarded by peers */
+    char control_advertise[RK_ADDR_MAX]; /* sent to peers; "": the bound address */
+    char forward_advertise[RK_ADDR_MAX]; /* sent to peers; "": the bound address */
+    char entry[RK_ADDR_MAX];        /* keeper: its entry node's control address */
+    char platform[RK_ADDR_MAX * 2]; /* http://ip:port */
     char peers[RK_MAX_PEERS][RK_ADDR_MAX];
     size_t peers_len;
     int64_t traffic_threads;
-    int64_t notice_ms; /* how long a planned stop may take */
-    int64_t max_body;
+    int64_t notice_ms; /* longest time that a planned stop may take */
+    int64_t max_body;  /* bytes of a caller's request body */
     int64_t max_connections;
-    /* Of a node that a platform hosts (rillknot-node). */
-    char dialect[RK_ID_MAX];          /* word of the platform's driver */
-    char cloud[RK_ADDR_MAX];          /* where duties are done */
-    char ready_listen[RK_ADDR_MAX];   /* for the balancer */
-    char metrics_listen[RK_ADDR_MAX]; /* "": none */
-    bool first_start;                 /* of the whole deployment */
-    double stop_s;                    /* from SIGTERM to SIGKILL */
-    double lease_ms;
-    double usage_window_s, usage_late_s;
-    double quota_window_s, quota_slack, quota_overrun;
-    double retry_burst; /* of all nodes */
-    double retry_ratio; /* retries to calls, of all nodes */
-    double cpu_share;   /* of a core, that this machine has */
-    /* What a new version of a service may get if it turns out to be bad; no share:
-     * no new versions are ordered here. */
+    /* The rest is for nodes that a platform hosts (rillknot-node). */
+    char dialect[RK_ID_MAX];          /* name of the platform's driver */
+    char cloud[RK_ADDR_MAX];          /* API that the leader's duties use */
+    char ready_listen[RK_ADDR_MAX];   /* listener for readiness checks */
+    char metrics_listen[RK_ADDR_MAX]; /* listener for metrics; "": none */
+    bool first_start;                 /* the deployment starts for the first time */
+    double stop_s;                    /* time from SIGTERM to SIGKILL */
+    double lease_ms;                  /* duration of the leader lease */
+    double usage_window_s;            /* length of a window of usage reports */
+    double usage_late_s;   /* time from a window's end until its report is late */
+    double quota_window_s; /* length of the sliding window of quotas */
+    double quota_slack;    /* units above a quota that the deployment tolerates */
+    double quota_overrun;  /* share of a quota that it tolerates on top of that */
+    double retry_burst;    /* retries of all nodes beyond retry_ratio */
+    double retry_ratio;    /* retries per call, of all nodes */
+    double cpu_share;      /* CPU cores that this machine gives the process */
+    /* Bounds for the canary of a new version that may be bad: the share of the
+     * calls of its service (0: this deployment orders no new versions), calls on
+     * top of that, and the time until it must get none. */
     double trial_share, trial_slack;
     double trial_give_up_ms;
 };
 
-/* Fill out from a file. On failure rk_last_error() names key, line and what was
- * expected. */
+/* Reads *out from a file, with defaults for keys that it lacks. On failure, *out
+ * must not be used, and rk_last_error() names the path and, where there is one, the
+ * key, its line and what was expected. */
 enum rk_status rk_procfile_load(const char *path, struct rk_procfile *out);
 
-/* Read a whole file; NULL with rk_last_error() set. The caller frees it. */
+/* Returns the content of a file, NUL-terminated, which the caller frees; NULL, with
+ * rk_last_error() set, if it can't be opened or is larger than 4 MiB. */
 char *rk_read_file(const char *path);
 
 #endif
--- a/core/settings.c
+++ b/core/settings.c
@@ -71,7 +71,7 @@
             "streams take their KV cache along when they move"),
     BOOLEAN("key_required", SVC, "false", "calls must carry an Idempotency-Key"),
     CHOICE("claims_when_down", SVC, "refuse|local", "\"refuse\"",
-           "keyed calls while the platform is away"),
+           "keyed calls while the platform is unreachable"),
     INTEGER("deadline_ms", SVC, 10, DAY_MS, "30000",
             "longest time a call may take"),
     INTEGER("connect_ms", SVC, 1, 60000, "500",
@@ -118,7 +118,7 @@
     INTEGER("lease_ms", RK_SEC_ROOT, 200, 600000, "6000",
             "life of a keeper's lease"),
     INTEGER("max_calls", RK_SEC_ROOT, 1, 1000000, "4000",
-            "calls in hand at one entry vm"),
+            "calls in flight at one entry vm"),
     NUMBER("weight_cost", RK_SEC_ROOT, 0, 1000, "1",
            "weight of cost when vms are chosen"),
     NUMBER("weight_recompute", RK_SEC_ROOT, 0, 1000, "1",
@@ -155,14 +155,15 @@
 
 struct check {
     struct rk_problems *problems;
-    const struct rk_jsonlines *lines; /* NULL: no text */
+    const struct rk_jsonlines *lines; /* line numbers; NULL: unknown */
     struct json_object *root;
 };
 
-static void problem(struct check *c, const char *path, const char *fmt, ...)
+/* Adds a problem; the message says what is expected at path. */
+static void add_problem(struct check *c, const char *path, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 
-static void problem(struct check *c, const char *path, const char *fmt, ...)
+static void add_problem(struct check *c, const char *path, const char *fmt, ...)
 {
     size_t at = c->problems->count++;
     if (at >= RK_MAX_PROBLEMS)
@@ -177,6 +178,7 @@
     va_end(ap);
 }
 
+/* Returns whether s can be the name of a node or a value that names something. */
 static bool valid_name(const char *s)
 {
     size_t len = strlen(s);
@@ -188,6 +190,7 @@
     return true;
 }
 
+/* Returns whether s is one of choices, "a|b". */
 static bool in_choices(const char *choices, const char *s)
 {
     size_t len = strlen(s);
@@ -211,34 +214,34 @@
     bool is_int = json_object_is_type(v, json_type_int);
     if (!is_int &&
         (info->type == RK_TYPE_INT || !json_object_is_type(v, json_type_double))) {
-        problem(c, path, "expected %s from %g to %g",
-                info->type == RK_TYPE_INT ? "a whole number" : "a number",
-                info->min, info->max);
+        add_problem(c, path, "expected %s from %g to %g",
+                    info->type == RK_TYPE_INT ? "a whole number" : "a number",
+                    info->min, info->max);
         return;
     }
     double x = json_object_get_double(v);
     if (!(x >= info->min && x <= info->max))
-        problem(c, path, "expected a number from %g to %g, found %g", info->min,
-                info->max, x);
+        add_problem(c, path, "expected a number from %g to %g, found %g", info->min,
+                    info->max, x);
 }
 
 static void check_string(struct check *c, const char *path,
                          const struct rk_setting_info *info, struct json_object *v)
 {
     if (!json_object_is_type(v, json_type_string)) {
-        problem(c, path, "expected a string%s%s", info->choices ? " of " : "",
-                info->choices ? info->choices : "");
+        add_problem(c, path, "expected a string%s%s", info->choices ? " of " : "",
+                    info->choices ? info->choices : "");
         return;
     }
     const char *s = json_object_get_string(v);
     if (info->choices && !in_choices(info->choices, s))
-        problem(c, path, "expected one of %s, found '%.40s'", info->choices, s);
+        add_problem(c, path, "expected one of %s, found '%.40s'", info->choices, s);
     else if (!valid_name(s))
-        problem(c, path, "expected a name of at most %d letters, digits, '-_.'",
-                RK_ID_MAX - 1);
+        add_problem(c, path, "expected a name of at most %d letters, digits, '-_.'",
+                    RK_ID_MAX - 1);
     else if (info->reference && !member(member(c->root, info->reference), s))
-        problem(c, path, "expected a member of /%s, found '%s'", info->reference,
-                s);
+        add_problem(c, path, "expected a member of /%s, found '%s'",
+                    info->reference, s);
 }
 
 static void check_value(struct check *c, const char *path, const char *name,
@@ -246,23 +249,25 @@
 {
     const struct rk_setting_info *info = find_info(name);
     if (!info) {
-        problem(c, path, "expected a known setting; '%.40s' is none", name);
+        add_problem(c, path, "expected a known setting; '%.40s' is none", name);
         return;
     }
     if (section != RK_SEC_ROOT && !(info->sections & section)) {
-        problem(c, path,
-                "expected a setting of this section; '%s' belongs elsewhere", name);
+        add_problem(c, path,
+                    "expected a setting of this section; '%s' belongs elsewhere",
+                    name);
         return;
     }
     if (info->type == RK_TYPE_BOOL && !json_object_is_type(v, json_type_boolean))
-        problem(c, path, "expected true or false");
+        add_problem(c, path, "expected true or false");
     else if (info->type == RK_TYPE_INT || info->type == RK_TYPE_NUMBER)
         check_number(c, path, info, v);
     else if (info->type == RK_TYPE_STRING)
         check_string(c, path, info, v);
 }
 
-/* depth 0: a section; 1: its members; 2: calls of a service. */
+/* Checks a node and those below it. depth: 0 for a section, 1 for its members, 2
+ * for the calls of a service. */
 static void check_node(struct check *c, const char *path, unsigned section,
                        int depth, struct json_object *node)
 {
@@ -272,14 +277,16 @@
         char sub[RK_SETTING_PATH_MAX];
         int n = snprintf(sub, sizeof(sub), "%s/%s", path, key);
         if (n >= (int)sizeof(sub) || !valid_name(key)) {
-            problem(c, path,
-                    "expected names of letters, digits, '-_.', found '%.40s'", key);
+            add_problem(c, path,
+                        "expected names of letters, digits, '-_.', found '%.40s'",
+                        key);
         } else if (!json_object_is_type(v, json_type_object)) {
             check_value(c, sub, key, section, v);
         } else if (depth >= deepest) {
-            problem(c, sub, "expected a value: no nodes stand this deep");
+            add_problem(c, sub, "expected a value: no nodes stand this deep");
         } else if (depth > 0 && find_info(key)) {
-            problem(c, sub, "expected a value: '%s' is a setting, not a node", key);
+            add_problem(c, sub, "expected a value: '%s' is a setting, not a node",
+                        key);
         } else {
             check_node(c, sub, section, depth + 1, v);
         }
@@ -295,20 +302,20 @@
         unsigned bit = section_bit(key);
         if (!json_object_is_type(v, json_type_object)) {
             if (bit)
-                problem(c, path, "expected a node of settings: { ... }");
+                add_problem(c, path, "expected a node of settings: { ... }");
             else
                 check_value(c, path, key, RK_SEC_ROOT, v);
         } else if (!bit) {
-            problem(c, path,
-                    "expected services, organisations, classes, vm_classes or "
-                    "failure_domains");
+            add_problem(c, path,
+                        "expected services, organisations, classes, vm_classes or "
+                        "failure_domains");
         } else {
             check_node(c, path, bit, 0, v);
         }
     }
 }
 
-/* Rules over several values, on the tree as a whole. */
+/* Checks rules on the effective values of a service. */
 static void check_service(struct check *c, const struct rk_settings *s,
                           const char *name)
 {
@@ -316,18 +323,20 @@
     snprintf(node, sizeof(node), "/services/%s", name);
     const char *kind = rk_settings_str(s, node, "kind");
     if (!kind)
-        problem(c, node, "expected a kind (engine or service) here or above");
+        add_problem(c, node, "expected a kind (engine or service) here or above");
     else if (!strcmp(kind, "engine") && !rk_settings_str(s, node, "model"))
-        problem(c, node, "expected a model: the kind is engine");
+        add_problem(c, node, "expected a model: the kind is engine");
     int64_t retention = rk_settings_int(s, "", "claim_retention_s") * 1000;
     if (rk_settings_int(s, node, "deadline_ms") > retention &&
         !rk_settings_bool(s, node, "repeatable"))
-        problem(c, node,
-                "expected deadline_ms within claim_retention_s: a key must "
-                "outlive its call");
+        add_problem(c, node,
+                    "expected deadline_ms within claim_retention_s: a key must "
+                    "outlive its call");
 }
 
-static void check_whole(struct check *c, const struct rk_settings *s)
+/* Checks rules on effective values, for which the tree's own values must be
+ * valid. */
+static void check_effective_values(struct check *c, const struct rk_settings *s)
 {
     struct json_object *services = member(c->root, "services");
     if (services) {
@@ -345,29 +354,30 @@
             snprintf(node, sizeof(node), "/vm_classes/%s", name);
             if (json_object_is_type(v, json_type_object) &&
                 !rk_settings_get(s, node, "price", NULL))
-                problem(c, node, "expected a price here or above");
+                add_problem(c, node, "expected a price here or above");
         }
     }
 }
 
-static enum rk_status check_and_make(struct json_object *root,
-                                     const struct rk_jsonlines *lines,
-                                     struct rk_settings **out,
-                                     struct rk_problems *problems)
+static enum rk_status make_checked(struct json_object *root,
+                                   const struct rk_jsonlines *lines,
+                                   struct rk_settings **out,
+                                   struct rk_problems *problems)
 {
     struct check c = {.problems = problems, .lines = lines, .root = root};
     if (!json_object_is_type(root, json_type_object)) {
-        problem(&c, "/", "expected a tree: { ... }");
+        add_problem(&c, "/", "expected a tree: { ... }");
         return rk_fail(RK_EINVAL, "not a tree of settings");
     }
     check_root(&c);
     struct rk_settings *s = rk_alloc(1, sizeof(*s));
     s->root = json_object_get(root);
     if (!problems->count)
-        check_whole(&c, s);
-    /* A snapshot of it must fit one object of the platform. */
+        check_effective_values(&c, s);
+    /* A snapshot of the tree must fit into one object of the platform. */
     if (strlen(json_object_to_json_string(root)) > RK_SETTINGS_MAX_BYTES)
-        problem(&c, "/", "expected at most %d bytes in all", RK_SETTINGS_MAX_BYTES);
+        add_problem(&c, "/", "expected at most %d bytes in all",
+                    RK_SETTINGS_MAX_BYTES);
     if (problems->count) {
         rk_settings_destroy(s);
         return rk_fail(RK_EINVAL, "%s:%d: %s", problems->items[0].path,
@@ -382,7 +392,7 @@
                                      struct rk_problems *problems)
 {
     problems->count = 0;
-    return check_and_make(root, NULL, out, problems);
+    return make_checked(root, NULL, out, problems);
 }
 
 enum rk_status rk_settings_parse(const char *text, struct rk_settings **out,
@@ -407,15 +417,15 @@
     }
     struct rk_jsonlines *lines = rk_jsonlines_create(text);
     int line;
-    const char *twice = rk_jsonlines_duplicate(lines, &line);
+    const char *duplicate = rk_jsonlines_duplicate(lines, &line);
     enum rk_status st;
-    if (twice) {
+    if (duplicate) {
         struct check c = {.problems = problems, .lines = lines};
-        problem(&c, twice, "expected each name once");
+        add_problem(&c, duplicate, "expected each name once");
         problems->items[0].line = line;
-        st = rk_fail(RK_EINVAL, "%s:%d: given twice", twice, line);
+        st = rk_fail(RK_EINVAL, "%s:%d: given twice", duplicate, line);
     } else {
-        st = check_and_make(root, lines, out, problems);
+        st = make_checked(root, lines, out, problems);
     }
     rk_jsonlines_destroy(lines);
     json_object_put(root);
@@ -444,7 +454,7 @@
 
 /* ---- look-up ---- */
 
-/* The built-in default, parsed once a thread and name. */
+/* Returns the built-in default of a setting, parsed once per thread; NULL: none. */
 static struct json_object *fallback_value(const struct rk_setting_info *info)
 {
     static _Thread_local struct json_object *cache[RK_ARRAY_LEN(schema)];
@@ -456,16 +466,18 @@
     return cache[i];
 }
 
-static const char *next_part(const char *p, char *part, size_t size)
+/* Copies the next segment of a path, cut to size, and returns the position behind
+ * it. */
+static const char *next_segment(const char *p, char *segment, size_t size)
 {
     size_t n = 0;
     p += *p == '/';
     while (*p && *p != '/') {
         if (n + 1 < size)
-            part[n++] = *p;
+            segment[n++] = *p;
         p++;
     }
-    part[n] = '\0';
+    segment[n] = '\0';
     return p;
 }
 
@@ -479,9 +491,9 @@
     size_t found_len = 0;
     const char *p = node;
     while (*p) {
-        char part[RK_ID_MAX];
-        p = next_part(p, part, sizeof(part));
-        at = member(at, part);
+        char segment[RK_ID_MAX];
+        p = next_segment(p, segment, sizeof(segment));
+        at = member(at, segment);
         if (!json_object_is_type(at, json_type_object))
             break;
         struct json_object *v = member(at, name);
@@ -523,18 +535,20 @@
     return v ? json_object_get_string(v) : NULL;
 }
 
+/* Returns the node at a path, and sets *section to its section's bit, 0 for the
+ * root; NULL: there is no such node. */
 static struct json_object *find_node(const struct rk_settings *s, const char *node,
                                      unsigned *section)
 {
     struct json_object *at = s->root;
     *section = 0;
     for (const char *p = node; *p;) {
-        char part[RK_ID_MAX];
-        p = next_part(p, part, sizeof(part));
+        char segment[RK_ID_MAX];
+        p = next_segment(p, segment, sizeof(segment));
         if (!*section)
-            *section = section_bit(part);
-        if (part[0])
-            at = member(at, part);
+            *section = section_bit(segment);
+        if (segment[0])
+            at = member(at, segment);
     }
     return json_object_is_type(at, json_type_object) ? at : NULL;
 }
--- a/core/settings.h
+++ b/core/settings.h
@@ -1,14 +1,14 @@
-/* The operators' tree of settings. A JSON object is a node, anything else a
- * value; a node inherits each value from its parent unless it overrides it.
+/* The operators' settings tree. A JSON object is a node, anything else is a value;
+ * a node inherits each value of its parent that it doesn't override.
  *
- *   { "deadline_ms": 30000,              values for everything below
+ *   { "deadline_ms": 30000,              inherited by all nodes below
  *     "services": { "slots": { "kind": "service",
  *                              "confirm": { "deadline_ms": 5000 } } },
  *     "organisations": {...}, "classes": {...}, "vm_classes": {...},
  *     "failure_domains": {...} }
  *
- * A tree is immutable once made. The same checks run in rillknotctl and in
- * every node, so that all accept and all skip the same changes. */
+ * A tree is immutable. rillknotctl and all nodes run the same checks, so that they
+ * accept and skip the same changes. */
 #ifndef RK_CORE_SETTINGS_H
 #define RK_CORE_SETTINGS_H
 
@@ -22,11 +22,12 @@
 struct rk_settings;
 struct rk_buf;
 
-#define RK_SETTING_PATH_MAX   256
-#define RK_MAX_PROBLEMS       32
-#define RK_SETTINGS_MAX_BYTES (900 * 1024)
+#define RK_SETTING_PATH_MAX 256 /* bytes, the NUL included */
+#define RK_MAX_PROBLEMS     32  /* problems kept of one check */
+#define RK_SETTINGS_MAX_BYTES                                                      \
+    (900 * 1024) /* of a tree: its snapshot must fit an object of the platform */
 
-/* The parts of the tree a setting may stand in (besides the root). */
+/* Sections of the tree, as bits. All settings may also be set at the root. */
 enum rk_section {
     RK_SEC_ROOT = 1 << 0,
     RK_SEC_SERVICES = 1 << 1,
@@ -38,55 +39,67 @@
 
 enum rk_setting_type { RK_TYPE_BOOL, RK_TYPE_INT, RK_TYPE_NUMBER, RK_TYPE_STRING };
 
+/* A row of the schema. All texts are static. */
 struct rk_setting_info {
     const char *name;
     enum rk_setting_type type;
     unsigned sections;     /* enum rk_section bits */
-    double min, max;       /* of numbers */
-    const char *choices;   /* "a|b" for strings; NULL: free */
-    const char *reference; /* section whose member the string must name */
-    const char *fallback;  /* JSON of the built-in default; NULL: none */
-    const char *help;
+    double min, max;       /* range of a number, both included */
+    const char *choices;   /* allowed strings, "a|b"; NULL: any name */
+    const char *reference; /* section that must have a member of this string's name;
+                              NULL: none */
+    const char *fallback;  /* JSON text of the built-in default; NULL: none */
+    const char *help;      /* one line for operators */
 };
 
-/* All known settings; *count gets their number. */
+/* Returns the schema, a static array of all known settings, and sets *count to its
+ * length. */
 const struct rk_setting_info *rk_settings_schema(size_t *count);
 
+/* A place where a tree is invalid. */
 struct rk_problem {
     char path[RK_SETTING_PATH_MAX];
-    int line; /* 0: the text has no lines (a change) */
-    char expected[192];
+    int line;           /* from 1 on; 0: unknown, as for a change */
+    char expected[192]; /* what is expected there: one line for operators */
 };
 
+/* The problems that a check found. */
 struct rk_problems {
     struct rk_problem items[RK_MAX_PROBLEMS];
-    size_t count; /* beyond RK_MAX_PROBLEMS they are counted, not kept */
+    size_t count; /* those beyond RK_MAX_PROBLEMS are counted, not kept */
 };
 
-/* Parse and check a whole tree. On RK_EINVAL nothing is made and problems says
- * what is wrong. The caller destroys *out. */
+/* Parses and checks the JSON text of a whole tree. On RK_OK, *out is the tree,
+ * which the caller destroys. On RK_EINVAL, *out is unchanged, and problems and
+ * rk_last_error() say what is wrong. problems need not be initialised. */
 enum rk_status rk_settings_parse(const char *text, struct rk_settings **out,
                                  struct rk_problems *problems);
 
-/* The same from a JSON object, of which the tree takes a reference. */
+/* Does the same with a JSON object. The tree takes a reference to root, which must
+ * not be changed any more. */
 enum rk_status rk_settings_from_json(struct json_object *root,
                                      struct rk_settings **out,
                                      struct rk_problems *problems);
 
-/* A tree with nothing in it: every setting has its built-in default. */
+/* Returns an empty tree, in which every setting has its built-in default. */
 struct rk_settings *rk_settings_empty(void);
+/* Frees a tree. NULL is allowed. */
 void rk_settings_destroy(struct rk_settings *s);
 
-/* The JSON behind the tree; borrowed. */
+/* Returns the tree as a JSON object; borrowed. */
 struct json_object *rk_settings_json(const struct rk_settings *s);
 
-/* Effective value of a setting at a node ("/services/slots/confirm"), with the
- * path it comes from in origin ("" for the built-in default). NULL: no value
- * anywhere. Borrowed. */
+/* Returns the effective value of a setting at a node ("/services/slots/confirm";
+ * "": the root); NULL: neither the tree nor the schema gives one. name must be a
+ * known setting. origin, unless NULL, gets the path that the value comes from; "":
+ * it is the built-in default or missing. The value is borrowed: from the tree, or,
+ * if it is a built-in default, from the calling thread. */
 struct json_object *rk_settings_get(const struct rk_settings *s, const char *node,
                                     const char *name,
                                     char origin[RK_SETTING_PATH_MAX]);
 
+/* Each of these returns the effective value as a type; false, 0 or NULL: there is
+ * none. A string is borrowed like the value. */
 bool rk_settings_bool(const struct rk_settings *s, const char *node,
                       const char *name);
 int64_t rk_settings_int(const struct rk_settings *s, const char *node,
@@ -96,8 +109,8 @@
 const char *rk_settings_str(const struct rk_settings *s, const char *node,
                             const char *name);
 
-/* Every setting that means something at the node: value and origin, a line
- * each. RK_ENOTFOUND when there is no such node. */
+/* Appends a line with value and origin for each setting that may be set at a node.
+ * Returns RK_ENOTFOUND if there is no such node. */
 enum rk_status rk_settings_explain(const struct rk_settings *s, const char *node,
                                    struct rk_buf *out);
 
