--- a/core/admit.c
+++ b/core/admit.c
@@ -4,53 +4,53 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define VTIME_SCALE 1000
+#define VTIME_SCALE 1000 /* virtual time units per ms, for weights up to 1000 */
 
 struct heap {
     struct rk_waiter **items;
     size_t len, cap;
-    bool by_rank; /* rank first, then deadline */
+    bool by_rank; /* ordered by rank, then deadline; otherwise by deadline alone */
 };
 
-/* The waiting calls of one organisation; lives while any wait. */
+/* The waiting calls of one organisation, and its virtual time. */
 struct rk_org_queue {
     char org[RK_ID_MAX];
     struct heap ready, deferred;
-    int64_t vtime; /* slot time used, over weight */
+    int64_t vtime; /* virtual time: slot time charged, divided by weight */
 };
 
 struct rk_admit {
     struct rk_org_queue **orgs;
     size_t orgs_len, orgs_cap;
-    int64_t vtime; /* of the call taken last: where a newcomer starts */
+    int64_t vtime; /* at which new organisations start; never falls */
     size_t len;
-    int64_t ahead_ms[RK_RANKS];
+    int64_t queued_cost_ms[RK_RANKS]; /* of the calls in the ready heaps */
 };
 
 /* ---- heap ---- */
 
-static bool before(const struct heap *h, const struct rk_waiter *a,
-                   const struct rk_waiter *b)
+static bool goes_before(const struct heap *h, const struct rk_waiter *a,
+                        const struct rk_waiter *b)
 {
     if (h->by_rank && a->rank != b->rank)
         return a->rank < b->rank;
     return a->deadline_ms < b->deadline_ms;
 }
 
-static void put(struct heap *h, size_t i, struct rk_waiter *w)
+static void heap_set(struct heap *h, size_t i, struct rk_waiter *w)
 {
     h->items[i] = w;
-    w->heap_slot = i + 1;
+    w->heap_index = i + 1;
 }
 
 static void sift_up(struct heap *h, size_t i)
 {
     struct rk_waiter *w = h->items[i];
-    while (i && before(h, w, h->items[(i - 1) / 2])) {
-        put(h, i, h->items[(i - 1) / 2]);
+    while (i && goes_before(h, w, h->items[(i - 1) / 2])) {
+        heap_set(h, i, h->items[(i - 1) / 2]);
         i = (i - 1) / 2;
     }
-    put(h, i, w);
+    heap_set(h, i, w);
 }
 
 static void sift_down(struct heap *h, size_t i)
@@ -60,14 +60,14 @@
         size_t c = 2 * i + 1;
         if (c >= h->len)
             break;
-        if (c + 1 < h->len && before(h, h->items[c + 1], h->items[c]))
+        if (c + 1 < h->len && goes_before(h, h->items[c + 1], h->items[c]))
             c++;
-        if (!before(h, h->items[c], w))
+        if (!goes_before(h, h->items[c], w))
             break;
-        put(h, i, h->items[c]);
+        heap_set(h, i, h->items[c]);
         i = c;
     }
-    put(h, i, w);
+    heap_set(h, i, w);
 }
 
 static void heap_push(struct heap *h, struct rk_waiter *w)
@@ -76,26 +76,26 @@
         h->cap = h->cap ? h->cap * 2 : 16;
         h->items = rk_realloc(h->items, h->cap * sizeof(struct rk_waiter *));
     }
-    put(h, h->len, w);
+    heap_set(h, h->len, w);
     sift_up(h, h->len++);
 }
 
 static void heap_remove(struct heap *h, struct rk_waiter *w)
 {
-    size_t i = w->heap_slot - 1;
+    size_t i = w->heap_index - 1;
     assert(h->items[i] == w);
-    w->heap_slot = 0;
+    w->heap_index = 0;
     struct rk_waiter *last = h->items[--h->len];
     if (last == w)
         return;
-    put(h, i, last);
+    heap_set(h, i, last);
     sift_up(h, i);
-    sift_down(h, last->heap_slot - 1);
+    sift_down(h, last->heap_index - 1);
 }
 
 /* ---- organisations ---- */
 
-static struct rk_org_queue *org_queue(struct rk_admit *a, const char *org)
+static struct rk_org_queue *find_or_add_org(struct rk_admit *a, const char *org)
 {
     for (size_t i = 0; i < a->orgs_len; i++)
         if (!strcmp(a->orgs[i]->org, org))
@@ -107,26 +107,27 @@
     struct rk_org_queue *q = rk_alloc(1, sizeof(*q));
     rk_strcpy(q->org, sizeof(q->org), org);
     q->ready.by_rank = true;
-    q->vtime = a->vtime; /* no credit for the time it asked for nothing */
+    q->vtime = a->vtime; /* idle time earns no credit */
     a->orgs[a->orgs_len++] = q;
     return q;
 }
 
-static void free_queue(struct rk_org_queue *q)
+static void org_queue_free(struct rk_org_queue *q)
 {
     free(q->ready.items);
     free(q->deferred.items);
     free(q);
 }
 
-/* An idle organisation is forgotten once the others have caught up with it, so
- * that emptying its queue for a moment doesn't wash its use away. */
-static void drop_idle(struct rk_admit *a)
+/* Drops organisations without waiting calls, but not before the queue's virtual
+ * time has reached theirs: otherwise an organisation could clear its usage by
+ * letting its queue run empty for a moment. */
+static void drop_idle_orgs(struct rk_admit *a)
 {
     for (size_t i = 0; i < a->orgs_len;) {
         struct rk_org_queue *q = a->orgs[i];
         if (!q->ready.len && !q->deferred.len && q->vtime <= a->vtime) {
-            free_queue(q);
+            org_queue_free(q);
             a->orgs[i] = a->orgs[--a->orgs_len];
         } else {
             i++;
@@ -145,7 +146,7 @@
         return;
     assert(!a->len);
     for (size_t i = 0; i < a->orgs_len; i++)
-        free_queue(a->orgs[i]);
+        org_queue_free(a->orgs[i]);
     free(a->orgs);
     free(a);
 }
@@ -155,13 +156,13 @@
 {
     heap_push(&q->ready, w);
     w->in_deferred = false;
-    a->ahead_ms[w->rank] += w->cost_ms;
+    a->queued_cost_ms[w->rank] += w->cost_ms;
 }
 
 void rk_admit_push(struct rk_admit *a, struct rk_waiter *w)
 {
-    assert(!w->heap_slot && w->rank >= 0 && w->rank < RK_RANKS);
-    struct rk_org_queue *q = org_queue(a, w->org);
+    assert(!w->heap_index && w->rank >= 0 && w->rank < RK_RANKS);
+    struct rk_org_queue *q = find_or_add_org(a, w->org);
     w->queue = q;
     a->len++;
     if (!w->deferrable) {
@@ -174,18 +175,20 @@
 
 void rk_admit_remove(struct rk_admit *a, struct rk_waiter *w)
 {
-    if (!w->heap_slot)
+    if (!w->heap_index)
         return;
     if (w->in_deferred) {
         heap_remove(&w->queue->deferred, w);
     } else {
         heap_remove(&w->queue->ready, w);
-        a->ahead_ms[w->rank] -= w->cost_ms;
+        a->queued_cost_ms[w->rank] -= w->cost_ms;
     }
     a->len--;
 }
 
-static void promote(struct rk_admit *a, struct rk_org_queue *q, int64_t now_ms)
+/* Moves the deferrable calls whose deadline is within their promote_ms to the ready
+ * heap. */
+static void promote_due(struct rk_admit *a, struct rk_org_queue *q, int64_t now_ms)
 {
     while (q->deferred.len) {
         struct rk_waiter *w = q->deferred.items[0];
@@ -204,7 +207,7 @@
     struct rk_org_queue *best = NULL, *best_deferred = NULL;
     for (size_t i = 0; i < a->orgs_len; i++) {
         struct rk_org_queue *q = a->orgs[i];
-        promote(a, q, now_ms);
+        promote_due(a, q, now_ms);
         if (q->ready.len) {
             int rank = q->ready.items[0]->rank;
             int best_rank = best ? best->ready.items[0]->rank : RK_RANKS;
@@ -227,7 +230,7 @@
     if (q->vtime > a->vtime)
         a->vtime = q->vtime;
     q->vtime += (w->cost_ms + 1) * VTIME_SCALE / w->weight;
-    drop_idle(a);
+    drop_idle_orgs(a);
 }
 
 size_t rk_admit_len(const struct rk_admit *a)
@@ -239,6 +242,6 @@
 {
     int64_t ms = 0;
     for (int r = 0; r <= rank; r++)
-        ms += a->ahead_ms[r];
+        ms += a->queued_cost_ms[r];
     return ms;
 }
--- a/core/admit.h
+++ b/core/admit.h
@@ -1,9 +1,11 @@
-/* The queue of calls that wait for one service: organisations share by weight
- * inside a priority class, the nearest deadline goes first inside an
- * organisation, and deferrable calls fill gaps until their deadline is near.
+/* Queue of the calls that wait for a slot of one service. Lower ranks go first;
+ * within a rank, organisations share the slot time by weight (weighted fair
+ * queueing); within an organisation, the earliest deadline goes first. Deferrable
+ * calls only use slots that are left over, until their deadline is near.
  *
- * Bounded by time: a call that can't make its deadline is refused when it
- * comes, with when to come back. Pure; one per service and traffic thread. */
+ * The queue has no length limit: the router bounds it by time, as it refuses a call
+ * that can't meet its deadline on arrival and says when to retry. One queue per
+ * service and traffic thread; does no I/O, and time comes from the caller. */
 #ifndef RK_CORE_ADMIT_H
 #define RK_CORE_ADMIT_H
 
@@ -13,42 +15,50 @@
 
 #include "common/util.h"
 
-#define RK_RANKS         8
-#define RK_PROMOTED_RANK 1 /* of deferred work whose deadline is near */
+#define RK_RANKS         8 /* ranks 0 to 7; 0 is the most urgent */
+#define RK_PROMOTED_RANK 1 /* at worst, of a deferrable call near its deadline */
 
-/* One waiting call; embedded in the router's job. */
+/* A waiting call, embedded in the router's job. The caller owns it, fills it, and
+ * leaves it unchanged while it is queued. */
 struct rk_waiter {
     char org[RK_ID_MAX];
-    int64_t weight;
-    int rank;
+    int64_t weight; /* of the organisation; at least 1 */
+    int rank;       /* the queue lowers it when it promotes a deferrable call */
     bool deferrable;
-    int64_t promote_ms; /* before the deadline */
-    int64_t deadline_ms;
-    int64_t cost_ms; /* estimated time in a slot, for fair shares */
+    int64_t promote_ms;  /* time before the deadline at which it is promoted */
+    int64_t deadline_ms; /* on the clock of now_ms */
+    int64_t cost_ms;     /* estimated time in a slot, for fair shares */
     /* Set by the queue. */
-    size_t heap_slot; /* place plus one; 0: not waiting */
-    bool in_deferred;
+    size_t heap_index; /* index in its heap plus one; 0: not queued */
+    bool in_deferred;  /* in the heap of deferrable calls */
     struct rk_org_queue *queue;
 };
 
 struct rk_admit;
 
 struct rk_admit *rk_admit_create(void);
-void rk_admit_destroy(struct rk_admit *a); /* must be empty */
+/* Frees the queue, which must be empty. NULL is allowed. */
+void rk_admit_destroy(struct rk_admit *a);
 
+/* Queues w, which must not be queued. */
 void rk_admit_push(struct rk_admit *a, struct rk_waiter *w);
+/* Takes w out without charging its organisation; does nothing if w isn't queued. */
 void rk_admit_remove(struct rk_admit *a, struct rk_waiter *w);
 
-/* The waiter that goes next (it stays), promoting those whose time has come.
- * deferred: whether deferrable calls may go, too. NULL: none. */
+/* Returns the call that goes next and leaves it in the queue; NULL: none may go.
+ * Promotes the deferrable calls whose deadline is near. deferred: whether
+ * deferrable calls that were not promoted may go, too; they do so only if no other
+ * call waits. */
 struct rk_waiter *rk_admit_peek(struct rk_admit *a, bool deferred, int64_t now_ms);
 
-/* Take w out and charge its organisation. */
+/* Takes w out and charges its organisation with w->cost_ms. */
 void rk_admit_take(struct rk_admit *a, struct rk_waiter *w);
 
+/* Returns the number of queued calls, deferrable ones included. */
 size_t rk_admit_len(const struct rk_admit *a);
 
-/* Slot time asked for by waiters at or above a rank; deferred ones excluded. */
+/* Returns the summed cost in ms of the queued calls of this rank and of more urgent
+ * ones, without deferrable calls that were not promoted. */
 int64_t rk_admit_ahead_ms(const struct rk_admit *a, int rank);
 
 #endif
--- a/core/budget.h
+++ b/core/budget.h
@@ -1,64 +1,73 @@
-/* Retry budget: retries may be a share of calls, not a count a call, so that an
- * overload is not amplified. Pure. */
+/* Retry budget (token bucket): bounds retries to a percentage of the calls plus a
+ * burst, instead of a count per call, so that retries can't amplify an overload.
+ * Does no I/O and reads no clock. A zeroed struct rk_budget is a valid start. */
 #ifndef RK_CORE_BUDGET_H
 #define RK_CORE_BUDGET_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RK_BUDGET_BURST 10 /* retries allowed from standing */
+/* Burst in retries where rk_budget_set_share() is not used. */
+#define RK_BUDGET_BURST 10
 
+/* A token pays for one retry. Amounts are in hundredths of a token, so that a call
+ * earns as many of them as the configured percentage says. */
 struct rk_budget {
-    int64_t hundredths; /* tokens times 100 */
-    int64_t cap;        /* the same, at most; 0: RK_BUDGET_BURST retries */
-    bool started;
+    int64_t tokens_x100; /* tokens times 100 */
+    int64_t cap_x100;    /* most that can be saved; 0: RK_BUDGET_BURST tokens */
+    bool started;        /* the initial tokens were given */
 };
 
-#define RK_BUDGET_RETRY 100 /* hundredths */
+#define RK_BUDGET_RETRY_COST 100 /* hundredths of a token */
 
+/* Returns the most that can be saved, in hundredths of a token. */
 static inline int64_t rk_budget_cap(const struct rk_budget *b)
 {
-    return b->cap ? b->cap : RK_BUDGET_BURST * RK_BUDGET_RETRY;
+    return b->cap_x100 ? b->cap_x100 : RK_BUDGET_BURST * RK_BUDGET_RETRY_COST;
 }
 
-/* This node's part of the retries that all nodes together may send from standing. A
- * node that starts again begins with none, as its earlier life may have used them:
- * so all of them never send more, whoever is killed. */
+/* Sets the cap to this node's share of burst, the retries that all nodes together
+ * may send beyond the percentage of calls; a node gets at least one.
+ * At the first call, a node of a first start gets the whole share. A restarted node
+ * gets nothing, because its previous incarnation may have used the share: so all
+ * nodes together keep to the burst, whichever of them are killed. */
 static inline void rk_budget_set_share(struct rk_budget *b, int64_t burst,
                                        int nodes, bool first_start)
 {
-    b->cap = burst * RK_BUDGET_RETRY / (nodes > 0 ? nodes : 1);
-    if (b->cap < RK_BUDGET_RETRY)
-        b->cap = RK_BUDGET_RETRY;
+    b->cap_x100 = burst * RK_BUDGET_RETRY_COST / (nodes > 0 ? nodes : 1);
+    if (b->cap_x100 < RK_BUDGET_RETRY_COST)
+        b->cap_x100 = RK_BUDGET_RETRY_COST;
     if (!b->started)
-        b->hundredths = first_start ? b->cap : 0;
+        b->tokens_x100 = first_start ? b->cap_x100 : 0;
     b->started = true;
 }
 
-/* A call came: it earns pct hundredths of a retry. */
+/* Credits one call with pct hundredths of a token. Without rk_budget_set_share(),
+ * the first call also gives the whole cap, unless pct is 0. */
 static inline void rk_budget_earn(struct rk_budget *b, int64_t pct)
 {
     if (!b->started) {
         b->started = true;
-        b->hundredths = pct ? rk_budget_cap(b) : 0;
+        b->tokens_x100 = pct ? rk_budget_cap(b) : 0;
     }
-    b->hundredths += pct;
-    if (b->hundredths > rk_budget_cap(b))
-        b->hundredths = rk_budget_cap(b);
+    b->tokens_x100 += pct;
+    if (b->tokens_x100 > rk_budget_cap(b))
+        b->tokens_x100 = rk_budget_cap(b);
 }
 
-/* Is there a retry left? */
+/* Returns whether the budget covers a retry; takes nothing. */
 static inline bool rk_budget_has(const struct rk_budget *b)
 {
-    return b->hundredths >= RK_BUDGET_RETRY;
+    return b->tokens_x100 >= RK_BUDGET_RETRY_COST;
 }
 
-/* May a retry be sent? Takes its token. */
+/* Takes the tokens of one retry. Returns false, and takes nothing, when the budget
+ * doesn't cover it: the retry must not be sent. */
 static inline bool rk_budget_spend(struct rk_budget *b)
 {
     if (!rk_budget_has(b))
         return false;
-    b->hundredths -= RK_BUDGET_RETRY;
+    b->tokens_x100 -= RK_BUDGET_RETRY_COST;
     return true;
 }
 
