--- a/core/verdict.c
+++ b/core/verdict.c
@@ -12,11 +12,10 @@
     [RK_RAN] = "ran",
 };
 
-int64_t rk_attempt_rest_ms(long http_status, int64_t asked_ms)
+int64_t rk_attempt_rest_ms(long http_status, int64_t requested_ms)
 {
-    bool turned_away =
-        http_status == HTTP_UNAVAILABLE || http_status == HTTP_TOO_MANY;
-    return turned_away && asked_ms > 0 ? asked_ms : 0;
+    bool refused = http_status == HTTP_UNAVAILABLE || http_status == HTTP_TOO_MANY;
+    return refused && requested_ms > 0 ? requested_ms : 0;
 }
 
 const char *rk_verdict_str(enum rk_verdict v)
@@ -42,8 +41,8 @@
         end->http_status == HTTP_TOO_MANY || end->http_status == HTTP_UNAVAILABLE;
     if (refusal && contract->refusal_not_run)
         return RK_NOT_RUN;
-    /* A refusal without a contract proves nothing, nor does a server's error,
-     * although both are answers. */
+    /* A refusal that the settings guarantee nothing about proves nothing, nor does
+     * a server error, although both are answers. */
     if (end->answered && !refusal && end->http_status < HTTP_SERVER_ERROR)
         return RK_RAN;
     return RK_MAY_HAVE_RUN;
