--- a/core/completion.c
+++ b/core/completion.c
@@ -6,8 +6,9 @@
 
 #include "core/prefix.h"
 
-#define MAX_TOKENS_LIMIT 1000000
+#define MAX_TOKENS_LIMIT 1000000 /* of a request's "max_tokens" */
 
+/* Adds the contents of all messages to the prompt, separated by blanks. */
 static enum rk_status read_messages(struct json_object *o,
                                     struct rk_prompt_reader *r)
 {
--- a/core/events.c
+++ b/core/events.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Length of the first whole event in the text, 0 if there is none: it ends with
- * an empty line. */
+/* Returns the length of the first whole event, the empty line at its end included;
+ * 0: there is none. An empty line at the very start doesn't end an event. */
 static size_t event_length(const char *data, size_t len)
 {
     size_t line = 0;
@@ -20,7 +20,7 @@
     return 0;
 }
 
-/* The id line of an event. */
+/* Copies the value of an event's last "id:" line that fits; "": there is none. */
 static void find_id(const char *data, size_t len, char id[RK_EVENT_ID_MAX])
 {
     id[0] = '\0';
--- a/core/events.h
+++ b/core/events.h
@@ -1,5 +1,6 @@
-/* Splits an event stream into whole events, byte for byte, so that an answer can
- * go on at another vm behind the last event its caller got whole. Pure. */
+/* Splits a stream of server-sent events into whole events and keeps their bytes
+ * unchanged. As a caller gets only whole events, its answer can be continued at
+ * another VM after the last of them. Does no I/O. */
 #ifndef RK_CORE_EVENTS_H
 #define RK_CORE_EVENTS_H
 
@@ -8,24 +9,29 @@
 
 #include "common/util.h"
 
-#define RK_EVENT_ID_MAX 32
-#define RK_EVENT_MAX    (256 * 1024)
+#define RK_EVENT_ID_MAX 32           /* bytes, the NUL included */
+#define RK_EVENT_MAX    (256 * 1024) /* bytes */
 
+/* A splitter; zeroed, it is ready for use. */
 struct rk_events {
-    struct rk_buf part; /* an event that is not whole yet */
-    char last_id[RK_EVENT_ID_MAX];
-    bool failed; /* an event was longer than RK_EVENT_MAX */
+    struct rk_buf part;            /* bytes of an event that is not complete yet */
+    char last_id[RK_EVENT_ID_MAX]; /* id of the last event that had one */
+    bool failed;                   /* the buffer would have exceeded RK_EVENT_MAX */
 };
 
-/* Gets one whole event with its end, and its id ("" when it has none). */
+/* Takes one whole event of len bytes, its empty line included, and its id ("": it
+ * has none, or a longer one than RK_EVENT_ID_MAX holds). data is borrowed for the
+ * call. */
 typedef void rk_event_fn(void *ctx, const char *data, size_t len, const char *id);
 
-/* Feed bytes; fn is called for each event that they complete. */
+/* Adds bytes of the stream, and calls fn for each event that they complete. Once
+ * e->failed is set, further bytes are ignored. */
 void rk_events_feed(struct rk_events *e, const char *data, size_t len,
                     rk_event_fn *fn, void *ctx);
 
-/* Another vm's stream begins: what was not whole is dropped. */
+/* Drops an incomplete event, because the stream of another VM begins. */
 void rk_events_restart(struct rk_events *e);
+/* Frees the buffer; the struct itself is the caller's. */
 void rk_events_free(struct rk_events *e);
 
 #endif
--- a/core/stream.c
+++ b/core/stream.c
@@ -15,8 +15,9 @@
     return RK_TOKEN_DELIVER;
 }
 
-static bool take_line(struct rk_sse *sse, bool (*fn)(void *ctx, const char *text),
-                      void *ctx)
+/* Passes a complete line to fn if it is a "data:" line, and empties the buffer. */
+static bool finish_line(struct rk_sse *sse, bool (*fn)(void *ctx, const char *text),
+                        void *ctx)
 {
     char *line = sse->line.data ? sse->line.data : "";
     size_t len = sse->line.len;
@@ -40,7 +41,7 @@
         size_t part = nl ? (size_t)(nl - data) : len;
         if (!rk_buf_add(&sse->line, data, part))
             sse->failed = true;
-        else if (nl && !take_line(sse, fn, ctx))
+        else if (nl && !finish_line(sse, fn, ctx))
             sse->failed = true;
         data += part + (nl ? 1 : 0);
         len -= part + (nl ? 1 : 0);
@@ -53,7 +54,8 @@
     rk_buf_free(&sse->line);
 }
 
-/* content of a chat chunk, or text of a plain one */
+/* Returns the text of a chunk, whether of a chat or of a plain completion; "":
+ * none. */
 static const char *chunk_text(struct json_object *o)
 {
     struct json_object *choices = rk_json_get(o, "choices");
--- a/core/stream.h
+++ b/core/stream.h
@@ -1,6 +1,6 @@
-/* A model's answer as the caller must get it: each token once, in order, from
- * this attempt's upstream, until an explicit end. And the reader of server-sent
- * events it comes in. Pure. */
+/* Reading of a model's answer: the parser of the server-sent events in which an
+ * engine streams it, and the check by which the caller gets each token once and in
+ * order, also when several attempts produce the answer. Does no I/O. */
 #ifndef RK_CORE_STREAM_H
 #define RK_CORE_STREAM_H
 
@@ -11,42 +11,48 @@
 #include "common/status.h"
 #include "common/util.h"
 
-#define RK_SSE_LINE_MAX (64 * 1024)
+#define RK_SSE_LINE_MAX (64 * 1024) /* bytes */
 
+/* What to do with a received token. */
 enum rk_token_fate {
-    RK_TOKEN_DELIVER, /* the next one: pass it on */
-    RK_TOKEN_REPEAT,  /* the caller has it: drop it */
-    RK_TOKEN_GAP,     /* tokens are missing: give the attempt up */
+    RK_TOKEN_DELIVER, /* it is the next one: pass it on */
+    RK_TOKEN_REPEAT,  /* the caller already has it: drop it */
+    RK_TOKEN_GAP,     /* tokens before it are missing: give up the attempt */
 };
 
+/* Position of a caller in a stream of tokens. */
 struct rk_stream {
-    int64_t next; /* index the caller is owed */
-    bool ended;   /* the end mark came, with nothing missing */
+    int64_t next; /* index of the next token to send to the caller */
+    bool ended;   /* the end mark was received, and no token is missing */
 };
 
+/* Decides on a received token by its index, and steps on if it is the next one. */
 enum rk_token_fate rk_stream_take(struct rk_stream *s, int64_t index);
 
-/* The reader: feed bytes, get the data of each event. */
+/* A parser of server-sent events; zeroed, it is ready for use. */
 struct rk_sse {
-    struct rk_buf line; /* a part line */
-    bool failed;
+    struct rk_buf line; /* a line that is not complete yet */
+    bool failed;        /* feeding failed; further bytes are ignored */
 };
 
-/* For each "data:" line calls fn(ctx, text). False when a line is longer than
- * RK_SSE_LINE_MAX or fn returned false; no more is read then. */
+/* Adds bytes of the stream, and calls fn(ctx, text) for each complete "data:" line.
+ * Returns false, now and at all later calls, once a line was longer than
+ * RK_SSE_LINE_MAX or fn returned false. */
 bool rk_sse_feed(struct rk_sse *sse, const char *data, size_t len,
                  bool (*fn)(void *ctx, const char *text), void *ctx);
+/* Frees the buffer; the struct itself is the caller's. */
 void rk_sse_free(struct rk_sse *sse);
 
 /* One chunk of a completion stream, as the engines send it. */
 struct rk_chunk {
-    bool done;          /* the end mark */
-    char id[RK_ID_MAX]; /* of the request it belongs to */
-    int64_t index;      /* of its token; -1: the engine gives none */
-    char text[256];     /* content, for answers that aren't streamed */
+    bool done;          /* it is the end mark; the other members are unset */
+    char id[RK_ID_MAX]; /* id of the request that it answers */
+    int64_t index;      /* index of its token; -1: the engine sends none */
+    char text[256];     /* its generated text, for answers that aren't streamed */
 };
 
-/* RK_EPROTO when it is not a chunk. */
+/* Parses the data of one event. Returns RK_EPROTO if it is no chunk with an id, or
+ * if its id or text is too long for *out. */
 enum rk_status rk_chunk_parse(const char *data, struct rk_chunk *out);
 
 #endif
