--- a/core/dialect.c
+++ b/core/dialect.c
@@ -15,13 +15,14 @@
 
 enum rk_header_owner rk_dialect_owner(const struct rk_dialect *d, const char *name)
 {
-    /* "Expect" is answered by this node, which has the whole body before it sends
-     * a byte. */
-    const char *const ours[] = {d->key,  d->deadline_ms, d->organisation, d->vm_id,
-                                d->rank, d->fetch_from,  d->go_on_from,   "Expect"};
+    /* This node answers "Expect" itself: it reads the whole body before it sends a
+     * byte to an upstream. */
+    const char *const reserved[] = {d->key,        d->deadline_ms, d->organisation,
+                                    d->vm_id,      d->rank,        d->fetch_from,
+                                    d->go_on_from, "Expect"};
     const char *const callers[] = {d->request_id, d->model, d->tokens, d->prefix,
                                    d->resume_after};
-    if (is_one_of(ours, RK_ARRAY_LEN(ours), name) ||
+    if (is_one_of(reserved, RK_ARRAY_LEN(reserved), name) ||
         is_one_of(d->orders, d->orders_len, name))
         return RK_HEADER_OURS;
     if (is_one_of(callers, RK_ARRAY_LEN(callers), name))
--- a/core/names.c
+++ b/core/names.c
@@ -5,15 +5,15 @@
 
 #include "common/util.h"
 
-#define FIRST_SLOTS 32 /* a power of two */
-#define FIRST_ROWS  16
+#define INITIAL_SLOTS 32 /* a power of two */
+#define INITIAL_ROWS  16
 
 static const char *name_at(const void *rows, size_t row_size, size_t at)
 {
     return (const char *)rows + at * row_size;
 }
 
-/* The slot of a name, or the free one where it would stand. */
+/* Returns the slot of a name, or the free slot where it belongs. */
 static size_t slot_of(const struct rk_names *n, const void *rows, size_t row_size,
                       const char *name)
 {
@@ -29,31 +29,32 @@
 {
     if (!n->len)
         return RK_NO_ROW;
-    uint32_t place = n->slots[slot_of(n, rows, row_size, name)];
-    return place ? place - 1 : RK_NO_ROW;
+    uint32_t entry = n->slots[slot_of(n, rows, row_size, name)];
+    return entry ? entry - 1 : RK_NO_ROW;
 }
 
-static void put(struct rk_names *n, const void *rows, size_t row_size, size_t at)
+static void insert(struct rk_names *n, const void *rows, size_t row_size, size_t at)
 {
     const char *name = name_at(rows, row_size, at);
     n->slots[slot_of(n, rows, row_size, name)] = (uint32_t)at + 1;
 }
 
-/* Twice as many slots as rows: one is always free. */
+/* Doubles the table and indexes all rows again. At most half of the slots are used,
+ * so that each search ends at a free one. */
 static void grow(struct rk_names *n, const void *rows, size_t row_size)
 {
     free(n->slots);
-    n->cap = n->cap ? n->cap * 2 : FIRST_SLOTS;
+    n->cap = n->cap ? n->cap * 2 : INITIAL_SLOTS;
     n->slots = rk_alloc(n->cap, sizeof(*n->slots));
     for (size_t i = 0; i < n->len; i++)
-        put(n, rows, row_size, i);
+        insert(n, rows, row_size, i);
 }
 
 void rk_names_add(struct rk_names *n, const void *rows, size_t row_size, size_t at)
 {
     if ((n->len + 1) * 2 > n->cap)
         grow(n, rows, row_size);
-    put(n, rows, row_size, at);
+    insert(n, rows, row_size, at);
     n->len++;
 }
 
@@ -61,7 +62,7 @@
                       size_t row_size, const char *name)
 {
     if (*len == *cap) {
-        *cap = *cap ? *cap * 2 : FIRST_ROWS;
+        *cap = *cap ? *cap * 2 : INITIAL_ROWS;
         rows = rk_realloc(rows, *cap * row_size);
     }
     char *row = (char *)rows + *len * row_size;
--- a/core/names.h
+++ b/core/names.h
@@ -1,6 +1,6 @@
-/* An index of rows by the name that each of them begins with: a look-up costs the
- * same however many rows there are. Rows are added, never taken out one by one.
- * Pure. */
+/* Hash index over an array of rows that each begin with their name, for look-ups in
+ * constant time. The caller owns the rows. Rows are only added: they are removed
+ * all at once, by rk_names_clear(). */
 #ifndef RK_CORE_NAMES_H
 #define RK_CORE_NAMES_H
 
@@ -9,25 +9,29 @@
 
 #define RK_NO_ROW SIZE_MAX
 
-/* Zeroed: empty. */
+/* An index; zeroed, it is empty and ready for use. */
 struct rk_names {
-    uint32_t *slots; /* hash table of places plus one; 0: free */
-    size_t cap;      /* a power of two, or 0 */
-    size_t len;
+    uint32_t *slots; /* hash table of row indices plus one; 0: free slot */
+    size_t cap;      /* number of slots: a power of two, or 0 */
+    size_t len;      /* number of rows */
 };
 
-/* The place of a name among rows of so many bytes each; RK_NO_ROW: it has none. */
+/* Returns the index of the row with a name, RK_NO_ROW if there is none. row_size:
+ * size of a row in bytes. */
 size_t rk_names_find(const struct rk_names *n, const void *rows, size_t row_size,
                      const char *name);
-/* The row at a place is new; places are added in order, from 0 on. Of two with one
- * name, the later is found. */
+/* Adds row number at to the index. Rows must be added in the order of the array,
+ * from number 0 on. Of two rows with the same name, the later one is found. */
 void rk_names_add(struct rk_names *n, const void *rows, size_t row_size, size_t at);
-/* Add a row, zeroed but for its name of RK_ID_MAX bytes at most, to rows that are
- * indexed in the order in which they stand. Returns the rows, which may have moved;
- * the new one is the last of *len. */
+/* Appends a row to an array whose rows are all indexed, and indexes the new row. It
+ * is zeroed, but for its name, which is cut to fit RK_ID_MAX bytes. *len and *cap
+ * are the used and the allocated rows, and are updated. Returns the array, which
+ * may have moved. */
 void *rk_names_append(struct rk_names *n, void *rows, size_t *len, size_t *cap,
                       size_t row_size, const char *name);
-void rk_names_clear(struct rk_names *n); /* no row is left */
+/* Empties the index and keeps its memory. */
+void rk_names_clear(struct rk_names *n);
+/* Empties the index and frees its memory. */
 void rk_names_free(struct rk_names *n);
 
 #endif
--- a/core/routes.c
+++ b/core/routes.c
@@ -12,7 +12,9 @@
     return r;
 }
 
-static void *grow(void *items, size_t *len, size_t *cap, size_t size)
+/* Appends a zeroed row of size bytes to an array, which may move, and returns the
+ * array. */
+static void *append_row(void *items, size_t *len, size_t *cap, size_t size)
 {
     if (*len == *cap) {
         *cap = *cap ? *cap * 2 : 8;
@@ -25,27 +27,28 @@
 
 struct rk_route *rk_routes_add(struct rk_routes *r)
 {
-    r->routes = grow(r->routes, &r->routes_len, &r->routes_cap, sizeof(*r->routes));
+    r->routes =
+        append_row(r->routes, &r->routes_len, &r->routes_cap, sizeof(*r->routes));
     return &r->routes[r->routes_len - 1];
 }
 
 struct rk_service_info *rk_routes_add_service(struct rk_routes *r)
 {
-    r->services =
-        grow(r->services, &r->services_len, &r->services_cap, sizeof(*r->services));
+    r->services = append_row(r->services, &r->services_len, &r->services_cap,
+                             sizeof(*r->services));
     return &r->services[r->services_len - 1];
 }
 
 struct rk_org_info *rk_routes_add_org(struct rk_routes *r)
 {
-    r->orgs = grow(r->orgs, &r->orgs_len, &r->orgs_cap, sizeof(*r->orgs));
+    r->orgs = append_row(r->orgs, &r->orgs_len, &r->orgs_cap, sizeof(*r->orgs));
     r->keyed = true;
     return &r->orgs[r->orgs_len - 1];
 }
 
 struct rk_org_key *rk_routes_add_key(struct rk_routes *r)
 {
-    r->keys = grow(r->keys, &r->keys_len, &r->keys_cap, sizeof(*r->keys));
+    r->keys = append_row(r->keys, &r->keys_len, &r->keys_cap, sizeof(*r->keys));
     return &r->keys[r->keys_len - 1];
 }
 
@@ -67,19 +70,19 @@
     free(r);
 }
 
-/* Hash of a host name in lower case, up to its port. */
+/* Returns the hash of a host name in lower case, without its port. */
 static uint32_t host_hash(const char *host)
 {
-    char low[RK_ROUTE_TEXT];
+    char lower[RK_ROUTE_TEXT];
     size_t n = 0;
-    while (host[n] && host[n] != ':' && n < sizeof(low) - 1) {
+    while (host[n] && host[n] != ':' && n < sizeof(lower) - 1) {
         char c = host[n];
-        low[n++] = (char)(c >= 'A' && c <= 'Z' ? c - 'A' + 'a' : c);
+        lower[n++] = (char)(c >= 'A' && c <= 'Z' ? c - 'A' + 'a' : c);
     }
-    return (uint32_t)rk_hash(0, low, n);
+    return (uint32_t)rk_hash(0, lower, n);
 }
 
-static int by_hash(const void *a, const void *b)
+static int compare_key_hashes(const void *a, const void *b)
 {
     uint64_t x = ((const struct rk_org_key *)a)->hash;
     uint64_t y = ((const struct rk_org_key *)b)->hash;
@@ -122,10 +125,11 @@
     for (size_t i = 0; i < r->keys_len; i++)
         r->keys[i].hash = rk_hash_str(0, r->keys[i].key);
     if (r->keys_len)
-        qsort(r->keys, r->keys_len, sizeof(*r->keys), by_hash);
+        qsort(r->keys, r->keys_len, sizeof(*r->keys), compare_key_hashes);
     return RK_OK;
 }
 
+/* Compares without case; host may have a port. */
 static bool same_host(const char *route_host, const char *host)
 {
     size_t len = strlen(route_host);
