--- a/core/admit.h
+++ b/core/admit.h
@@ -47,7 +47,7 @@
 
 /* Returns the call that goes next and leaves it in the queue; NULL: none may go.
  * Promotes the deferrable calls whose deadline is near. deferred: whether
- * deferrable calls that were not promoted may go, too; they do so only if no other
+ * deferrable calls that were not promoted may go, too; they go only if no other
  * call waits. */
 struct rk_waiter *rk_admit_peek(struct rk_admit *a, bool deferred, int64_t now_ms);
 
--- a/core/budget.h
+++ b/core/budget.h
@@ -27,7 +27,7 @@
 }
 
 /* Sets the cap to this node's share of burst, the retries that all nodes together
- * may send beyond the percentage of calls; a node gets at least one.
+ * may send beyond the percentage of calls; a node's share is at least one retry.
  * At the first call, a node of a first start gets the whole share. A restarted node
  * gets nothing, because its previous incarnation may have used the share: so all
  * nodes together keep to the burst, whichever of them are killed. */
--- a/core/call.h
+++ b/core/call.h
@@ -1,7 +1,7 @@
-/* A call on its way from a caller or a peer to an upstream or a peer. The sides
- * that receive calls (callers/, peers/) fill struct rk_request and implement struct
- * rk_sink; the exchange in serve/ runs the call and sends its answer to the
- * sink. */
+/* A call on its way from a caller or a peer to an upstream or a peer. The code that
+ * receives calls (callers/ from callers, serve/forward.c from peers) fills struct
+ * rk_request and implements struct rk_sink; the exchange in serve/ runs the call
+ * and passes its answer to the sink. */
 #ifndef RK_CORE_CALL_H
 #define RK_CORE_CALL_H
 
--- a/core/jsonlines.c
+++ b/core/jsonlines.c
@@ -26,7 +26,7 @@
     int line;
     int depth; /* of objects */
     char path[PATH_MAX_LEN];
-    size_t path_len[MAX_DEPTH + 1]; /* length of path, by depth of its end */
+    size_t path_len[MAX_DEPTH + 1]; /* length of path up to its key at a depth */
 };
 
 static void add_key(struct rk_jsonlines *jl, const char *path, int line)
--- a/core/names.h
+++ b/core/names.h
@@ -11,16 +11,16 @@
 
 /* An index; zeroed, it is empty and ready for use. */
 struct rk_names {
-    uint32_t *slots; /* hash table of row indices plus one; 0: free slot */
+    uint32_t *slots; /* hash table of row numbers plus one; 0: free slot */
     size_t cap;      /* number of slots: a power of two, or 0 */
     size_t len;      /* number of rows */
 };
 
-/* Returns the index of the row with a name, RK_NO_ROW if there is none. row_size:
+/* Returns the number of the row that has a name; RK_NO_ROW: none has it. row_size:
  * size of a row in bytes. */
 size_t rk_names_find(const struct rk_names *n, const void *rows, size_t row_size,
                      const char *name);
-/* Adds row number at to the index. Rows must be added in the order of the array,
+/* Adds row number `at` to the index. Rows must be added in the order of the array,
  * from number 0 on. Of two rows with the same name, the later one is found. */
 void rk_names_add(struct rk_names *n, const void *rows, size_t row_size, size_t at);
 /* Appends a row to an array whose rows are all indexed, and indexes the new row. It
--- a/core/settings.c
+++ b/core/settings.c
@@ -178,7 +178,7 @@
     va_end(ap);
 }
 
-/* Returns whether s can be the name of a node or a value that names something. */
+/* Returns whether s is a valid name of a node, or a valid string value. */
 static bool valid_name(const char *s)
 {
     size_t len = strlen(s);
--- a/core/settings.h
+++ b/core/settings.h
@@ -46,7 +46,7 @@
     unsigned sections;     /* enum rk_section bits */
     double min, max;       /* range of a number, both included */
     const char *choices;   /* allowed strings, "a|b"; NULL: any name */
-    const char *reference; /* section that must have a member of this string's name;
+    const char *reference; /* section in which the string must name a member;
                               NULL: none */
     const char *fallback;  /* JSON text of the built-in default; NULL: none */
     const char *help;      /* one line for operators */
