--- a/core/prefix.c
+++ b/core/prefix.c
@@ -6,25 +6,27 @@
 
 #include "common/util.h"
 
-#define BUCKETS 16384 /* a power of two */
-#define WAYS    4     /* blocks in a bucket */
-#define HOLDERS 8     /* vms remembered for a block */
-#define NO_VM   UINT16_MAX
+#define BUCKETS           16384 /* a power of two */
+#define BLOCKS_PER_BUCKET 4
+#define HOLDERS_PER_BLOCK 8 /* VMs recorded for a block */
+#define NO_VM             UINT16_MAX
 
 struct holder {
     uint16_t vm;
-    uint64_t clock;
+    uint64_t prefilled_tokens; /* of the VM, at its last use of the block */
 };
 
 struct block {
     uint64_t hash;
-    uint64_t used; /* logical time, for replacement in the bucket */
-    struct holder holders[HOLDERS];
+    /* Value of use_counter at its last use, for replacement within the bucket;
+     * 0: free. */
+    uint64_t last_use;
+    struct holder holders[HOLDERS_PER_BLOCK];
 };
 
 struct rk_prefixes {
-    struct block *blocks; /* BUCKETS x WAYS */
-    uint64_t tick;
+    struct block *blocks; /* BUCKETS x BLOCKS_PER_BUCKET */
+    uint64_t use_counter;
 };
 
 void rk_prompt_begin(struct rk_prompt_reader *r, struct rk_prompt *out)
@@ -78,7 +80,7 @@
 struct rk_prefixes *rk_prefixes_create(void)
 {
     struct rk_prefixes *p = rk_alloc(1, sizeof(*p));
-    p->blocks = rk_alloc((size_t)BUCKETS * WAYS, sizeof(*p->blocks));
+    p->blocks = rk_alloc((size_t)BUCKETS * BLOCKS_PER_BUCKET, sizeof(*p->blocks));
     return p;
 }
 
@@ -92,49 +94,51 @@
 
 static struct block *bucket_of(const struct rk_prefixes *p, uint64_t hash)
 {
-    return &p->blocks[(hash % BUCKETS) * WAYS];
+    return &p->blocks[(hash % BUCKETS) * BLOCKS_PER_BUCKET];
 }
 
 static struct block *find_block(const struct rk_prefixes *p, uint64_t hash)
 {
     struct block *b = bucket_of(p, hash);
-    for (size_t i = 0; i < WAYS; i++)
-        if (b[i].used && b[i].hash == hash)
+    for (size_t i = 0; i < BLOCKS_PER_BUCKET; i++)
+        if (b[i].last_use && b[i].hash == hash)
             return &b[i];
     return NULL;
 }
 
-/* Find the block or take the bucket's least recently used place. */
-static struct block *take_block(struct rk_prefixes *p, uint64_t hash)
+/* Returns the block's entry, or else that of the least recently used block in
+ * the bucket, without holders. */
+static struct block *find_or_evict_block(struct rk_prefixes *p, uint64_t hash)
 {
     struct block *b = find_block(p, hash);
     if (!b) {
         b = bucket_of(p, hash);
-        for (size_t i = 1; i < WAYS; i++)
-            if (bucket_of(p, hash)[i].used < b->used)
+        for (size_t i = 1; i < BLOCKS_PER_BUCKET; i++)
+            if (bucket_of(p, hash)[i].last_use < b->last_use)
                 b = &bucket_of(p, hash)[i];
         b->hash = hash;
-        for (size_t i = 0; i < HOLDERS; i++)
+        for (size_t i = 0; i < HOLDERS_PER_BLOCK; i++)
             b->holders[i].vm = NO_VM;
     }
-    b->used = ++p->tick;
+    b->last_use = ++p->use_counter;
     return b;
 }
 
 void rk_prefixes_match(const struct rk_prefixes *p, const struct rk_prompt *prompt,
-                       const uint64_t *clocks, const uint64_t *cache_tokens,
-                       uint32_t *cached, size_t len)
+                       const uint64_t *prefilled_tokens,
+                       const uint64_t *cache_tokens, uint32_t *cached, size_t len)
 {
     memset(cached, 0, len * sizeof(*cached));
     for (uint32_t n = 0; n < prompt->blocks_len; n++) {
         const struct block *b = find_block(p, prompt->blocks[n]);
         bool any = false;
-        for (size_t i = 0; b && i < HOLDERS; i++) {
+        for (size_t i = 0; b && i < HOLDERS_PER_BLOCK; i++) {
             uint16_t vm = b->holders[i].vm;
-            /* A block counts only where all before it are cached too. */
+            /* A block counts only if all blocks before it are cached there, too. */
             if (vm >= len || cached[vm] != n * RK_BLOCK_WORDS)
                 continue;
-            if (clocks[vm] - b->holders[i].clock >= cache_tokens[vm])
+            if (prefilled_tokens[vm] - b->holders[i].prefilled_tokens >=
+                cache_tokens[vm])
                 continue;
             cached[vm] += RK_BLOCK_WORDS;
             any = true;
@@ -144,32 +148,33 @@
     }
 }
 
-static void set_holder(struct block *b, uint16_t vm, uint64_t clock)
+static void set_holder(struct block *b, uint16_t vm, uint64_t prefilled_tokens)
 {
-    struct holder *place = &b->holders[0];
-    for (size_t i = 0; i < HOLDERS; i++) {
+    struct holder *slot = &b->holders[0];
+    for (size_t i = 0; i < HOLDERS_PER_BLOCK; i++) {
         struct holder *h = &b->holders[i];
         if (h->vm == vm) {
-            place = h;
+            slot = h;
             break;
         }
-        if (place->vm != NO_VM && (h->vm == NO_VM || h->clock < place->clock))
-            place = h;
+        if (slot->vm != NO_VM &&
+            (h->vm == NO_VM || h->prefilled_tokens < slot->prefilled_tokens))
+            slot = h;
     }
-    *place = (struct holder){.vm = vm, .clock = clock};
+    *slot = (struct holder){.vm = vm, .prefilled_tokens = prefilled_tokens};
 }
 
 void rk_prefixes_insert(struct rk_prefixes *p, const struct rk_prompt *prompt,
-                        uint16_t vm, uint64_t clock)
+                        uint16_t vm, uint64_t prefilled_tokens)
 {
     for (uint32_t n = 0; n < prompt->blocks_len; n++)
-        set_holder(take_block(p, prompt->blocks[n]), vm, clock);
+        set_holder(find_or_evict_block(p, prompt->blocks[n]), vm, prefilled_tokens);
 }
 
 void rk_prefixes_forget(struct rk_prefixes *p, uint16_t vm)
 {
-    for (size_t i = 0; i < (size_t)BUCKETS * WAYS; i++)
-        for (size_t k = 0; k < HOLDERS; k++)
+    for (size_t i = 0; i < (size_t)BUCKETS * BLOCKS_PER_BUCKET; i++)
+        for (size_t k = 0; k < HOLDERS_PER_BLOCK; k++)
             if (p->blocks[i].holders[k].vm == vm)
                 p->blocks[i].holders[k].vm = NO_VM;
 }
--- a/core/prefix.h
+++ b/core/prefix.h
@@ -1,8 +1,10 @@
-/* Which upstream vm is believed to hold which prompt prefix. A prompt is cut
- * into blocks of words; a block's hash covers all before it. The table is
- * bounded; a vm's cache is modelled by a clock that counts the tokens prefilled
- * there: a block is forgotten once the cache's size has been prefilled after
- * its last use. Pure; one per traffic thread. */
+/* Index of the prompt prefixes that are assumed to be cached at each upstream VM. A
+ * prompt is cut into blocks of words; the hash of a block covers all blocks before
+ * it, too. The index has a fixed size.
+ *
+ * The cache of a VM is modelled by the number of tokens prefilled there: a block
+ * is assumed to be evicted once as many tokens as the cache holds were prefilled
+ * after its last use. Does no I/O; each traffic thread has its own index. */
 #ifndef RK_CORE_PREFIX_H
 #define RK_CORE_PREFIX_H
 
@@ -10,44 +12,53 @@
 #include <stdint.h>
 
 #define RK_BLOCK_WORDS 32
-#define RK_MAX_BLOCKS  256
-#define RK_ROOT_BLOCKS 4 /* prompts that share these count as one tenant */
+#define RK_MAX_BLOCKS  256 /* words after these blocks are counted, not indexed */
+#define RK_ROOT_BLOCKS 4   /* prompts that share these have the same root */
 
-/* A prompt as routing sees it. */
+/* A prompt, reduced to what routing needs. */
 struct rk_prompt {
     uint64_t blocks[RK_MAX_BLOCKS];
     uint32_t blocks_len;
-    uint32_t tokens; /* words, as an estimate of tokens */
-    uint64_t root;   /* hash of the first blocks; 0 for a short prompt */
+    uint32_t tokens; /* number of words, as an estimate of tokens */
+    /* Hash of the first RK_ROOT_BLOCKS blocks, or of all blocks if there are
+     * fewer; 0: not a single block. */
+    uint64_t root;
 };
 
-/* Add text to a prompt under construction; start from a zeroed struct. */
+/* State while a prompt is built from text that arrives in pieces. */
 struct rk_prompt_reader {
     struct rk_prompt *prompt;
     uint64_t hash;
     uint32_t words_in_block;
     int in_word;
 };
+/* Starts building *out, which the caller owns. */
 void rk_prompt_begin(struct rk_prompt_reader *r, struct rk_prompt *out);
+/* Appends a piece of text, which may end within a word. */
 void rk_prompt_add(struct rk_prompt_reader *r, const char *text, size_t len);
+/* Ends the last word and completes the prompt. */
 void rk_prompt_end(struct rk_prompt_reader *r);
 
 struct rk_prefixes;
 
+/* Creates an empty index. Never returns NULL; free with rk_prefixes_destroy(). */
 struct rk_prefixes *rk_prefixes_create(void);
+/* Frees the index; NULL is ignored. */
 void rk_prefixes_destroy(struct rk_prefixes *p);
 
-/* Tokens of the prompt believed cached at each of the vms [0, len); vms are
- * small integers, clocks their prefilled tokens. */
+/* Fills cached[i] with the number of prompt tokens assumed to be cached at VM i,
+ * for i in [0, len). prefilled_tokens[i] and cache_tokens[i] are the tokens
+ * prefilled at the VM so far and the size of its cache. */
 void rk_prefixes_match(const struct rk_prefixes *p, const struct rk_prompt *prompt,
-                       const uint64_t *clocks, const uint64_t *cache_tokens,
-                       uint32_t *cached, size_t len);
+                       const uint64_t *prefilled_tokens,
+                       const uint64_t *cache_tokens, uint32_t *cached, size_t len);
 
-/* The prompt was sent to vm: its blocks are there now, used at clock. */
+/* Records that the prompt was sent to the VM, so that its blocks are cached there.
+ * prefilled_tokens: tokens prefilled at the VM so far, this prompt included. */
 void rk_prefixes_insert(struct rk_prefixes *p, const struct rk_prompt *prompt,
-                        uint16_t vm, uint64_t clock);
+                        uint16_t vm, uint64_t prefilled_tokens);
 
-/* The vm's cache is gone or unknown: forget all it held. */
+/* Removes all blocks of a VM whose cache is gone or unknown. */
 void rk_prefixes_forget(struct rk_prefixes *p, uint16_t vm);
 
 #endif
--- a/core/router.c
+++ b/core/router.c
@@ -6,16 +6,24 @@
 
 #include "core/router_impl.h"
 
-#define FAILURES_TO_PAUSE  2
-#define PAUSE_MS           1000
-#define PAUSE_MAX_MS       16000
-#define EWMA               0.1
-#define LIMIT_CUT          0.8
-#define LIMIT_CUT_EVERY_MS 500
-#define DEFER_ROOM         0.75 /* share of slots deferred work may fill */
-#define MIN_RETRY_MS       100
-#define SURE_SHARE         0.8 /* of the expected time: what a call surely takes */
-#define DEFAULT_MEAN_MS    50.0
+/* Failures in a row after which a VM is paused. The pause doubles with each further
+ * failure. */
+#define FAILURES_TO_PAUSE 2
+#define PAUSE_INITIAL_MS  1000
+#define PAUSE_MAX_MS      16000
+/* Weight of a new sample in the smoothed means. */
+#define EWMA_WEIGHT 0.1
+/* A VM's limit is multiplied by this when a first token took longer than the
+ * target, but only once per interval. */
+#define LIMIT_CUT_FACTOR      0.8
+#define LIMIT_CUT_INTERVAL_MS 500
+/* Share of a service's slots that deferrable calls may fill. */
+#define DEFERRABLE_MAX_SHARE 0.75
+#define MIN_RETRY_AFTER_MS   100
+/* Share of the expected time that a call is assumed to take at least. */
+#define MIN_TIME_SHARE 0.8
+/* Time that a call occupies a slot, until calls of the service were measured. */
+#define INITIAL_MEAN_MS 50.0
 
 bool rk_route_policy_parse(const char *name, enum rk_route_policy *out)
 {
@@ -79,8 +87,8 @@
                 continue;
             s = &r->services[r->services_len++];
             s->queue = rk_admit_create();
-            s->mean_ms = DEFAULT_MEAN_MS;
-            s->pace = 1;
+            s->mean_ms = INITIAL_MEAN_MS;
+            s->slot_time_ratio = 1;
         }
         s->policy = *p;
         s->used = true;
@@ -103,27 +111,27 @@
     return free_row;
 }
 
-static void begin_vm(struct rk_router *r, struct vm *v, const struct rk_vm *row,
-                     struct rk_service *svc)
+static void init_vm(struct rk_router *r, struct vm *v, const struct rk_vm *row,
+                    struct rk_service *svc)
 {
     size_t i = (size_t)(v - r->vms);
     *v = (struct vm){.used = true, .svc = svc, .incarnation = row->incarnation};
     v->limit = (double)svc->policy.slots;
-    v->slow = 1;
+    v->latency_ratio = 1;
     rk_strcpy(v->id, sizeof(v->id), row->id);
     rk_strcpy(v->addr, sizeof(v->addr), row->addr);
     rk_prefixes_forget(r->prefixes, (uint16_t)i);
-    r->clocks[i] = 0;
+    r->prefilled_tokens[i] = 0;
 }
 
-static void take_load(struct vm *v, const struct rk_vm *row)
+static void apply_load(struct vm *v, const struct rk_vm *row)
 {
     if (row->load_seq <= v->load_seq)
         return;
     v->load_seq = row->load_seq;
-    v->others_ms = row->load_ms;
+    v->peer_calls_ms = row->load_ms;
     int total = (int)(row->running + row->queued);
-    v->others = total > v->in_flight ? total - v->in_flight : 0;
+    v->peer_calls = total > v->in_flight ? total - v->in_flight : 0;
 }
 
 void rk_router_update(struct rk_router *r, const struct rk_config *cfg,
@@ -142,13 +150,13 @@
         if (!v)
             continue;
         if (!v->used)
-            begin_vm(r, v, &vms[i], svc);
+            init_vm(r, v, &vms[i], svc);
         v->present = true;
         v->live = vms[i].state == RK_VM_LIVE;
         if (v->limit > (double)svc->policy.slots)
             v->limit = (double)svc->policy.slots;
         r->cache_tokens[v - r->vms] = (uint64_t)svc->policy.cache_tokens;
-        take_load(v, &vms[i]);
+        apply_load(v, &vms[i]);
         svc->live_vms += v->live;
     }
     for (size_t i = 0; i < r->vms_len; i++) {
@@ -161,26 +169,27 @@
     }
 }
 
-/* ---- counts of calls in hand ---- */
+/* ---- counts of outstanding calls ---- */
 
-struct root *rk_router_root(struct rk_router *r, const struct rk_job *job)
+struct prefix_calls *rk_router_prefix_calls(struct rk_router *r,
+                                            const struct rk_job *job)
 {
     if (!job->prompt || !job->prompt->root)
         return NULL;
-    struct root *b = &r->roots[job->prompt->root % ROOTS];
+    struct prefix_calls *b = &r->prefix_calls[job->prompt->root % PREFIX_COUNTERS];
     if (b->hash == job->prompt->root)
         return b;
-    if (b->in_hand)
-        return NULL; /* the place is taken: this prefix goes uncounted */
+    if (b->outstanding)
+        return NULL; /* another prefix has the slot: this one is not counted */
     b->hash = job->prompt->root;
     return b;
 }
 
-static void count_root(struct rk_router *r, const struct rk_job *job, int n)
+static void add_outstanding(struct rk_router *r, const struct rk_job *job, int n)
 {
-    struct root *b = rk_router_root(r, job);
-    if (b && b->in_hand + n >= 0)
-        b->in_hand += n;
+    struct prefix_calls *b = rk_router_prefix_calls(r, job);
+    if (b && b->outstanding + n >= 0)
+        b->outstanding += n;
 }
 
 static struct org *find_org(struct rk_router *r, const char *name)
@@ -189,27 +198,27 @@
     for (size_t i = 0; i < r->orgs_len; i++) {
         if (!strcmp(r->orgs[i].name, name))
             return &r->orgs[i];
-        if (!r->orgs[i].in_hand && !idle)
+        if (!r->orgs[i].outstanding && !idle)
             idle = &r->orgs[i];
     }
     if (r->orgs_len < RK_ARRAY_LEN(r->orgs))
         idle = &r->orgs[r->orgs_len++];
     if (idle) {
-        idle->in_hand = 0;
+        idle->outstanding = 0;
         rk_strcpy(idle->name, sizeof(idle->name), name);
     }
     return idle;
 }
 
-/* ---- life of a job ---- */
+/* ---- lifecycle of a job ---- */
 
-static double slot_ms(const struct rk_job *job)
+static double expected_slot_ms(const struct rk_job *job)
 {
     const struct rk_policy *p = &job->svc->policy;
     if (!job->prompt)
         return job->svc->mean_ms;
     return (p->prefill_base_ms + p->token_ms * (double)job->max_tokens) *
-           job->svc->pace;
+           job->svc->slot_time_ratio;
 }
 
 static double total_limit(const struct rk_router *r, const struct rk_service *svc)
@@ -221,9 +230,9 @@
     return limit;
 }
 
-/* How long a job of this rank would wait for a slot. */
-static int64_t wait_ms(const struct rk_router *r, const struct rk_job *job,
-                       int64_t now_ms)
+/* Returns the expected wait for a slot, in ms, of a job of this rank. */
+static int64_t expected_wait_ms(const struct rk_router *r, const struct rk_job *job,
+                                int64_t now_ms)
 {
     double limit = 0, busy = 0;
     for (size_t i = 0; i < r->vms_len; i++) {
@@ -239,7 +248,7 @@
     double ahead = (double)rk_admit_ahead_ms(job->svc->queue, job->rank);
     if (busy + 1 <= limit && ahead <= 0)
         return 0;
-    /* The slots in use come free one after the other. */
+    /* The slots in use become free one after the other. */
     double free_ms = (limit - busy) * job->svc->mean_ms;
     double wait = ahead + job->svc->mean_ms - free_ms;
     return wait > 0 ? (int64_t)(wait / limit) : 0;
@@ -247,7 +256,7 @@
 
 static int64_t allowed_wait_ms(const struct rk_job *job, int64_t now_ms)
 {
-    int64_t slack = job->deadline_ms - now_ms - (int64_t)slot_ms(job);
+    int64_t slack = job->deadline_ms - now_ms - (int64_t)expected_slot_ms(job);
     return slack < job->queue_ms ? slack : job->queue_ms;
 }
 
@@ -259,7 +268,7 @@
         .deferrable = job->deferrable,
         .promote_ms = job->promote_ms,
         .deadline_ms = job->deadline_ms,
-        .cost_ms = (int64_t)slot_ms(job),
+        .cost_ms = (int64_t)expected_slot_ms(job),
     };
     rk_strcpy(job->waiter.org, sizeof(job->waiter.org), job->org);
 }
@@ -267,7 +276,7 @@
 enum rk_submit rk_router_submit(struct rk_router *r, struct rk_job *job,
                                 int64_t now_ms, int64_t *retry_after_ms)
 {
-    *retry_after_ms = MIN_RETRY_MS;
+    *retry_after_ms = MIN_RETRY_AFTER_MS;
     job->svc = find_service(r, job->service);
     if (!job->svc || !job->svc->used)
         return RK_SUBMIT_NO_SERVICE;
@@ -276,57 +285,61 @@
         return RK_SUBMIT_NO_VM;
     }
     struct org *org = find_org(r, job->org);
-    if (!org || org->in_hand >= job->org_max) {
-        *retry_after_ms = (int64_t)job->svc->mean_ms + MIN_RETRY_MS;
+    if (!org || org->outstanding >= job->org_max) {
+        *retry_after_ms = (int64_t)job->svc->mean_ms + MIN_RETRY_AFTER_MS;
         return RK_SUBMIT_ORG_FULL;
     }
-    int64_t wait = r->policy == RK_ROUTE_ADAPTIVE ? wait_ms(r, job, now_ms) : 0;
+    int64_t wait =
+        r->policy == RK_ROUTE_ADAPTIVE ? expected_wait_ms(r, job, now_ms) : 0;
     int64_t allowed = allowed_wait_ms(job, now_ms);
     if (!job->retry && wait > (allowed > 0 ? allowed : 0)) {
-        *retry_after_ms = wait - (allowed > 0 ? allowed : 0) + MIN_RETRY_MS;
+        *retry_after_ms = wait - (allowed > 0 ? allowed : 0) + MIN_RETRY_AFTER_MS;
         return RK_SUBMIT_REFUSED;
     }
-    org->in_hand++;
-    count_root(r, job, 1);
+    org->outstanding++;
+    add_outstanding(r, job, 1);
     fill_waiter(job);
     job->submitted_ms = now_ms;
     job->vm = -1;
-    job->first_seen = false;
+    job->first_byte_seen = false;
     rk_admit_push(job->svc->queue, &job->waiter);
     job->state = RK_JOB_QUEUED;
     return RK_SUBMIT_QUEUED;
 }
 
-static void send(struct rk_router *r, struct rk_job *job, int i, int64_t now_ms)
+static void dispatch(struct rk_router *r, struct rk_job *job, int i, int64_t now_ms)
 {
     struct vm *v = &r->vms[i];
     rk_admit_take(job->svc->queue, &job->waiter);
     job->state = RK_JOB_SENT;
     job->vm = i;
     job->sent_ms = now_ms;
-    job->first_seen = false;
+    job->first_byte_seen = false;
     v->in_flight++;
     job->svc->in_flight++;
     if (!job->prompt)
         return;
     if (r->policy != RK_ROUTE_ADAPTIVE)
-        rk_prefixes_match(r->prefixes, job->prompt, r->clocks, r->cache_tokens,
-                          r->cached, r->vms_len);
+        rk_prefixes_match(r->prefixes, job->prompt, r->prefilled_tokens,
+                          r->cache_tokens, r->cached, r->vms_len);
     uint32_t cached = job->prompt->blocks_len ? r->cached[i] : 0;
     job->uncached_tokens = job->prompt->tokens - cached;
-    r->clocks[i] += job->uncached_tokens;
-    rk_prefixes_insert(r->prefixes, job->prompt, (uint16_t)i, r->clocks[i]);
+    r->prefilled_tokens[i] += job->uncached_tokens;
+    rk_prefixes_insert(r->prefixes, job->prompt, (uint16_t)i,
+                       r->prefilled_tokens[i]);
 }
 
-static struct rk_job *job_of(struct rk_waiter *w)
+static struct rk_job *job_of_waiter(struct rk_waiter *w)
 {
     return (struct rk_job *)((char *)w - offsetof(struct rk_job, waiter));
 }
 
-/* Deferred work leaves room for what may come. */
-static bool may_defer(const struct rk_router *r, const struct rk_service *svc)
+/* Returns true if a deferrable call may be sent. Slots are kept free for urgent
+ * calls that may arrive. */
+static bool has_room_for_deferrable(const struct rk_router *r,
+                                    const struct rk_service *svc)
 {
-    return svc->in_flight < total_limit(r, svc) * DEFER_ROOM;
+    return svc->in_flight < total_limit(r, svc) * DEFERRABLE_MAX_SHARE;
 }
 
 struct rk_job *rk_router_next(struct rk_router *r, int64_t now_ms)
@@ -335,15 +348,16 @@
         struct rk_service *svc = &r->services[n];
         if (!rk_admit_len(svc->queue))
             continue;
-        bool defer = r->policy != RK_ROUTE_ADAPTIVE || may_defer(r, svc);
+        bool defer =
+            r->policy != RK_ROUTE_ADAPTIVE || has_room_for_deferrable(r, svc);
         struct rk_waiter *w = rk_admit_peek(svc->queue, defer, now_ms);
         if (!w)
             continue;
-        struct rk_job *job = job_of(w);
+        struct rk_job *job = job_of_waiter(w);
         int vm = rk_router_choose(r, job, now_ms);
         if (vm < 0)
             continue;
-        send(r, job, vm, now_ms);
+        dispatch(r, job, vm, now_ms);
         return job;
     }
     return NULL;
@@ -353,10 +367,11 @@
 {
     double slots = (double)v->svc->policy.slots;
     if (took_ms > v->svc->policy.target_first_ms) {
-        if (now_ms - v->cut_ms < LIMIT_CUT_EVERY_MS)
+        if (now_ms - v->limit_cut_ms < LIMIT_CUT_INTERVAL_MS)
             return;
-        v->cut_ms = now_ms;
-        v->limit = v->limit * LIMIT_CUT > 1 ? v->limit * LIMIT_CUT : 1;
+        v->limit_cut_ms = now_ms;
+        v->limit =
+            v->limit * LIMIT_CUT_FACTOR > 1 ? v->limit * LIMIT_CUT_FACTOR : 1;
     } else if (v->limit < slots) {
         v->limit =
             v->limit + 1 / v->limit < slots ? v->limit + 1 / v->limit : slots;
@@ -365,9 +380,9 @@
 
 void rk_router_first(struct rk_router *r, struct rk_job *job, int64_t now_ms)
 {
-    if (job->state != RK_JOB_SENT || job->first_seen)
+    if (job->state != RK_JOB_SENT || job->first_byte_seen)
         return;
-    job->first_seen = true;
+    job->first_byte_seen = true;
     struct vm *v = &r->vms[job->vm];
     int64_t took = now_ms - job->sent_ms;
     adapt_limit(v, took, now_ms);
@@ -379,33 +394,33 @@
                       p->prefill_token_ms * job->uncached_tokens + p->token_ms;
     double ratio = (double)took / expected;
     ratio = ratio < 0.5 ? 0.5 : ratio > 4 ? 4 : ratio;
-    v->slow += EWMA * (ratio - v->slow);
+    v->latency_ratio += EWMA_WEIGHT * (ratio - v->latency_ratio);
 }
 
 static void note_failure(struct vm *v, int64_t now_ms)
 {
     if (++v->failures < FAILURES_TO_PAUSE)
         return;
-    int64_t pause = PAUSE_MS;
+    int64_t pause = PAUSE_INITIAL_MS;
     for (int i = FAILURES_TO_PAUSE; i < v->failures && pause < PAUSE_MAX_MS; i++)
         pause *= 2;
     if (v->paused_until_ms < now_ms + pause)
         v->paused_until_ms = now_ms + pause;
 }
 
-static void learn_time(struct rk_job *job, double took_ms)
+static void update_slot_time(struct rk_job *job, double took_ms)
 {
     struct rk_service *svc = job->svc;
-    svc->mean_ms += EWMA * (took_ms - svc->mean_ms);
+    svc->mean_ms += EWMA_WEIGHT * (took_ms - svc->mean_ms);
     if (!job->prompt)
         return;
-    double ratio = took_ms * svc->pace / (slot_ms(job) + 1);
+    double ratio = took_ms * svc->slot_time_ratio / (expected_slot_ms(job) + 1);
     ratio = ratio < 0.2 ? 0.2 : ratio > 5 ? 5 : ratio;
-    svc->pace += EWMA * (ratio - svc->pace);
+    svc->slot_time_ratio += EWMA_WEIGHT * (ratio - svc->slot_time_ratio);
 }
 
-static void leave_vm(struct rk_router *r, struct rk_job *job, bool failed,
-                     int64_t now_ms)
+static void release_vm(struct rk_router *r, struct rk_job *job, bool failed,
+                       int64_t now_ms)
 {
     struct vm *v = &r->vms[job->vm];
     v->in_flight--;
@@ -413,7 +428,7 @@
     if (failed)
         note_failure(v, now_ms);
     else
-        learn_time(job, (double)(now_ms - job->sent_ms));
+        update_slot_time(job, (double)(now_ms - job->sent_ms));
     if (!v->in_flight && !v->present)
         v->used = false;
 }
@@ -424,13 +439,13 @@
     if (job->state == RK_JOB_NEW || job->state == RK_JOB_ENDED)
         return;
     if (job->state == RK_JOB_SENT)
-        leave_vm(r, job, failed, now_ms);
+        release_vm(r, job, failed, now_ms);
     else
         rk_admit_remove(job->svc->queue, &job->waiter);
     struct org *org = find_org(r, job->org);
-    if (org && org->in_hand)
-        org->in_hand--;
-    count_root(r, job, -1);
+    if (org && org->outstanding)
+        org->outstanding--;
+    add_outstanding(r, job, -1);
     job->state = RK_JOB_ENDED;
 }
 
@@ -447,10 +462,11 @@
     assert(job->state == RK_JOB_SENT);
     if (job->excluded_len < RK_MAX_EXCLUDED)
         job->excluded[job->excluded_len++] = job->vm;
-    leave_vm(r, job, true, now_ms);
+    release_vm(r, job, true, now_ms);
     job->retry = true;
     fill_waiter(job);
-    /* Its first wait is behind it: it goes at once, deferrable or not. */
+    /* It has waited in the queue once: it is sent at once, also if it is
+     * deferrable. */
     job->waiter.deferrable = false;
     rk_admit_push(job->svc->queue, &job->waiter);
     job->state = RK_JOB_QUEUED;
@@ -476,7 +492,7 @@
     for (size_t i = 0; i < r->vms_len; i++) {
         const struct vm *v = &r->vms[i];
         if (v->used && v->live && v->svc == job->svc &&
-            !rk_router_excluded(job, (int)i))
+            !rk_router_is_excluded(job, (int)i))
             return true;
     }
     return false;
@@ -513,7 +529,8 @@
 
 bool rk_router_in_time(const struct rk_job *job, int64_t now_ms)
 {
-    return now_ms + (int64_t)(slot_ms(job) * SURE_SHARE) < job->deadline_ms;
+    return now_ms + (int64_t)(expected_slot_ms(job) * MIN_TIME_SHARE) <
+           job->deadline_ms;
 }
 
 void rk_router_forgive(struct rk_job *job)
--- a/core/router.h
+++ b/core/router.h
@@ -1,12 +1,16 @@
-/* Where each call runs: admission, the choice of an upstream vm, and what this
- * node has learned from its own calls. A job is queued, dispatched when a vm
- * has room, and finished. Pure and single-threaded: one router per traffic
- * thread, fed with rows by control; time is passed in. No allocation per call.
+/* Admits calls, queues them, and chooses the upstream VM that each call is sent to.
+ * A job is submitted, dispatched when a VM has room, and ended. The router learns
+ * the speed of VMs from this node's own calls.
  *
- * The choice predicts the time to the first token at each vm: wait for a slot,
- * plus prefill of the tokens not cached there. A prefix is copied to one more
- * vm only when the calls in hand that share it need more slots than its holders
- * have (the copy pays for itself), or when nothing holds it. */
+ * Not thread-safe: each traffic thread has a router of its own, which gets its rows
+ * from the control thread. Does no I/O and reads no clock: times are passed in as
+ * now_ms. Doesn't allocate memory per call.
+ *
+ * The choice predicts the time to the first token at each VM: the wait for a
+ * slot plus the prefill of the tokens that are not cached there. A prefix is
+ * copied to one more VM only when the calls that share it need more slots than
+ * the VMs holding it have (only then is the copy worth its cost), or when no VM
+ * holds it. */
 #ifndef RK_CORE_ROUTER_H
 #define RK_CORE_ROUTER_H
 
@@ -19,111 +23,129 @@
 #include "core/members.h"
 #include "core/prefix.h"
 
-#define RK_ROUTER_MAX_VMS 512 /* of the node's own failure domain */
-#define RK_MAX_EXCLUDED   8
+#define RK_ROUTER_MAX_VMS 512 /* in the node's own failure domain */
+#define RK_MAX_EXCLUDED   8   /* VMs that a job can exclude */
 
+/* How the router chooses a VM. */
 enum rk_route_policy {
     RK_ROUTE_ADAPTIVE,
-    /* Baselines, to measure against: no admission, no limits. */
+    /* Baselines to measure against: without admission and limits. */
     RK_ROUTE_ROUND_ROBIN,
     RK_ROUTE_LEAST_LOADED,
     RK_ROUTE_STICKY,
 };
 
-/* A policy by its name: adaptive, round-robin, least-loaded, sticky. False: none
- * has it. */
+/* Stores the policy with the given name in *out: adaptive, round-robin,
+ * least-loaded or sticky. Returns false if there is none. */
 bool rk_route_policy_parse(const char *name, enum rk_route_policy *out);
 
 struct rk_router;
 
+/* State of a job. */
 enum rk_job_state { RK_JOB_NEW, RK_JOB_QUEUED, RK_JOB_SENT, RK_JOB_ENDED };
 
-/* One call as the router sees it. Embedded in the caller's struct, which fills
- * the first part before rk_router_submit(). */
+/* A call as the router sees it. It is embedded in a struct of the caller, which
+ * fills the first group of members before rk_router_submit() and keeps it until
+ * the job has ended. */
 struct rk_job {
     char service[RK_ID_MAX];
     char org[RK_ID_MAX];
+    /* Weight of the organisation, and its limit of queued and sent calls. */
     int64_t org_weight, org_max;
-    int rank;
+    int rank; /* priority class; 0 goes first */
     bool deferrable;
+    /* Time before the deadline at which a deferrable job is promoted, and the
+     * longest time in the queue. */
     int64_t promote_ms, queue_ms;
-    int64_t deadline_ms;           /* monotonic */
+    int64_t deadline_ms;           /* by the monotonic clock */
     struct rk_prompt *prompt;      /* NULL for plain services */
-    int64_t max_tokens;            /* tokens asked for; 0 for plain services */
-    int excluded[RK_MAX_EXCLUDED]; /* vm handles that failed this call */
+    int64_t max_tokens;            /* tokens requested; 0 for plain services */
+    int excluded[RK_MAX_EXCLUDED]; /* handles of VMs that failed this call */
     size_t excluded_len;
-    bool retry; /* admitted before: not refused for time again */
+    bool retry; /* was admitted before: not refused again for its expected wait */
     /* Set by the router. */
     struct rk_waiter waiter;
     enum rk_job_state state;
     struct rk_service *svc;
-    int vm; /* handle while sent */
-    uint32_t uncached_tokens;
+    int vm;                   /* handle of its VM while sent */
+    uint32_t uncached_tokens; /* prompt tokens to prefill at its VM */
     int64_t submitted_ms, sent_ms;
-    bool first_seen;
+    bool first_byte_seen;
 };
 
+/* Result of rk_router_submit(). */
 enum rk_submit {
     RK_SUBMIT_QUEUED,
-    RK_SUBMIT_REFUSED,    /* can't make its time: retry_after_ms */
-    RK_SUBMIT_ORG_FULL,   /* the organisation's limit */
-    RK_SUBMIT_NO_SERVICE, /* no such service */
-    RK_SUBMIT_NO_VM,      /* none live in this failure domain */
+    RK_SUBMIT_REFUSED,    /* the expected wait is too long; see retry_after_ms */
+    RK_SUBMIT_ORG_FULL,   /* the organisation has reached its limit of calls */
+    RK_SUBMIT_NO_SERVICE, /* there is no such service */
+    RK_SUBMIT_NO_VM,      /* no usable VM in this failure domain */
 };
 
+/* Creates a router without services and VMs. Never returns NULL. */
 struct rk_router *rk_router_create(uint64_t seed, enum rk_route_policy policy);
-void rk_router_destroy(struct rk_router *r); /* no jobs in hand */
+/* Frees the router, in which no jobs may be left; NULL is ignored. */
+void rk_router_destroy(struct rk_router *r);
 
-/* New rows or settings. vms of other failure domains are passed over. */
+/* Replaces the settings and the VM rows. VMs of other failure domains than
+ * domain are ignored. The arguments are copied. */
 void rk_router_update(struct rk_router *r, const struct rk_config *cfg,
                       const struct rk_vm *vms, size_t len, const char *domain,
                       int64_t now_ms);
 
-/* Entry nodes of the failure domain that serve, this one included: a balancer
- * spreads a prefix's calls over all of them (1 until told). */
+/* Sets the number of entry nodes that serve in the failure domain, this one
+ * included (initially 1). The calls of a prefix are assumed to be spread evenly
+ * over them. */
 void rk_router_set_nodes(struct rk_router *r, int nodes);
 
+/* Admits and queues a job. Unless it was queued, *retry_after_ms is the time after
+ * which the caller may try again, and the job needs no rk_router_end(). */
 enum rk_submit rk_router_submit(struct rk_router *r, struct rk_job *job,
                                 int64_t now_ms, int64_t *retry_after_ms);
 
-/* The next job to send, chosen and counted as sent; NULL when none can go. */
+/* Chooses the next job and its VM and counts the job as sent. Returns NULL if no
+ * job can be sent now. */
 struct rk_job *rk_router_next(struct rk_router *r, int64_t now_ms);
 
-/* The first token or answer byte came. */
+/* Records that the first token, or first byte of the answer, has arrived. */
 void rk_router_first(struct rk_router *r, struct rk_job *job, int64_t now_ms);
 
-/* The job is over or given up, in whatever state. failed: its vm could not be
- * reached or broke off (a few in a row keep new work away for a while). */
+/* Ends a job in whatever state it is. failed: its VM could not be reached or
+ * broke off. Several failures in a row pause the VM for new calls. */
 void rk_router_end(struct rk_router *r, struct rk_job *job, bool failed,
                    int64_t now_ms);
 
-/* The vm of a sent job wants nothing for so long. */
+/* Applies the cooldown that the VM of a sent job requested: no calls for
+ * rest_ms. */
 void rk_router_rest(struct rk_router *r, const struct rk_job *job, int64_t rest_ms,
                     int64_t now_ms);
 
-/* A sent job goes back to the queue, its vm excluded. */
+/* Queues a sent job again and excludes its VM. */
 void rk_router_retry(struct rk_router *r, struct rk_job *job, int64_t now_ms);
 
-/* About a vm handle; valid while a job is sent there. */
+/* Properties of a VM by its handle. They are valid while a job is sent there;
+ * the strings belong to the router. A VM counts as leaving when it is not live. */
 const char *rk_router_vm_addr(const struct rk_router *r, int vm);
 const char *rk_router_vm_id(const struct rk_router *r, int vm);
 bool rk_router_vm_leaving(const struct rk_router *r, int vm);
 
-/* Has a job's service a live vm that has not failed this job? */
+/* Returns true if the job's service has a live VM that has not failed this job. */
 bool rk_router_can_serve(const struct rk_router *r, const struct rk_job *job);
 
-/* Free slots of all services, as the node tells its peers. */
+/* Returns the number of free slots, as reported to peers: that of the service
+ * with the fewest. */
 uint32_t rk_router_spare(const struct rk_router *r);
 
-/* Can a job sent now still end by its deadline, by what calls took so far? Errs
- * towards yes. */
+/* Returns true if a job sent now can still end by its deadline, judged by the
+ * duration of past calls. When in doubt it returns true. */
 bool rk_router_in_time(const struct rk_job *job, int64_t now_ms);
 
-/* Jobs that wait. While there are any, rk_router_next() is to be called every
- * few tens of milliseconds: a pause ends, deferred work is promoted. */
+/* Returns the number of queued jobs. While it is not 0, rk_router_next() must be
+ * called every few tens of milliseconds, because pauses end and deferrable jobs
+ * are promoted without any other event. */
 size_t rk_router_waiting(const struct rk_router *r);
 
-/* Let a job go to vms that failed it before. */
+/* Clears the list of VMs that the job excludes. */
 void rk_router_forgive(struct rk_job *job);
 
 #endif
--- a/core/router_impl.h
+++ b/core/router_impl.h
@@ -1,51 +1,58 @@
-/* State of the router, shared by router.c (rows and the life of a job) and
- * choice.c (where a job goes). Not for others. */
+/* Internal state of the router, shared by router.c (rows and the lifecycle of
+ * jobs) and choice.c (choice of the VM). Not to be included by other files. */
 #ifndef RK_CORE_ROUTER_IMPL_H
 #define RK_CORE_ROUTER_IMPL_H
 
 #include "core/router.h"
 
 #define MAX_SERVICES 64
-#define ROOTS        1024 /* prefixes whose calls in hand are counted */
+/* Prefixes whose calls are counted. A prefix whose slot is taken is not counted. */
+#define PREFIX_COUNTERS 1024
 
+/* A VM of the failure domain. Its handle is its index in the router's vms. */
 struct vm {
     char id[RK_ID_MAX];
     char addr[RK_ADDR_MAX];
     uint64_t incarnation;
     struct rk_service *svc;
-    bool used;    /* the row is in use */
-    bool present; /* in the newest view */
+    bool used;    /* this slot is in use */
+    bool present; /* listed in the newest rows */
     bool live;
     int in_flight;
-    int others;        /* calls of other nodes, from its load row */
-    int64_t others_ms; /* when that was true */
+    int peer_calls;        /* calls of other nodes, by the VM's load row */
+    int64_t peer_calls_ms; /* time of that load row */
     uint64_t load_seq;
-    double limit; /* calls this node keeps there at most; adapts */
-    int64_t cut_ms;
-    int failures;
+    double limit;         /* most calls that this node keeps there; adapts */
+    int64_t limit_cut_ms; /* when limit was last reduced */
+    int failures;         /* failures in a row */
     int64_t paused_until_ms;
-    double slow; /* observed over predicted time to the first token */
+    /* Smoothed ratio of actual to expected time to the first token. */
+    double latency_ratio;
 };
 
+/* A service and its queue. */
 struct rk_service {
     struct rk_policy policy;
     struct rk_admit *queue;
     bool used;
     int live_vms;
     int in_flight;
-    double mean_ms; /* time in a slot */
-    double pace;    /* observed over expected time in a slot */
-    uint32_t turn;  /* round robin */
+    double mean_ms; /* smoothed time that a call occupies a slot */
+    /* Smoothed ratio of actual to expected time in a slot. */
+    double slot_time_ratio;
+    uint32_t round_robin_next; /* next slot for RK_ROUTE_ROUND_ROBIN */
 };
 
-struct root {
+/* Calls that share a prompt prefix. */
+struct prefix_calls {
     uint64_t hash;
-    int in_hand; /* queued or sent */
+    int outstanding; /* calls queued or sent */
 };
 
+/* Calls of an organisation. */
 struct org {
     char name[RK_ID_MAX];
-    int64_t in_hand;
+    int64_t outstanding; /* calls queued or sent */
 };
 
 struct rk_router {
@@ -57,24 +64,30 @@
     struct rk_service services[MAX_SERVICES];
     size_t services_len;
     struct rk_prefixes *prefixes;
-    uint64_t clocks[RK_ROUTER_MAX_VMS];       /* tokens prefilled at each vm */
-    uint64_t cache_tokens[RK_ROUTER_MAX_VMS]; /* size of its cache */
-    uint32_t cached[RK_ROUTER_MAX_VMS];       /* scratch of one choice */
-    struct root roots[ROOTS];
+    /* Tokens prefilled at each VM so far. */
+    uint64_t prefilled_tokens[RK_ROUTER_MAX_VMS];
+    uint64_t cache_tokens[RK_ROUTER_MAX_VMS]; /* cache size of each VM in tokens */
+    /* Cached tokens of the prompt at each VM; scratch of one choice. */
+    uint32_t cached[RK_ROUTER_MAX_VMS];
+    struct prefix_calls prefix_calls[PREFIX_COUNTERS];
     struct org orgs[1024];
     size_t orgs_len;
 };
 
-/* router.c: the count of a prefix's calls in hand; NULL when it isn't counted. */
-struct root *rk_router_root(struct rk_router *r, const struct rk_job *job);
+/* Returns the counter of calls with the prefix of the job, or NULL if it is not
+ * counted. In router.c. */
+struct prefix_calls *rk_router_prefix_calls(struct rk_router *r,
+                                            const struct rk_job *job);
 
-/* choice.c: the vm for a job, or -1 to let it wait. Fills r->cached for prompts. */
+/* Returns the VM for a job, or -1 if the job has to wait. Fills r->cached for
+ * prompts. In choice.c. */
 int rk_router_choose(struct rk_router *r, struct rk_job *job, int64_t now_ms);
 
-/* choice.c: calls at a vm, this node's and, as far as trusted, the others'. */
+/* Returns the calls at a VM: those of this node and, discounted by their age,
+ * those of the others. In choice.c. */
 double rk_router_load(const struct vm *v, int64_t now_ms);
 
-/* choice.c: did the vm fail this job? */
-bool rk_router_excluded(const struct rk_job *job, int vm);
+/* Returns true if the job excludes the VM. In choice.c. */
+bool rk_router_is_excluded(const struct rk_job *job, int vm);
 
 #endif
