--- a/core/rank.h
+++ b/core/rank.h
@@ -1,16 +1,18 @@
-/* The rank of a call at its engine, which admits lower ranks first: what the call
- * is promised, and a step more for each thousand or so prompt tokens that it makes
- * the engine read. Shortest job first (Conway, Maxwell, Miller, "Theory of
- * Scheduling", 1967, ch. 8) within the promises: a long prompt keeps the short ones
- * behind it waiting for longer than they may, and hardly notices when they pass.
- * Pure. */
+/* Computes the scheduling rank of a call at its engine, which admits lower ranks
+ * first. The rank is the one promised to the caller, plus one for each 1,500
+ * prompt tokens that the engine has to read for the call. This is shortest job
+ * first (Conway, Maxwell, Miller, "Theory of Scheduling", 1967, ch. 8) within
+ * the promised ranks: a long prompt would delay short calls behind it for longer
+ * than is acceptable, while it is hardly delayed when they overtake it. No I/O,
+ * no state. */
 #ifndef RK_CORE_RANK_H
 #define RK_CORE_RANK_H
 
-#define RK_RANK_LAST 9 /* the least urgent that engines know */
+#define RK_RANK_LAST 9 /* least urgent rank that engines support */
 
-/* promised: of the call's organisation or route, 0 first. unread_tokens: of its
- * prompt, that aren't cached at the engine. */
+/* Returns a rank from 0, the most urgent, to RK_RANK_LAST. promised: rank of the
+ * call's organisation or route. unread_tokens: prompt tokens that are not cached
+ * at the engine. */
 int rk_rank(int promised, double unread_tokens);
 
 #endif
--- a/core/shards.c
+++ b/core/shards.c
@@ -21,7 +21,7 @@
     return (uint32_t)(h % shards);
 }
 
-static int serves(const struct rk_member *row)
+static int is_serving(const struct rk_member *row)
 {
     return row->state != RK_MEMBER_DEAD && !row->leaving;
 }
@@ -33,7 +33,7 @@
     for (size_t i = 0; i < rk_members_count(m); i++) {
         const struct rk_member *row = rk_members_at(m, i);
         uint64_t w = rk_rendezvous(shard, row->domain);
-        if (serves(row) && w > best) {
+        if (is_serving(row) && w > best) {
             best = w;
             domain = row->domain;
         }
@@ -42,7 +42,7 @@
     best = 0;
     for (size_t i = 0; i < rk_members_count(m); i++) {
         const struct rk_member *row = rk_members_at(m, i);
-        if (!serves(row) || strcmp(row->domain, domain) != 0)
+        if (!is_serving(row) || strcmp(row->domain, domain) != 0)
             continue;
         uint64_t w = rk_rendezvous(shard, row->id);
         if (w > best) {
--- a/core/shards.h
+++ b/core/shards.h
@@ -1,6 +1,8 @@
-/* Who answers for a shard of idempotency keys: first a failure domain, then a
- * node in it, each by rendezvous hashing over those alive. So only the keys of
- * a lost node or domain move, and no node needs another domain's rows. */
+/* Maps idempotency keys to shards, and shards to the nodes that own them. A
+ * shard belongs to a failure domain and, within it, to a node, both chosen by
+ * rendezvous hashing over the nodes that are neither dead nor leaving. When a node
+ * or a domain is lost, only its keys move, and no node needs the rows of another
+ * domain. */
 #ifndef RK_CORE_SHARDS_H
 #define RK_CORE_SHARDS_H
 
@@ -9,16 +11,18 @@
 
 struct rk_members;
 
-/* Shard of a key; scope is organisation and service, so keys don't collide. */
+/* Returns the shard of a key, in [0, shards). Organisation and service are
+ * hashed with the key, so that equal keys of different callers don't collide. */
 uint32_t rk_shard_of(const char *organisation, const char *service, const char *key,
                      uint32_t shards);
 
-/* Index in rk_members of the node that owns the shard, or, when the shard is
- * another domain's, of the node there to hand a call to. Never fails: this node
- * is always alive to itself. */
+/* Returns the index in rk_members of the node that owns the shard, or, if
+ * another domain owns it, of the node in that domain to forward a call to.
+ * Always succeeds, because this node is always alive to itself. */
 size_t rk_shard_owner(const struct rk_members *m, uint32_t shard);
 
-/* Rendezvous weight of a name for a number. */
+/* Returns the rendezvous hashing weight of a name for a number: of the
+ * candidates, the one with the highest weight is chosen. */
 uint64_t rk_rendezvous(uint64_t number, const char *name);
 
 #endif
