--- a/core/following.h
+++ b/core/following.h
@@ -1,42 +1,49 @@
-/* Which nodes follow the store: the first of a failure domain always, any other
- * when nobody has confirmed to it for a while that what it knows is the newest,
- * those that come first sooner. So few ask the store, and news find a way when
- * those are killed, frozen or turned away. Pure. */
+/* Decides whether a node watches the store. The first node of a failure domain
+ * always does. Any other node does when its settings and list of VMs were not
+ * confirmed as current for a while; the nodes that come first in the domain's order
+ * start sooner. This way few nodes load the store, and changes still arrive when
+ * those nodes are killed, frozen or refused by the store. No I/O. */
 #ifndef RK_CORE_FOLLOWING_H
 #define RK_CORE_FOLLOWING_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RK_FOLLOWING_TICK_MS 250 /* between decisions */
-/* A watch of the store ends after so long without news, and confirms the rest. It
- * must be noticed within the time in which nodes stay in touch if it hangs; and an
- * answer a watch and a report ago must not look like a store that was away for as
- * long as entries need to lapse, 2.4 s: with watches of 2.5 s it did, in 1 of 3
- * runs of a test beside others. */
+/* Interval between two decisions. */
+#define RK_FOLLOWING_TICK_MS 250
+/* A watch of the store ends after this time without a change, which confirms
+ * that there was none. A watch that hangs must be noticed within the time in
+ * which nodes detect lost peers. And an answer that is one watch and one report
+ * old must not look like a store that was unavailable for as long as list
+ * entries need to expire, 2.4 s: with watches of 2.5 s it did in 1 of 3 runs of
+ * a test that ran beside others. */
 #define RK_FOLLOWING_WATCH_MS 1400
-/* What is not confirmed for so long is followed here: a watch and the way of its
- * news are shorter. */
-#define RK_FOLLOWING_STALE_MS   1950
-#define RK_FOLLOWING_STAGGER_MS 100 /* more for each node that comes before */
+/* A node starts to watch when its knowledge was not confirmed for so long. A
+ * watch plus the transfer of its result to peers takes less. */
+#define RK_FOLLOWING_STALE_MS 1950
+/* Additional time for each node that ranks before it. */
+#define RK_FOLLOWING_STAGGER_MS 100
 
-/* What a node knows when it decides. */
+/* State of a node on which the decision is based. */
 struct rk_following {
-    bool first_start; /* the deployment starts, nothing runs yet */
-    int64_t up_ms;    /* since this node's start */
-    bool listed;      /* it knows who the other nodes are */
-    bool ready;       /* it has settings and vms */
-    bool waits;       /* it comes back, and others read the store first */
-    int before;       /* nodes that should follow first; below 0: it always does */
-    bool follows;     /* it follows the store now */
-    bool served;      /* one of those does, and the store answers it */
-    int64_t age_ms;   /* since what it knows was confirmed; below 0: never was */
+    bool first_start; /* first start of the deployment: nothing runs yet */
+    int64_t up_ms;    /* time since this node's start */
+    bool listed;      /* knows which other nodes exist */
+    bool ready;       /* has settings and the list of VMs */
+    bool waits;       /* restarts, and other nodes read the store before it */
+    int before;     /* nodes with precedence over it; below 0: it always watches */
+    bool follows;   /* watches the store now */
+    bool served;    /* one of those watches the store and gets answers */
+    int64_t age_ms; /* time since its knowledge was confirmed; below 0: never */
 };
 
-/* Who follows because nobody told it anything goes on until one that comes first
- * hears the store: what it hears itself makes all it knows look fresh. When it
- * stopped by that, a domain of 9 whose first two nodes the store turned away got no
- * news in 0.44 of the time, and in 0.00 since (tests/prop_following.cc). */
+/* Returns true if the node should watch the store.
+ *
+ * A node that watches because it received no updates continues until a node that
+ * ranks before it gets answers from the store. The node's own watch makes its
+ * knowledge look current, so it must not stop for that. When it did, a domain of
+ * 9 nodes, the first two of which the store refused, got no changes for 0.44 of
+ * the time; now it is 0.00 of the time (tests/prop_following.cc). */
 bool rk_following_should(const struct rk_following *f);
 
 #endif
--- a/core/send_budget.c
+++ b/core/send_budget.c
@@ -1,55 +1,63 @@
 #include "core/send_budget.h"
 
-#define FIRST       (1024 * 1024) /* bytes of the first round: 0.4 s of 20 Mbit/s */
-#define MOST        (64 * 1024 * 1024)
-#define LEAST       (64 * 1024)
-#define GROWTH      2
-#define SLOW_GROWTH 1.25
-#define KEPT_SHARE  0.8 /* of what was carried: others use the link, too */
-/* Some peers that take nothing are no sign of a narrow link. */
-#define WAITING_PART 4            /* of the last round */
-#define WAITING_MIN  (128 * 1024) /* bytes: 0.1 s of a link of 10 Mbit/s */
+#define INITIAL_ROUND_BYTES (1024 * 1024) /* 0.4 s of 20 Mbit/s */
+#define MAX_ROUND_BYTES     (64 * 1024 * 1024)
+#define MIN_ROUND_BYTES     (64 * 1024)
+#define GROWTH              2
+#define SLOW_GROWTH         1.25
+/* Share of the carried bytes that the next round may take: others use the link,
+ * too. */
+#define CARRIED_SHARE 0.8
+/* The link counts as congested if more than 1 / WAITING_DIVISOR of the last round
+ * and more than WAITING_MIN_BYTES wait. Less may be due to a few peers that accept
+ * no data. */
+#define WAITING_DIVISOR   4
+#define WAITING_MIN_BYTES (128 * 1024) /* 0.1 s of 10 Mbit/s */
 
-static bool was_too_much(const struct rk_send_budget *b, size_t waiting)
+static bool is_congested(const struct rk_send_budget *b, size_t waiting_bytes)
 {
-    return waiting > WAITING_MIN && waiting > b->sent / WAITING_PART;
+    return waiting_bytes > WAITING_MIN_BYTES &&
+           waiting_bytes > b->sent_bytes / WAITING_DIVISOR;
 }
 
-static void shrink(struct rk_send_budget *b, size_t waiting)
+static void shrink(struct rk_send_budget *b, size_t waiting_bytes)
 {
-    size_t carried = b->before + b->sent - waiting;
-    size_t kept = (size_t)((double)carried * KEPT_SHARE);
-    if (carried < LEAST)
-        return; /* it stands still, which says nothing of its width */
+    size_t carried = b->waiting_before + b->sent_bytes - waiting_bytes;
+    size_t budget = (size_t)((double)carried * CARRIED_SHARE);
+    if (carried < MIN_ROUND_BYTES)
+        return; /* the link is stalled, which shows nothing of its width */
     b->narrow = true;
-    if (kept < b->round)
-        b->round = kept > LEAST ? kept : LEAST;
+    if (budget < b->round_bytes)
+        b->round_bytes = budget > MIN_ROUND_BYTES ? budget : MIN_ROUND_BYTES;
 }
 
-/* Only a round that was used up shows that there is room for more. */
+/* Only a round that used at least half of its budget shows that there is room
+ * for more. */
 static void grow(struct rk_send_budget *b)
 {
-    if (b->sent < b->round / 2)
+    if (b->sent_bytes < b->round_bytes / 2)
         return;
-    b->round = (size_t)((double)b->round * (b->narrow ? SLOW_GROWTH : GROWTH));
-    if (b->round > MOST)
-        b->round = MOST;
+    b->round_bytes =
+        (size_t)((double)b->round_bytes * (b->narrow ? SLOW_GROWTH : GROWTH));
+    if (b->round_bytes > MAX_ROUND_BYTES)
+        b->round_bytes = MAX_ROUND_BYTES;
 }
 
-size_t rk_send_budget_begin(struct rk_send_budget *b, size_t waiting)
+size_t rk_send_budget_begin(struct rk_send_budget *b, size_t waiting_bytes)
 {
-    if (!b->round)
-        b->round = FIRST;
-    else if (was_too_much(b, waiting) && waiting <= b->before + b->sent)
-        shrink(b, waiting);
+    if (!b->round_bytes)
+        b->round_bytes = INITIAL_ROUND_BYTES;
+    else if (is_congested(b, waiting_bytes) &&
+             waiting_bytes <= b->waiting_before + b->sent_bytes)
+        shrink(b, waiting_bytes);
     else
         grow(b);
-    b->before = waiting;
-    b->sent = 0;
-    return b->round > waiting ? b->round - waiting : 0;
+    b->waiting_before = waiting_bytes;
+    b->sent_bytes = 0;
+    return b->round_bytes > waiting_bytes ? b->round_bytes - waiting_bytes : 0;
 }
 
 void rk_send_budget_note(struct rk_send_budget *b, size_t len)
 {
-    b->sent += len;
+    b->sent_bytes += len;
 }
--- a/core/send_budget.h
+++ b/core/send_budget.h
@@ -1,25 +1,26 @@
-/* How many bytes a node may send to its peers in a round, by what its link carried
- * of the rounds before: on a link that is too narrow for all, what waits stays
- * short, so that heartbeats behind it come in time. It grows as long as nothing
- * waits, doubling until it was too much once, and by a quarter after that. Pure. */
+/* Limits the bytes that a node sends to its peers in a round, by what its link
+ * carried in earlier rounds. On a link that is too narrow for everything, this
+ * keeps the send queue short, so that heartbeats queued behind it arrive in
+ * time. The budget grows as long as nothing waits: it doubles until it was too
+ * much for the first time, and grows by a quarter from then on. No I/O. */
 #ifndef RK_CORE_SEND_BUDGET_H
 #define RK_CORE_SEND_BUDGET_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Zeroed: nothing was sent yet. */
+/* State of the limiter. Zeroed: nothing was sent yet. */
 struct rk_send_budget {
-    size_t round;  /* bytes that a round may take */
-    size_t sent;   /* in the last round */
-    size_t before; /* that waited when it began */
-    bool narrow;   /* it was too much once */
+    size_t round_bytes;    /* bytes that a round may take */
+    size_t sent_bytes;     /* bytes sent in the last round */
+    size_t waiting_before; /* bytes that waited when that round began */
+    bool narrow;           /* a round was too much for the link at least once */
 };
 
-/* A round begins while so many bytes of earlier ones wait on this machine; bytes
- * that may be sent in it. */
-size_t rk_send_budget_begin(struct rk_send_budget *b, size_t waiting);
-/* So many were sent in the round. */
+/* Begins a round. waiting_bytes: bytes of earlier rounds that still wait on this
+ * machine. Returns the bytes that may be sent in the round. */
+size_t rk_send_budget_begin(struct rk_send_budget *b, size_t waiting_bytes);
+/* Records that len bytes were sent in the round. */
 void rk_send_budget_note(struct rk_send_budget *b, size_t len);
 
 #endif
