--- a/core/vm_signals.h
+++ b/core/vm_signals.h
@@ -1,7 +1,11 @@
-/* What VMs say of themselves in their answers, kept for each life of a VM: how many
- * requests a second they take from all nodes together, that they leave, and that
- * they want nothing from this node for a while. It outlasts the list of VMs, which
- * lags behind and loses entries while the platform's store is away. Pure. */
+/* Signals that VMs advertise in their answers, kept per incarnation of a VM: the
+ * request rate that they accept from all nodes together, that they are leaving, and
+ * a cooldown requested of this node. They are kept independently of the list of
+ * VMs, which lags behind and loses entries while the platform's store is
+ * unavailable.
+ *
+ * The nodes that share a limit are its senders. Each sends at an even interval.
+ * Does no I/O and reads no clock. */
 #ifndef RK_CORE_VM_SIGNALS_H
 #define RK_CORE_VM_SIGNALS_H
 
@@ -11,87 +15,99 @@
 
 #include "common/util.h"
 
-#define RK_VM_SIGNALS_MAX 16384 /* rows */
+/* Most incarnations that a table holds. */
+#define RK_VM_SIGNALS_MAX 16384
 
-/* What one answer says. */
+/* Signals of one answer. */
 struct rk_vm_said {
     bool limited;
-    double limit_per_s; /* requests, 0 or more; if limited */
-    bool unlimited;     /* it is the VM's answer, and names no limit */
+    double limit_per_s; /* requests per second, 0 or more; valid if limited */
+    bool unlimited;     /* the answer is the VM's own and names no limit */
     bool leaving;
-    int64_t rest_ms; /* 0: none is asked for */
+    int64_t rest_ms; /* requested cooldown; 0: none */
 };
 
-/* All that is known of one life of a VM. */
+/* All signals known of one incarnation of a VM. */
 struct rk_vm_signal {
-    uint64_t life; /* rk_vm_life() */
+    uint64_t life; /* hash of the VM's id and incarnation */
     char domain[RK_ID_MAX];
-    int64_t heard_ms; /* anything, here or by a peer, last */
+    int64_t heard_ms; /* when a signal was last received, here or by a peer */
     bool limited;
     double limit_per_s;
-    int64_t limit_ms; /* when the VM gave the answer that decides; 0: none did */
+    int64_t limit_ms; /* time of the answer that set the limit; 0: there was none */
     bool leaving;
-    int64_t rest_until_ms; /* of this node alone; 0: never asked for */
-    /* Of this node's copy: */
-    bool own;           /* what changed last was heard here, not told by a peer */
-    int64_t changed_ms; /* when it came to say something else */
-    /* Nodes that share the limit, this one among them; 0: this one has no part in
-     * it; RK_SENDERS_UNKNOWN: it wasn't told yet. */
+    int64_t rest_until_ms; /* end of the cooldown of this node; 0: there was none */
+    /* The members below are of this node's copy only. */
+    bool own; /* the last change came from the VM itself, not from a peer */
+    int64_t changed_ms; /* when a signal last changed */
+    /* Number of nodes that share the limit, this one included. 0: this node has
+     * no share. RK_SENDERS_UNKNOWN: not assigned yet. */
     int senders;
-    int64_t part_from_ms; /* since when this node has its part */
-    int64_t sent_ms;      /* its last request; 0: none */
+    int64_t share_from_ms; /* since when this node has its share */
+    int64_t sent_ms;       /* last request of this node; 0: none */
 };
 
+/* Value of rk_vm_signal's senders before a share was assigned. */
 #define RK_SENDERS_UNKNOWN (-1)
 
+/* Table of signals; zeroed: empty. */
 struct rk_vm_signals {
-    struct lh_table *by_life; /* of struct rk_vm_signal; NULL: empty */
+    struct lh_table *by_life; /* owned struct rk_vm_signal; NULL: empty */
 };
 
-/* Bits of what changed by an answer. */
+/* Bits that say which signals an answer or a merge changed. */
 enum {
     RK_VM_LIMIT_CHANGED = 1,
     RK_VM_LEAVING_CHANGED = 2,
     RK_VM_REST_CHANGED = 4,
 };
 
-/* NULL: nothing is known of it. Valid until rk_vm_signals_forget(). */
+/* Returns the record of an incarnation, or NULL if there is none. The table owns
+ * it; it is valid until rk_vm_signals_forget() or rk_vm_signals_free(). */
 struct rk_vm_signal *rk_vm_signals_find(const struct rk_vm_signals *s,
                                         uint64_t life);
-/* The row of a life, made if need be; NULL: there is no room for it. */
+/* Returns the record of an incarnation, which is created if needed. Returns NULL
+ * if the table is full, or the hash can't be a key. Ownership as above. */
 struct rk_vm_signal *rk_vm_signals_at(struct rk_vm_signals *s, uint64_t life,
                                       const char *domain, int64_t now_ms);
-/* How many nodes share a VM's limit, this one among them, of this one and others
- * that might, by hashes of their ids; 0: this one doesn't. Nodes that know the same
- * others agree. Each that shares it sends at an even pace, so that all of them
- * together exceed it by one request each at the most. They are a few more than
- * requests a second. */
+/* Returns the number of nodes that share the VM's limit, or 0 if this node is
+ * not one of them. own is the hash of this node's id, others the hashes of the
+ * other nodes that may be chosen. Nodes that know the same set agree on the
+ * result. There are a few more senders than requests per second, each of which
+ * sends at an even interval, so that all together exceed the limit by at most
+ * one request each. */
 int rk_vm_limit_part(const struct rk_vm_signal *v, uint64_t own,
                      const uint64_t *others, size_t len);
-/* Of the nodes that share its limit, this one included; 0: it isn't one of them. */
+/* Sets the number of nodes that share the limit, this one included; 0: this one
+ * has no share. */
 void rk_vm_signal_set_senders(struct rk_vm_signal *v, int senders, int64_t now_ms);
-/* Does the VM get nothing at all from this node, for as long as it says the same?
- */
+/* Returns true if this node may send the VM nothing as long as its signals and
+ * shares stay the same. */
 bool rk_vm_signal_bars(const struct rk_vm_signal *v);
-/* Until this node, or where it has no part in a limit another one, may send a
- * request; 0: it may now. */
+/* Returns the time in ms until this node may send a request, or, if it has no
+ * share in the limit, until another node may. Returns 0 if this node may send
+ * now. */
 int64_t rk_vm_signal_wait_ms(const struct rk_vm_signal *v, int64_t now_ms);
-/* This node sends a request now. */
+/* Records that this node sends a request now. */
 void rk_vm_signal_sent(struct rk_vm_signal *v, int64_t now_ms);
-/* Was nothing heard of its limit for so long that it may be over? Its next request
- * had better go there. */
+/* Returns true if the limit was not confirmed for so long that it may be lifted.
+ * The next request should go to this VM to find out. */
 bool rk_vm_signal_is_stale(const struct rk_vm_signal *v, int64_t now_ms);
 
-/* What a peer, or another thread of this node, knows of a life, by this node's
- * clock: the later answer decides on the limit. Returns what changed. */
-unsigned rk_vm_signal_merge(struct rk_vm_signal *v, const struct rk_vm_signal *told,
-                            int64_t now_ms);
-/* An answer that came now. Returns what changed. */
-unsigned rk_vm_signal_hear(struct rk_vm_signal *v, const struct rk_vm_said *said,
-                           int64_t now_ms);
-/* Drop those that nothing was heard of for long. */
+/* Merges what a peer, or another thread of this node, knows of the incarnation.
+ * Its times are by this node's clock. The later answer decides on the limit.
+ * Returns RK_VM_..._CHANGED bits. */
+unsigned rk_vm_signal_merge(struct rk_vm_signal *v,
+                            const struct rk_vm_signal *reported, int64_t now_ms);
+/* Applies the signals of an answer that has just arrived. Returns
+ * RK_VM_..._CHANGED bits. */
+unsigned rk_vm_signal_hear(struct rk_vm_signal *v,
+                           const struct rk_vm_said *advertised, int64_t now_ms);
+/* Removes records for which no signal was received for long. */
 void rk_vm_signals_forget(struct rk_vm_signals *s, int64_t now_ms);
+/* Returns the number of records. */
 size_t rk_vm_signals_len(const struct rk_vm_signals *s);
+/* Frees all records and leaves the table empty. */
 void rk_vm_signals_free(struct rk_vm_signals *s);
 
 #endif
