--- a/core/place.h
+++ b/core/place.h
@@ -1,6 +1,10 @@
-/* Where a routed call runs: the upstream vms of the fleet, what is in hand at
- * each by this node and by its peers, and the choice by predicted time to the
- * first byte. Deterministic but for the seed; one thread's. */
+/* Placement: chooses the upstream VM for each call. It keeps the list of VMs, the
+ * calls that this node and its peers have in flight at each, the VMs' health and
+ * signals, and rollouts. A call goes to the VM with the lowest cost, which is the
+ * predicted time to the first byte plus penalties.
+ *
+ * Not thread-safe: one thread owns a struct rk_place. Deterministic for a given
+ * seed. Times are in ms of the caller's clock, which is passed in as now_ms. */
 #ifndef RK_CORE_PLACE_H
 #define RK_CORE_PLACE_H
 
@@ -13,236 +17,275 @@
 #include "core/speeds.h"
 #include "core/vm_signals.h"
 
-#define RK_PLACE_PARTS    16
-#define RK_PLACE_EXCLUDED 4
+/* Most prompt segments of a query, and most VMs that it can exclude. */
+#define RK_PLACE_MAX_SEGMENTS 16
+#define RK_PLACE_EXCLUDED     4
 
-/* A vm as the platform's list tells it. */
+/* A VM as listed by the platform. */
 struct rk_vm_row {
     char id[RK_ID_MAX];
-    int64_t
-        born_ms; /* when this life of it was started, by its clock; 0: not told */
+    int64_t born_ms; /* start of this incarnation by the VM's clock; 0: unknown */
     char addr[RK_ADDR_MAX];
     char service[RK_ID_MAX];
     char domain[RK_ID_MAX];
     int64_t slots;
     bool leaving;
     bool reclaimable;
-    int64_t leaves_in_ms;          /* of a leaving one, -1: not told */
-    char version[RK_VERSION_TEXT]; /* of its software */
-    int64_t cold_ms; /* it is slow for so long after its start, when it was told */
-    bool barred;     /* of a version that nobody ordered, as far as is known */
+    /* For a leaving VM: time until it leaves; -1: unknown. */
+    int64_t leaves_in_ms;
+    char version[RK_VERSION_TEXT]; /* version of its software */
+    int64_t cold_ms; /* how long it stays slow after its start; 0: not stated */
+    /* Gets no calls: nobody ordered its version, as far as known. */
+    bool barred;
 };
 
-/* What nodes have in hand at a vm, and how it served them. */
+/* Calls that a node has in flight at a VM, and the VM's health as that node sees
+ * it. */
 struct rk_vm_load {
     char id[RK_ID_MAX];
-    uint32_t life; /* of rk_vm_life(); 0: not told */
+    uint32_t life; /* hash of the incarnation; 0: unknown */
     uint32_t running;
-    double waiting_tokens; /* of prompts not begun */
-    struct rk_pace pace;   /* as it counts when this is told */
+    double waiting_tokens; /* unread prompt tokens of calls without a first token */
+    struct rk_pace pace;   /* decayed to the time of the report */
 };
 
-/* One vm. Readable for all, written by place.c. */
+/* State of a VM. Other files may read it; only the placement writes it. */
 struct rk_place_vm {
     struct rk_vm_row row;
     struct rk_place_vm *next;
-    struct rk_place_vm *next_busy;
-    bool is_busy;
-    uint64_t hash;
+    struct rk_place_vm *next_active;
+    bool is_active;
+    uint64_t hash; /* of the id and the incarnation */
     uint32_t service_hash;
-    struct rk_vm_signal *signal; /* what it says of itself; NULL: nothing yet */
-    bool listed;
-    bool over; /* it was started again since: kept for the calls in hand */
-    int calls; /* of this node, in hand: kept until none is left */
+    struct rk_vm_signal *signal; /* what the VM advertises; NULL: nothing so far */
+    bool listed;                 /* on the platform's list */
+    bool over; /* the VM was restarted; kept only for calls still in flight */
+    int calls; /* calls of this node in flight; the record is kept until 0 */
     int running;
-    int unbegun; /* of these, the ones without a first byte */
-    double waiting_tokens;
-    uint32_t peers_running;
+    int awaiting_first_byte; /* calls in running that have no first byte yet */
+    double waiting_tokens;   /* unread prompt tokens of this node's calls */
+    uint32_t peers_running;  /* calls of the peers in flight */
     double peers_waiting_tokens;
-    int failures; /* in a row */
+    int failures; /* failures in a row */
     int64_t paused_until_ms;
-    struct rk_speed *speed;          /* of its service */
-    struct rk_pace pace, peers_pace; /* as this node's calls, as its peers' show */
-    const struct rk_place_rollout *rollout; /* of its service; NULL: none */
-    int64_t left_ms;      /* when it was told to leave; 0: it wasn't */
-    bool is_new;          /* of the version that the roll-out is to */
-    bool gets_new;        /* it is among those that try it now */
-    int64_t warm_from_ms; /* it is slow until then */
+    struct rk_speed *speed; /* speed of its service; not owned */
+    /* Health as seen by calls of this node, and as reported by peers. */
+    struct rk_pace pace, peers_health;
+    const struct rk_place_rollout *rollout; /* rollout of its service; NULL: none */
+    int64_t left_ms; /* when its leaving became known; 0: it isn't leaving */
+    bool is_new;     /* runs the rollout's new version */
+    /* Among the new VMs that get calls of the rollout now. */
+    bool gets_rollout_calls;
+    int64_t cold_until_ms; /* its calls don't count in the rollout until then */
 };
 
-/* A roll-out as this node goes by it, and what its calls showed. */
+/* A rollout as this node applies it, and statistics of its calls. */
 struct rk_place_rollout {
-    struct rk_rollout_rule rule; /* without a service: free */
-    bool is_fresh; /* the rule was told lately; else nothing new is tried */
+    struct rk_rollout_rule rule; /* unused if it has no service */
+    /* Announced recently; otherwise no call uses a version that is limited to a
+     * share of the calls. */
+    bool is_fresh;
     struct rk_trial_rows seen;
 };
 
-struct rk_place_part {
-    uint64_t chain; /* hash of this part and all before it */
+/* A segment of a prompt. */
+struct rk_place_segment {
+    uint64_t prefix_hash; /* hash of this segment and all before it */
     uint32_t tokens;
 };
 
-/* A call to place. */
+/* A call that needs a VM. */
 struct rk_place_query {
     const char *service;
-    bool engine;
-    struct rk_place_part parts[RK_PLACE_PARTS];
-    size_t parts_len;
-    double tokens_in;
-    uint64_t request;  /* a hash: spreads calls that share little */
-    const char *route; /* its name; valid as long as the call */
-    bool tries;        /* it goes to a new version where there is one */
-    uint64_t excluded[RK_PLACE_EXCLUDED]; /* hashes of vms that failed it */
+    bool engine; /* calls an engine, not a plain service */
+    struct rk_place_segment segments[RK_PLACE_MAX_SEGMENTS];
+    size_t segments_len;
+    double tokens_in;  /* tokens of the whole prompt */
+    uint64_t request;  /* hash of the request; spreads calls that share little */
+    const char *route; /* name of the route; must stay valid until the call ends */
+    bool tries;        /* uses the new version of a service in rollout */
+    /* Hashes of the VMs that failed the call. */
+    uint64_t excluded[RK_PLACE_EXCLUDED];
     size_t excluded_len;
 };
 
-/* Is it another life of the same vm? */
+/* Returns true if now is a later incarnation of the VM than before. */
 bool rk_vm_is_reborn(const struct rk_vm_row *before, const struct rk_vm_row *now);
-/* A hash that tells its lives apart. */
+/* Returns a hash of the VM's id and incarnation. */
 uint64_t rk_vm_life(const struct rk_vm_row *row);
 
 struct rk_place;
 
+/* Creates the placement of a node in the failure domain; seed: of the random part
+ * of the costs. Never returns NULL; free with rk_place_destroy(). */
 struct rk_place *rk_place_create(const char *domain, uint64_t seed);
+/* Frees the placement and all records that belong to it. */
 void rk_place_destroy(struct rk_place *p);
 
-/* The list as it stands now. */
+/* Replaces the list of VMs. The rows are copied. VMs that are missing from it
+ * get no new calls; their records are freed when their last call ends. */
 void rk_place_set_vms(struct rk_place *p, const struct rk_vm_row *rows, size_t len,
                       int64_t now_ms);
-/* What changed of it: vms by their ids that are off it, then rows that are new or
- * other than before. Costs by what changed. */
+/* Applies changes to the list of VMs: gone holds the ids of VMs that were
+ * removed, rows those that were added or changed. Unlike rk_place_set_vms(), the
+ * cost grows with the number of changes. */
 void rk_place_change_vms(struct rk_place *p, const struct rk_vm_row *rows,
                          size_t len, const char (*gone)[RK_ID_MAX], size_t gone_len,
                          int64_t now_ms);
-/* Roll-outs as they stand now. What calls showed of one that goes on is kept. */
+/* Replaces the rollout rules. Statistics of rollouts that continue are kept.
+ * is_fresh: the rules were announced recently. Rules beyond the first RK_ROLLOUTS
+ * are ignored. */
 void rk_place_set_rollouts(struct rk_place *p, const struct rk_rollout_rule *rules,
                            size_t len, bool is_fresh);
-const struct rk_place_rollout *
-rk_place_rollouts(const struct rk_place *p); /* all */
+/* Returns an array of RK_ROLLOUTS entries, some unused. It belongs to p. */
+const struct rk_place_rollout *rk_place_rollouts(const struct rk_place *p);
 
-/* Is a vm of a version that is only tried yet? */
+/* Returns true if the VM runs a new version that only a limited share of the calls
+ * uses so far. */
 bool rk_place_is_trial(const struct rk_place_vm *vm);
 
-/* Calls in hand at vms that a roll-out moves away from, of all nodes. */
+/* Returns the number of calls, of all nodes, in flight at VMs that the rollout
+ * replaces. */
 double rk_place_old_running(const struct rk_place_rollout *r,
                             const struct rk_place *p);
 
-/* The holder's word is old, and the old vms may be gone meanwhile: may the query go
- * to a new one, as no other can take it? */
+/* Returns true if the query may use the new version when no other VM can take
+ * it: when the leader's last rollout announcement is old, the VMs of the old
+ * version may be gone by now. */
 bool rk_place_may_move(const struct rk_place *p, const struct rk_place_query *q);
 
-/* Does the query try a new version? Asked once a call, that all its attempts agree.
- */
+/* Returns true if the query should use a new version. To be called once per
+ * call, so that all its attempts use the same version. */
 bool rk_place_tries(const struct rk_place *p, const struct rk_place_query *q);
 
-/* What the peers have in hand; a vm may be told of more than once. */
+/* Replaces the loads that peers reported. A VM may occur more than once: its
+ * rows are added up. Rows of unknown VMs or of other incarnations are ignored. */
 void rk_place_set_loads(struct rk_place *p, const struct rk_vm_load *loads,
                         size_t len, int64_t now_ms);
-/* What this node has in hand, to be told to peers. Returns how many rows; *out is
- * the caller's to free. */
+/* Stores this node's own loads, to be sent to peers, in *out. Returns their
+ * number. The caller frees *out. */
 size_t rk_place_own_loads(const struct rk_place *p, int64_t now_ms,
                           struct rk_vm_load **out);
-/* Calls of this node in hand at the vms of a service. */
+/* Calls of this node in flight at all VMs of a service. */
 struct rk_place_in_hand {
     uint32_t running;
-    uint32_t begun; /* of these, the ones with a first byte */
+    uint32_t begun; /* calls in running that have got their first byte */
 };
 struct rk_place_in_hand rk_place_in_hand(const struct rk_place *p,
                                          const char *service);
-/* Vms that calls are in hand at, here or at peers, or were lately. */
+/* Returns the number of VMs with calls in flight, here or at peers, now or
+ * recently. */
 size_t rk_place_busy_len(const struct rk_place *p);
 
-/* NULL: it isn't known. */
+/* Returns the current incarnation of the VM with this id, or NULL if it is
+ * unknown. The record belongs to p. */
 struct rk_place_vm *rk_place_find(struct rk_place *p, const char *id);
 
-/* Parse "ID:TOKENS,..." into the query's parts. */
+/* Parses "ID:TOKENS,...", the segments of a prompt, into the query. Segments
+ * beyond RK_PLACE_MAX_SEGMENTS are ignored. */
 void rk_place_parse_parts(struct rk_place_query *q, const char *text);
 
-/* The best vm, or NULL when none can take the call. first: predicted time to its
- * first byte there, without what speaks against the vm itself. */
+/* Returns the VM with the lowest cost, or NULL if none can take the call. *first
+ * gets the predicted time to the first byte there, without penalties. */
 struct rk_place_vm *rk_place_choose(struct rk_place *p,
                                     const struct rk_place_query *q, int64_t now_ms,
                                     struct rk_engine_forecast *first);
 
-/* Tokens of the query's prompt that a vm would have to read. */
+/* Returns the tokens of the query's prompt that are not cached at the VM and
+ * would have to be read. */
 double rk_place_unread(struct rk_place *p, const struct rk_place_query *q,
                        const struct rk_place_vm *vm, int64_t now_ms);
 
-/* Another vm that is likely to keep the query's prefix, from which vm can copy what
- * it lacks; NULL: none, or there is little to copy. */
+/* Returns another VM that probably has the query's prefix cached, so that vm can
+ * copy what it lacks. Returns NULL if there is none, or too little to copy. */
 const struct rk_place_vm *rk_place_source(const struct rk_place *p,
                                           const struct rk_place_query *q,
                                           const struct rk_place_vm *vm,
                                           int64_t now_ms);
 
-/* Which of the homes of the query's prefix a vm is; -1: none. */
+/* Returns the VM's index among the preferred VMs of the query's prefix, or -1 if
+ * it is none of them. */
 int rk_place_home(const struct rk_place *p, const struct rk_place_query *q,
                   const struct rk_place_vm *vm);
 
-/* A call's attempt at a vm, from when it is sent until it ends. */
+/* An attempt of a call at a VM, from when it is sent until it ends. */
 struct rk_place_job {
-    struct rk_engine_load load; /* what it met there; of an engine */
-    double in_hand_per_slot;    /* the same, of a plain service */
-    double expected_ms;         /* to its first byte, by the service's speed */
+    struct rk_engine_load load; /* load of the VM when it was sent; engines only */
+    /* Calls in flight per slot when it was sent; plain services only. */
+    double in_flight_per_slot;
+    /* Expected time to the first byte, by the service's speed. */
+    double expected_ms;
     int64_t sent_ms;
     bool engine;
-    bool first;        /* it has got its first byte */
-    bool odd;          /* it goes on with a stream: no measure of the vm's speed */
-    const char *route; /* of a trial that what it shows counts for; NULL: of none */
+    bool first; /* got its first byte, or ended without one */
+    bool odd;   /* resumes a stream: excluded from latency measurement */
+    /* Its route in the rollout's statistics; NULL: it isn't counted there. */
+    const char *canary_route;
 };
 
+/* Starts an attempt: counts the call at the VM and fills *job, which the caller
+ * owns and passes to rk_place_ended() exactly once. */
 void rk_place_sent(struct rk_place *p, struct rk_place_vm *vm,
                    const struct rk_place_query *q, int64_t now_ms,
                    struct rk_place_job *job);
-/* Its first byte came; only the first time counts. */
+/* Records the first byte of the attempt. Further calls for the same attempt do
+ * nothing. */
 void rk_place_first(struct rk_place_vm *vm, struct rk_place_job *job,
                     int64_t now_ms);
 
+/* How an attempt ended. */
 enum rk_place_end {
     RK_PLACE_DONE,
-    RK_PLACE_ERROR,   /* it answered that it failed */
-    RK_PLACE_LOST,    /* unreachable, reset, silent */
-    RK_PLACE_REFUSED, /* it proved that it did not run the call */
+    RK_PLACE_ERROR,   /* the VM answered that the call failed */
+    RK_PLACE_LOST,    /* the VM was unreachable, unresponsive, or broke off */
+    RK_PLACE_REFUSED, /* the VM proved that it did not run the call */
     RK_PLACE_CALLED_OFF,
 };
 
-/* A job's vm says nothing, and the job waits on: others had better go elsewhere. */
+/* Records that the VM of a job is unresponsive while the job waits on. The VM is
+ * paused for other calls. */
 void rk_place_silent(struct rk_place_vm *vm, const struct rk_place_job *job,
                      int64_t now_ms);
 
+/* Ends an attempt and updates the VM's health and pauses. May free vm if it is no
+ * longer listed. */
 void rk_place_ended(struct rk_place *p, struct rk_place_vm *vm,
                     struct rk_place_job *job, enum rk_place_end end,
                     int64_t now_ms);
 
-/* What is known of a service's speed. */
+/* Returns the speed record of the service, which is created if needed. It
+ * belongs to p. */
 struct rk_speed *rk_place_speed_of(struct rk_place *p, const char *service);
 
-/* An answer of a vm, which came now, says something of the vm itself. Returns what
- * changed, as rk_vm_signal_hear(). */
+/* Applies the signals of an answer that the VM sent just now. Returns what
+ * changed, as bits RK_VM_..._CHANGED. */
 unsigned rk_place_hear(struct rk_place *p, struct rk_place_vm *vm,
                        const struct rk_vm_said *said, int64_t now_ms);
-/* What control knows of them, and of this node's part in their limits. */
+/* Merges the signals that the control thread knows, and this node's share of
+ * each limit. */
 void rk_place_set_signals(struct rk_place *p, const struct rk_vm_signal *rows,
                           size_t len, int64_t now_ms);
-/* Nodes of the fleet: all have an equal part in a limit that was just named, until
- * control tells another. */
+/* Sets the number of nodes in the fleet. They share a newly advertised limit
+ * equally until the control thread assigns the shares. */
 void rk_place_set_nodes(struct rk_place *p, int nodes);
-/* Copies of what was said lately, and of all limits. Returns how many; *out is the
- * caller's to free. */
+/* Stores copies of all limits and of signals that changed recently in *out.
+ * Returns their number. The caller frees *out. */
 size_t rk_place_copy_signals(const struct rk_place *p, int64_t now_ms,
                              struct rk_vm_signal **out);
-/* May a call go to the vm now, by what the vm says of itself? */
+/* Returns true if the VM's limit and cooldown permit a call now. */
 bool rk_place_may_send(const struct rk_place_vm *vm, int64_t now_ms);
-/* Until a vm of the query's service may take a call that none may now, by what they
- * say of themselves; 0: it isn't that, or nobody can say. */
+/* Returns the time in ms until the limit or cooldown of some VM of the query's
+ * service permits the call. Returns 0 if one permits it now, if there is no such
+ * VM, or if no VM has advertised anything. */
 int64_t rk_place_wait_ms(const struct rk_place *p, const struct rk_place_query *q,
                          int64_t now_ms);
-/* Vms that want nothing from this node now. */
+/* Returns the number of VMs that are in a cooldown for this node. */
 size_t rk_place_resting(const struct rk_place *p, int64_t now_ms);
-/* Forget what vms said that weren't heard for long. */
+/* Drops the signals of VMs that were not received for long. Limits and leaving
+ * signals of listed VMs are kept. */
 void rk_place_forget_signals(struct rk_place *p, int64_t now_ms);
 
-/* All vms, a list by ->next. */
+/* Returns the linked list (by next) of all VMs. It belongs to p. */
 const struct rk_place_vm *rk_place_vms(const struct rk_place *p);
 
 #endif
--- a/core/place_impl.h
+++ b/core/place_impl.h
@@ -1,16 +1,17 @@
-/* State of the choice of vms, shared by place.c, place_loads.c, place_jobs.c and
- * place_versions.c.
- * Not for others. */
+/* Internal state of the placement, shared by place.c, place_jobs.c,
+ * place_loads.c, place_signals.c and place_versions.c. Not to be included by
+ * other files. */
 #ifndef RK_CORE_PLACE_IMPL_H
 #define RK_CORE_PLACE_IMPL_H
 
 #include "core/place.h"
 
-#define MEMO_SLOTS 8192 /* a power of two */
+/* Number of entries in the prefix cache; a power of two. */
+#define PREFIX_CACHE_SLOTS 8192
 
-/* A part was read at a vm. */
-struct memo {
-    uint64_t chain, vm;
+/* Entry of the prefix cache: a prompt with this prefix was sent to the VM. */
+struct prefix_entry {
+    uint64_t prefix_hash, vm;
     int64_t at_ms;
 };
 
@@ -19,53 +20,60 @@
     struct rk_rng rng;
     struct rk_place_vm *vms;
     size_t vms_len;
-    struct rk_place_vm *busy; /* a list by ->next_busy */
-    size_t busy_len;
+    struct rk_place_vm *active; /* linked list by next_active */
+    size_t active_len;
     struct rk_speeds speeds;
     struct rk_vm_signals signals;
-    int nodes; /* of the fleet; 0: not told yet */
+    int nodes; /* nodes of the fleet; 0: not known yet */
     struct rk_place_rollout rollouts[RK_ROLLOUTS];
-    bool marked;                /* vms may point to one of them */
-    struct rk_place_vm **index; /* hash table of vms; NULL: free */
-    size_t index_len;           /* a power of two, twice vms_len or more */
-    struct memo memos[MEMO_SLOTS];
+    /* Some VMs may point to an entry of rollouts. */
+    bool has_marked_vms;
+    /* Open-addressing hash table of VMs by id; NULL: free slot. */
+    struct rk_place_vm **index;
+    size_t index_len; /* a power of two, at least twice vms_len */
+    struct prefix_entry prefix_cache[PREFIX_CACHE_SLOTS];
 };
 
-/* A vm has a call in hand, here or at a peer, or had one lately. A node of a large
- * fleet calls a few of thousands, and what is done some times a second goes over
- * these only. */
-void rk_place_note_busy(struct rk_place *p, struct rk_place_vm *vm);
-/* Those that are to be swept are not busy. */
-void rk_place_forget_busy(struct rk_place *p);
+/* Puts the VM on the list of active VMs: those with a call in flight, here or at
+ * a peer, now or recently. A node of a large fleet calls a few of thousands of
+ * VMs, so work that is done several times a second goes over this list only. */
+void rk_place_mark_active(struct rk_place *p, struct rk_place_vm *vm);
+/* Removes the VMs that rk_place_sweep() is about to free from the list of active
+ * VMs. */
+void rk_place_prune_active(struct rk_place *p);
 
-/* Is a vm off the list, without a call that needs its row? */
-static inline bool rk_place_is_done(const struct rk_place_vm *vm)
+/* Returns true if the VM is no longer listed and no call of this node needs its
+ * record. */
+static inline bool rk_place_is_removable(const struct rk_place_vm *vm)
 {
     return !vm->listed && !vm->calls;
 }
 
-/* Forget vms that are off the list and have no call. */
+/* Frees VMs that are no longer listed and have no call of this node in flight. */
 void rk_place_sweep(struct rk_place *p);
 
-/* As far as known here, all its slots are taken. */
+/* Returns true if all slots of the VM are taken, as far as this node knows. */
 static inline bool rk_place_is_full(const struct rk_place_vm *vm)
 {
     return vm->row.slots > 0 &&
            vm->running + (int64_t)vm->peers_running >= vm->row.slots;
 }
 
-/* By its own word, whatever the list has. */
-static inline bool rk_place_says_leaving(const struct rk_place_vm *vm)
+/* Returns true if the VM itself has advertised that it leaves, whatever the list
+ * says. */
+static inline bool rk_place_advertises_leaving(const struct rk_place_vm *vm)
 {
     return vm->signal && vm->signal->leaving;
 }
 
-/* Which vms are of the new version of their service, and which of them try it. */
+/* Updates for each VM its rollout, whether it is of the new version, and whether
+ * it gets the calls of the rollout. */
 void rk_place_mark_versions(struct rk_place *p);
 
-/* Where what a call of a route to a vm shows counts; NULL: nowhere. A vm that is
- * slow from its start shows nothing. */
-struct rk_trial_seen *rk_place_trial_of(const struct rk_place_vm *vm,
-                                        const char *route, int64_t now_ms);
+/* Returns the statistics in which calls of the route at the VM are counted, or
+ * NULL if they are not counted. Calls to a VM that is still slow after its start
+ * are not counted. */
+struct rk_trial_seen *rk_place_canary_stats(const struct rk_place_vm *vm,
+                                            const char *route, int64_t now_ms);
 
 #endif
--- a/core/place_jobs.c
+++ b/core/place_jobs.c
@@ -1,17 +1,20 @@
-/* How calls at vms begin and end, and what the choice of vms learns of it. */
+/* Start and end of calls at VMs, and what the placement learns from them. */
 #include "core/place_impl.h"
 
-#define PAUSE_FIRST_MS   250 /* after a failure, doubling */
-#define PAUSE_MAX_MS     2000
-#define PAUSE_REFUSED_MS 100 /* after a refusal: it is full for a moment */
+/* Pause after a first failure. It doubles with each further failure in a row. */
+#define PAUSE_FIRST_MS 250
+#define PAUSE_MAX_MS   2000
+/* Pause after a refusal: the VM is full for a moment. */
+#define PAUSE_REFUSED_MS 100
 
-/* Its prompt is read, or will not be. */
-static void stop_waiting(struct rk_place_vm *vm, struct rk_place_job *job)
+/* The call's prompt no longer waits at the VM: it was read, or the call has
+ * ended. */
+static void end_prompt_wait(struct rk_place_vm *vm, struct rk_place_job *job)
 {
     if (job->first)
         return;
     job->first = true;
-    vm->unbegun--;
+    vm->awaiting_first_byte--;
     vm->waiting_tokens -= job->load.unread;
     if (vm->waiting_tokens < 0)
         vm->waiting_tokens = 0;
@@ -23,20 +26,22 @@
     double took_ms = (double)(now_ms - job->sent_ms);
     if (job->first)
         return;
-    stop_waiting(vm, job);
+    end_prompt_wait(vm, job);
     if (job->odd)
         return;
-    rk_pace_learn(&vm->pace, took_ms, job->expected_ms, now_ms);
-    struct rk_trial_seen *trial = rk_place_trial_of(vm, job->route, now_ms);
-    if (trial)
-        rk_trial_note_time(trial, took_ms, job->expected_ms);
+    rk_vm_health_note_time(&vm->pace, took_ms, job->expected_ms, now_ms);
+    struct rk_trial_seen *canary =
+        rk_place_canary_stats(vm, job->canary_route, now_ms);
+    if (canary)
+        rk_trial_note_time(canary, took_ms, job->expected_ms);
     if (job->engine)
         rk_engine_learn(&vm->speed->engine, &job->load, took_ms);
     else
-        rk_speed_plain_learn(vm->speed, job->in_hand_per_slot, took_ms);
+        rk_speed_plain_learn(vm->speed, job->in_flight_per_slot, took_ms);
 }
 
-/* A stream that is gone on with, or that broke off, tells only that it failed. */
+/* The duration counts only before the first byte of a new call. A resumed
+ * stream, or one that broke off, shows just that it failed. */
 static void note_failure(struct rk_place_vm *vm, const struct rk_place_job *job,
                          int64_t now_ms)
 {
@@ -61,9 +66,10 @@
     pause_vm(vm, now_ms);
 }
 
-/* Is it known anyway why the vm turned a call away? Then it is passed over for
- * that, and no longer than that. */
-static bool is_explained(const struct rk_place_vm *vm, int64_t now_ms)
+/* Returns true if the refusal is explained by full slots or by the VM's own
+ * limit or cooldown. Such a VM is avoided for that reason already, and no longer
+ * than the reason lasts. */
+static bool is_refusal_expected(const struct rk_place_vm *vm, int64_t now_ms)
 {
     return rk_place_is_full(vm) || !rk_place_may_send(vm, now_ms);
 }
@@ -75,11 +81,12 @@
     vm->running--;
     if (end == RK_PLACE_LOST || end == RK_PLACE_ERROR) {
         note_failure(vm, job, now_ms);
-        struct rk_trial_seen *trial = rk_place_trial_of(vm, job->route, now_ms);
-        if (trial)
-            rk_trial_note_failure(trial, job->first && !job->odd);
+        struct rk_trial_seen *canary =
+            rk_place_canary_stats(vm, job->canary_route, now_ms);
+        if (canary)
+            rk_trial_note_failure(canary, job->first && !job->odd);
     }
-    stop_waiting(vm, job);
+    end_prompt_wait(vm, job);
     switch (end) {
     case RK_PLACE_DONE:
         vm->failures = 0;
@@ -89,8 +96,8 @@
         pause_vm(vm, now_ms);
         break;
     case RK_PLACE_REFUSED:
-        if (!is_explained(vm, now_ms))
-            rk_pace_refuse(&vm->pace, now_ms);
+        if (!is_refusal_expected(vm, now_ms))
+            rk_vm_health_note_refusal(&vm->pace, now_ms);
         if (vm->paused_until_ms < now_ms + PAUSE_REFUSED_MS)
             vm->paused_until_ms = now_ms + PAUSE_REFUSED_MS;
         break;
--- a/core/place_loads.c
+++ b/core/place_loads.c
@@ -1,83 +1,89 @@
-/* What is in hand at the vms, by this node and by its peers, and what their calls
- * show of the vms. Its cost goes by the vms that are busy. */
+/* Calls in flight at the VMs, from this node and from its peers, and the health
+ * of the VMs that these calls show. The cost of each function grows with the
+ * number of active VMs. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/place_impl.h"
 
-#define TOLD_CALLS 0.05 /* calls that still count; less isn't told */
+/* Health records that hold fewer calls than this, after decay, are not reported. */
+#define MIN_REPORTED_CALLS 0.05
 
-/* ---- busy vms ---- */
+/* ---- active VMs ---- */
 
-void rk_place_note_busy(struct rk_place *p, struct rk_place_vm *vm)
+void rk_place_mark_active(struct rk_place *p, struct rk_place_vm *vm)
 {
-    if (vm->is_busy)
+    if (vm->is_active)
         return;
-    vm->is_busy = true;
-    vm->next_busy = p->busy;
-    p->busy = vm;
-    p->busy_len++;
+    vm->is_active = true;
+    vm->next_active = p->active;
+    p->active = vm;
+    p->active_len++;
 }
 
 size_t rk_place_busy_len(const struct rk_place *p)
 {
-    return p->busy_len;
+    return p->active_len;
 }
 
-static void drop_busy(struct rk_place *p, struct rk_place_vm **at)
+static void remove_active(struct rk_place *p, struct rk_place_vm **at)
 {
     struct rk_place_vm *v = *at;
-    *at = v->next_busy;
-    v->is_busy = false;
-    p->busy_len--;
+    *at = v->next_active;
+    v->is_active = false;
+    p->active_len--;
 }
 
-void rk_place_forget_busy(struct rk_place *p)
+void rk_place_prune_active(struct rk_place *p)
 {
-    for (struct rk_place_vm **at = &p->busy; *at;) {
-        if (rk_place_is_done(*at))
-            drop_busy(p, at);
+    for (struct rk_place_vm **at = &p->active; *at;) {
+        if (rk_place_is_removable(*at))
+            remove_active(p, at);
         else
-            at = &(*at)->next_busy;
+            at = &(*at)->next_active;
     }
 }
 
-/* Forget what the peers had in hand, and the vms that nothing else is known of. */
-static void clear_peers(struct rk_place *p, int64_t now_ms)
+/* Clears the peers' loads and takes VMs off the list of active VMs that only
+ * those had kept there. */
+static void clear_peer_loads(struct rk_place *p, int64_t now_ms)
 {
-    for (struct rk_place_vm **at = &p->busy; *at;) {
+    for (struct rk_place_vm **at = &p->active; *at;) {
         struct rk_place_vm *v = *at;
         v->peers_running = 0;
         v->peers_waiting_tokens = 0;
-        v->peers_pace = (struct rk_pace){.at_ms = now_ms};
-        struct rk_pace pace = rk_pace_at(&v->pace, now_ms);
-        if (!v->calls && rk_pace_weight(&pace) < TOLD_CALLS)
-            drop_busy(p, at);
+        v->peers_health = (struct rk_pace){.at_ms = now_ms};
+        struct rk_pace health = rk_pace_at(&v->pace, now_ms);
+        if (!v->calls && rk_vm_health_weight(&health) < MIN_REPORTED_CALLS)
+            remove_active(p, at);
         else
-            at = &v->next_busy;
+            at = &v->next_active;
     }
 }
 
 /* ---- loads ---- */
 
-/* What all vms of each service show together, against which one of them is slow. */
-static void take_means(struct rk_place *p, int64_t now_ms)
+/* Updates the mean latency ratio of each service over all its VMs. A single VM
+ * counts as slow only relative to this mean. */
+static void update_mean_log_ratios(struct rk_place *p, int64_t now_ms)
 {
     for (struct rk_speed *s = p->speeds.first; s; s = s->next) {
         double log_sum = 0, calls = 0;
-        for (const struct rk_place_vm *v = p->busy; v; v = v->next_busy) {
+        for (const struct rk_place_vm *v = p->active; v; v = v->next_active) {
             if (v->speed != s)
                 continue;
-            struct rk_pace all = rk_pace_add(&v->pace, &v->peers_pace, now_ms);
+            struct rk_pace all =
+                rk_vm_health_combined(&v->pace, &v->peers_health, now_ms);
             log_sum += all.log_sum;
             calls += all.calls;
         }
-        s->pace_mean = calls > 0 ? log_sum / calls : 0;
+        s->mean_log_ratio = calls > 0 ? log_sum / calls : 0;
     }
 }
 
-/* As peers are told; 0: its lives can't be told apart. */
-static uint32_t life_told(const struct rk_place_vm *v)
+/* Returns the incarnation as reported to peers, or 0 if the VM's incarnations
+ * can't be told apart. */
+static uint32_t reported_incarnation(const struct rk_place_vm *v)
 {
     return v->row.born_ms ? (uint32_t)v->hash : 0;
 }
@@ -85,35 +91,36 @@
 void rk_place_set_loads(struct rk_place *p, const struct rk_vm_load *loads,
                         size_t len, int64_t now_ms)
 {
-    clear_peers(p, now_ms);
+    clear_peer_loads(p, now_ms);
     for (size_t i = 0; i < len; i++) {
         struct rk_place_vm *v = rk_place_find(p, loads[i].id);
-        if (!v || (loads[i].life && loads[i].life != life_told(v)))
+        if (!v || (loads[i].life && loads[i].life != reported_incarnation(v)))
             continue;
-        rk_place_note_busy(p, v);
+        rk_place_mark_active(p, v);
         v->peers_running += loads[i].running;
         v->peers_waiting_tokens += loads[i].waiting_tokens;
-        v->peers_pace.at_ms = now_ms;
-        rk_pace_sum(&v->peers_pace, &loads[i].pace);
+        v->peers_health.at_ms = now_ms;
+        rk_pace_sum(&v->peers_health, &loads[i].pace);
     }
-    take_means(p, now_ms);
+    update_mean_log_ratios(p, now_ms);
 }
 
 size_t rk_place_own_loads(const struct rk_place *p, int64_t now_ms,
                           struct rk_vm_load **out)
 {
     size_t len = 0;
-    *out = rk_alloc(p->busy_len + 1, sizeof(**out));
-    for (const struct rk_place_vm *v = p->busy; v; v = v->next_busy) {
-        struct rk_pace pace = rk_pace_at(&v->pace, now_ms);
-        if (v->over || (v->running <= 0 && rk_pace_weight(&pace) < TOLD_CALLS))
+    *out = rk_alloc(p->active_len + 1, sizeof(**out));
+    for (const struct rk_place_vm *v = p->active; v; v = v->next_active) {
+        struct rk_pace health = rk_pace_at(&v->pace, now_ms);
+        if (v->over ||
+            (v->running <= 0 && rk_vm_health_weight(&health) < MIN_REPORTED_CALLS))
             continue;
         struct rk_vm_load *load = &(*out)[len++];
         rk_strcpy(load->id, sizeof(load->id), v->row.id);
-        load->life = life_told(v);
+        load->life = reported_incarnation(v);
         load->running = (uint32_t)v->running;
         load->waiting_tokens = v->waiting_tokens;
-        load->pace = pace;
+        load->pace = health;
     }
     return len;
 }
@@ -122,11 +129,11 @@
                                          const char *service)
 {
     struct rk_place_in_hand sum = {0};
-    for (const struct rk_place_vm *v = p->busy; v; v = v->next_busy) {
+    for (const struct rk_place_vm *v = p->active; v; v = v->next_active) {
         if (strcmp(v->row.service, service) != 0)
             continue;
         sum.running += (uint32_t)v->running;
-        sum.begun += (uint32_t)(v->running - v->unbegun);
+        sum.begun += (uint32_t)(v->running - v->awaiting_first_byte);
     }
     return sum;
 }
--- a/core/place_signals.c
+++ b/core/place_signals.c
@@ -1,4 +1,4 @@
-/* What vms say of themselves, as the choice of vms goes by it. */
+/* Signals that VMs advertise in their answers, applied to the placement. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,11 +6,13 @@
 
 #include "core/place_impl.h"
 
-#define TOLD_MS 1000 /* for which a change is copied: a copy may be lost */
+/* How long rk_place_copy_signals() repeats a change, because a copy may be lost
+ * on its way. */
+#define CHANGE_REPORT_MS 1000
 
 static void apply_leaving(struct rk_place_vm *v, int64_t now_ms)
 {
-    if (!rk_place_says_leaving(v) || v->row.leaving)
+    if (!rk_place_advertises_leaving(v) || v->row.leaving)
         return;
     v->row.leaving = true;
     v->left_ms = now_ms;
@@ -19,8 +21,8 @@
 unsigned rk_place_hear(struct rk_place *p, struct rk_place_vm *vm,
                        const struct rk_vm_said *said, int64_t now_ms)
 {
-    bool says = said->limited || said->leaving || said->rest_ms > 0;
-    if (!vm->signal && !says)
+    bool has_signals = said->limited || said->leaving || said->rest_ms > 0;
+    if (!vm->signal && !has_signals)
         return 0;
     if (!vm->signal)
         vm->signal =
@@ -39,7 +41,7 @@
     p->nodes = nodes;
 }
 
-static void find_signals(struct rk_place *p, int64_t now_ms)
+static void relink_signals(struct rk_place *p, int64_t now_ms)
 {
     for (struct rk_place_vm *v = p->vms; v; v = v->next) {
         v->signal = rk_vm_signals_find(&p->signals, v->hash);
@@ -61,7 +63,7 @@
         rk_vm_signal_set_senders(v, rows[i].senders, now_ms);
     }
     if (rk_vm_signals_len(&p->signals) != before || changed & RK_VM_LEAVING_CHANGED)
-        find_signals(p, now_ms);
+        relink_signals(p, now_ms);
 }
 
 size_t rk_place_copy_signals(const struct rk_place *p, int64_t now_ms,
@@ -74,7 +76,7 @@
         return 0;
     lh_foreach (p->signals.by_life, e) {
         const struct rk_vm_signal *v = lh_entry_v(e);
-        if (v->limited || now_ms - v->changed_ms < TOLD_MS)
+        if (v->limited || now_ms - v->changed_ms < CHANGE_REPORT_MS)
             (*out)[len++] = *v;
     }
     return len;
@@ -117,7 +119,7 @@
     return wait_ms;
 }
 
-/* What counts for a vm on the list stays. */
+/* Limits and leaving signals of listed VMs don't expire. */
 void rk_place_forget_signals(struct rk_place *p, int64_t now_ms)
 {
     if (!rk_vm_signals_len(&p->signals))
@@ -126,5 +128,5 @@
         if (v->listed && v->signal && (v->signal->limited || v->signal->leaving))
             v->signal->heard_ms = now_ms;
     rk_vm_signals_forget(&p->signals, now_ms);
-    find_signals(p, now_ms);
+    relink_signals(p, now_ms);
 }
--- a/core/place_versions.c
+++ b/core/place_versions.c
@@ -1,10 +1,11 @@
-/* Roll-outs as far as the choice of vms goes: which version a call goes to, and
- * what calls to both versions showed. */
+/* Rollouts in the placement: which version a call goes to, and the statistics of
+ * calls to both versions. */
 #include <string.h>
 
 #include "core/place_impl.h"
 
-static struct rk_place_rollout *rollout_of(struct rk_place *p, const char *service)
+static struct rk_place_rollout *find_rollout(struct rk_place *p,
+                                             const char *service)
 {
     for (size_t i = 0; i < RK_ROLLOUTS; i++)
         if (p->rollouts[i].rule.service[0] &&
@@ -13,9 +14,11 @@
     return NULL;
 }
 
-/* How many vms of a roll-out's new version come before one, by rendezvous hashing:
- * all nodes agree on which try it, and each turn brings others. */
-static size_t count_before(const struct rk_place *p, const struct rk_place_vm *v)
+/* Returns how many VMs of the rollout's new version rank before this one by
+ * rendezvous hashing. All nodes agree by this on the VMs that get calls, and each
+ * new turn number selects other VMs. */
+static size_t count_ranked_before(const struct rk_place *p,
+                                  const struct rk_place_vm *v)
 {
     uint64_t turn = v->rollout->rule.turn,
              own = rk_hash(turn, &v->hash, sizeof(v->hash));
@@ -36,31 +39,32 @@
 
 void rk_place_mark_versions(struct rk_place *p)
 {
-    bool marks = has_rollouts(p);
-    if (!marks && !p->marked)
+    bool has_any = has_rollouts(p);
+    if (!has_any && !p->has_marked_vms)
         return;
-    p->marked = marks;
+    p->has_marked_vms = has_any;
     for (struct rk_place_vm *v = p->vms; v; v = v->next) {
-        v->rollout = rollout_of(p, v->row.service);
+        v->rollout = find_rollout(p, v->row.service);
         v->is_new = v->rollout && !strcmp(v->row.version, v->rollout->rule.version);
     }
     for (struct rk_place_vm *v = p->vms; v; v = v->next) {
         uint32_t vms = v->is_new ? v->rollout->rule.vms : 0;
-        v->gets_new = v->is_new && (!vms || count_before(p, v) < vms);
+        v->gets_rollout_calls =
+            v->is_new && (!vms || count_ranked_before(p, v) < vms);
     }
 }
 
-static void add_rollout(struct rk_place *p, const struct rk_rollout_rule *rule,
+static void set_rollout(struct rk_place *p, const struct rk_rollout_rule *rule,
                         bool is_fresh)
 {
-    struct rk_place_rollout *r = rollout_of(p, rule->service);
+    struct rk_place_rollout *r = find_rollout(p, rule->service);
     for (size_t i = 0; !r && i < RK_ROLLOUTS; i++)
         if (!p->rollouts[i].rule.service[0])
             r = &p->rollouts[i];
     if (!r)
         return;
     if (strcmp(r->rule.version, rule->version) != 0)
-        r->seen.len = 0; /* it began anew */
+        r->seen.len = 0; /* statistics of an earlier rollout */
     r->rule = *rule;
     r->is_fresh = is_fresh;
 }
@@ -72,7 +76,7 @@
         if (!rk_rollout_rule_find(rules, len, p->rollouts[i].rule.service))
             p->rollouts[i].rule = (struct rk_rollout_rule){0};
     for (size_t i = 0; i < len; i++)
-        add_rollout(p, &rules[i], is_fresh);
+        set_rollout(p, &rules[i], is_fresh);
     rk_place_mark_versions(p);
 }
 
@@ -91,37 +95,40 @@
     return sum;
 }
 
-static bool is_small(const struct rk_rollout_rule *rule)
+static bool is_limited_phase(const struct rk_rollout_rule *rule)
 {
     return rule->phase == RK_ROLLOUT_TRIAL || rule->phase == RK_ROLLOUT_LOAD;
 }
 
 bool rk_place_is_trial(const struct rk_place_vm *vm)
 {
-    return vm->is_new && is_small(&vm->rollout->rule);
+    return vm->is_new && is_limited_phase(&vm->rollout->rule);
 }
 
 bool rk_place_may_move(const struct rk_place *p, const struct rk_place_query *q)
 {
-    const struct rk_place_rollout *r = rollout_of((struct rk_place *)p, q->service);
+    const struct rk_place_rollout *r =
+        find_rollout((struct rk_place *)p, q->service);
     return r && !r->is_fresh && r->rule.phase != RK_ROLLOUT_GIVEN_BACK;
 }
 
 bool rk_place_tries(const struct rk_place *p, const struct rk_place_query *q)
 {
-    const struct rk_place_rollout *r = rollout_of((struct rk_place *)p, q->service);
+    const struct rk_place_rollout *r =
+        find_rollout((struct rk_place *)p, q->service);
     if (!r)
         return false;
-    /* While little is tried, who isn't told any more tries nothing. */
-    return (r->is_fresh || !is_small(&r->rule)) &&
+    /* While only a few calls use the new version, a node without a fresh rollout
+     * announcement sends it none. */
+    return (r->is_fresh || !is_limited_phase(&r->rule)) &&
            rk_rollout_tries(&r->rule, q->request);
 }
 
-struct rk_trial_seen *rk_place_trial_of(const struct rk_place_vm *vm,
-                                        const char *route, int64_t now_ms)
+struct rk_trial_seen *rk_place_canary_stats(const struct rk_place_vm *vm,
+                                            const char *route, int64_t now_ms)
 {
     struct rk_place_rollout *r = (struct rk_place_rollout *)vm->rollout;
-    if (!r || !route || now_ms < vm->warm_from_ms ||
+    if (!r || !route || now_ms < vm->cold_until_ms ||
         r->rule.phase == RK_ROLLOUT_TAKEN || r->rule.phase == RK_ROLLOUT_GIVEN_BACK)
         return NULL;
     struct rk_trial_row *row =
--- a/core/speeds.h
+++ b/core/speeds.h
@@ -1,5 +1,7 @@
-/* How fast services answer, by what this node saw of its own calls: of a service as
- * a whole, and of each vm beside it (slow, cold or of another generation). Pure. */
+/* Tracks how fast services answer, learned from this node's own calls: the speed
+ * of a service as a whole, and the health of each VM relative to it, which shows
+ * VMs that are slow, cold or of another hardware generation. No I/O; times are
+ * passed in. */
 #ifndef RK_CORE_SPEEDS_H
 #define RK_CORE_SPEEDS_H
 
@@ -10,68 +12,81 @@
 #include "common/util.h"
 #include "core/engine.h"
 
-/* Of a service. */
+/* Speed of a service. */
 struct rk_speed {
     char service[RK_ID_MAX];
     struct rk_speed *next;
-    struct rk_engine engine; /* to the first token */
-    double plain_ms;         /* of a plain call that waits for nothing */
-    double pace_mean;        /* of all its vms: mean of rk_pace's logarithms */
+    /* Model of the time to the first token, of an engine service. */
+    struct rk_engine engine;
+    /* Smoothed time of a plain call that waits for nothing. */
+    double plain_ms;
+    /* Mean over all its VMs of the log ratio of actual to expected time. */
+    double mean_log_ratio;
 };
 
+/* The speeds of all services; zeroed: empty. */
 struct rk_speeds {
     struct rk_speed *first;
 };
 
-/* The service's; made when it is new. Valid until rk_speeds_free(). */
+/* Returns the record of the service, which is created if needed. It stays valid
+ * until rk_speeds_free(). */
 struct rk_speed *rk_speeds_of(struct rk_speeds *s, const char *service);
+/* Frees all records. */
 void rk_speeds_free(struct rk_speeds *s);
 
-/* Expected time of a plain call, of a vm with so many in hand for each slot. */
-double rk_speed_plain(const struct rk_speed *s, double in_hand_per_slot);
-void rk_speed_plain_learn(struct rk_speed *s, double in_hand_per_slot,
+/* Returns the expected time in ms of a plain call to a VM with in_flight_per_slot
+ * calls in flight per slot. */
+double rk_speed_plain(const struct rk_speed *s, double in_flight_per_slot);
+/* Records that a plain call took took_ms at a VM with in_flight_per_slot calls in
+ * flight per slot when it was sent. */
+void rk_speed_plain_learn(struct rk_speed *s, double in_flight_per_slot,
                           double took_ms);
 
-/* What calls to one vm showed lately: how long they took, against what its
- * service's speed lets expect, and how many failed. Each call counts for less as
- * time passes. Sums of several nodes add up. */
+/* Health of a VM: how long its recent calls took relative to what the speed of
+ * its service predicts, and how many failed or were refused. The weight of each
+ * call decays exponentially. Sums of several nodes can be added. */
 struct rk_pace {
-    double log_sum; /* of the logarithms of seen by expected times */
+    double log_sum; /* sum of the logarithms of actual over expected time */
     double failed;  /* calls that failed */
-    double calls;   /* all of them, but those that the vm turned away */
-    double refused; /* these, a few of each node at the most */
-    int64_t at_ms;  /* when the sums were reckoned */
+    double calls;   /* all calls except those that the VM refused */
+    double refused; /* refused calls; at most a few of each node */
+    int64_t at_ms;  /* time up to which the sums are decayed */
 };
 
-/* A call took so long. */
-void rk_pace_learn(struct rk_pace *p, double seen_ms, double expected_ms,
-                   int64_t now_ms);
-/* A call failed after so long: late, it shows a slow vm, too. */
+/* Records a call that took seen_ms when expected_ms was predicted. */
+void rk_vm_health_note_time(struct rk_pace *p, double seen_ms, double expected_ms,
+                            int64_t now_ms);
+/* Records a call that failed after seen_ms. If that is later than predicted, it
+ * also counts as slow. */
 void rk_pace_fail(struct rk_pace *p, double seen_ms, double expected_ms,
                   int64_t now_ms);
 
-/* The vm turned a call away. */
-void rk_pace_refuse(struct rk_pace *p, int64_t now_ms);
+/* Records a call that the VM refused. */
+void rk_vm_health_note_refusal(struct rk_pace *p, int64_t now_ms);
 
-/* The sums as they count now. */
+/* Returns the sums decayed to now_ms. */
 struct rk_pace rk_pace_at(const struct rk_pace *p, int64_t now_ms);
-/* Those of two, the same way. */
-struct rk_pace rk_pace_add(const struct rk_pace *a, const struct rk_pace *b,
-                           int64_t now_ms);
-/* Add sums that were reckoned at about the same time. */
+/* Returns the total of two records, decayed to now_ms. */
+struct rk_pace rk_vm_health_combined(const struct rk_pace *a,
+                                     const struct rk_pace *b, int64_t now_ms);
+/* Adds more to *sum. Both must have been decayed to about the same time. */
 void rk_pace_sum(struct rk_pace *sum, const struct rk_pace *more);
-/* Can it be one? A peer may tell anything. */
+/* Returns true if the values are within bounds. Records from peers must be
+ * checked, as they can hold anything. */
 bool rk_pace_is_sound(const struct rk_pace *p);
 
-/* Times the expected time, of a vm whose service's vms take exp(mean) times it in
- * the mean: 1 for a vm like the others, or long unused. Where all of them got slow,
- * none of them is: that is load. */
+/* Returns the factor by which the VM is slower (above 1) or faster (below 1)
+ * than its service predicts. mean is the mean log ratio of all VMs of the
+ * service, which take exp(mean) times the predicted time. The factor is 1 for a
+ * VM that is like the others or was not used for long. If all VMs became slow,
+ * none counts as slow: the cause is load. */
 double rk_pace_factor(const struct rk_pace *p, double mean);
-/* Share of its calls that fail; 0 while hardly any is known. */
-double rk_pace_failing(const struct rk_pace *p);
-/* The same, that the vm turned away. */
-double rk_pace_refusing(const struct rk_pace *p);
-/* How many calls the sums hold. */
-double rk_pace_weight(const struct rk_pace *p);
+/* Returns the share of its calls that fail; 0 while hardly any calls are known. */
+double rk_vm_health_failure_share(const struct rk_pace *p);
+/* Returns the share of its calls that the VM refuses. */
+double rk_vm_health_refusal_share(const struct rk_pace *p);
+/* Returns the number of calls in the sums, after decay. */
+double rk_vm_health_weight(const struct rk_pace *p);
 
 #endif
