--- a/core/choice.c
+++ b/core/choice.c
@@ -76,16 +76,16 @@
                    job->prompt->tokens;
     int best = -1, fallback = -1;
     uint64_t best_weight = 0;
-    double least = 0;
+    double least_load = 0;
     for (size_t i = 0; i < r->vms_len; i++) {
         if (!is_candidate(r, job, i, now_ms) || !has_room(&r->vms[i], now_ms))
             continue;
         if (r->cached[i] * 2 >= job->prompt->blocks_len * RK_BLOCK_WORDS)
             continue; /* it holds most of the prompt already */
         double load = rk_router_load(&r->vms[i], now_ms);
-        if (fallback < 0 || load < least) {
+        if (fallback < 0 || load < least_load) {
             fallback = (int)i;
-            least = load;
+            least_load = load;
         }
         uint64_t weight = rk_rendezvous(job->prompt->root, r->vms[i].id);
         if ((double)r->prefilled_tokens[i] + job->prompt->tokens <= bound &&
@@ -137,9 +137,9 @@
     rk_prefixes_match(r->prefixes, job->prompt, r->prefilled_tokens,
                       r->cache_tokens, r->cached, r->vms_len);
     struct holders h = find_holders(r, job, now_ms);
-    struct prefix_calls *root = rk_router_prefix_calls(r, job);
+    struct prefix_calls *prefix = rk_router_prefix_calls(r, job);
     /* Each of the other nodes is assumed to have as many calls of this prefix. */
-    int demand = (root ? root->outstanding : 1) * r->nodes;
+    int demand = (prefix ? prefix->outstanding : 1) * r->nodes;
     /* One more copy pays off only when the calls of this prefix fill its
      * holders. Where other calls fill them, a slot is soon free. */
     bool crowded = h.least_loaded >= 0 && demand > h.slots * COPY_THRESHOLD_SHARE &&
@@ -159,22 +159,25 @@
     return choose_copy_target(r, job, now_ms);
 }
 
+/* limited: considers only VMs below their limit. Equal loads are decided by
+ * rendezvous hashing. */
 static int choose_least_loaded(const struct rk_router *r, const struct rk_job *job,
                                bool limited, int64_t now_ms)
 {
     int best = -1;
-    double least = 0;
-    uint64_t tie = 0;
+    double best_load = 0;
+    uint64_t best_weight = 0;
     for (size_t i = 0; i < r->vms_len; i++) {
         const struct vm *v = &r->vms[i];
         if (!is_candidate(r, job, i, now_ms) || (limited && !has_room(v, now_ms)))
             continue;
         double load = rk_router_load(v, now_ms);
-        uint64_t w = rk_rendezvous((uint64_t)job->submitted_ms, v->id);
-        if (best < 0 || load < least || (load == least && w > tie)) {
+        uint64_t weight = rk_rendezvous((uint64_t)job->submitted_ms, v->id);
+        if (best < 0 || load < best_load ||
+            (load == best_load && weight > best_weight)) {
             best = (int)i;
-            least = load;
-            tie = w;
+            best_load = load;
+            best_weight = weight;
         }
     }
     return best;
@@ -191,16 +194,17 @@
     return -1;
 }
 
+/* Ranks the VMs by rendezvous hashing of the prefix alone. */
 static int choose_sticky(const struct rk_router *r, const struct rk_job *job,
                          int64_t now_ms)
 {
     uint64_t root = job->prompt ? job->prompt->root : 0, best_weight = 0;
     int best = -1;
     for (size_t i = 0; i < r->vms_len; i++) {
-        uint64_t w = rk_rendezvous(root, r->vms[i].id);
-        if (is_candidate(r, job, i, now_ms) && (best < 0 || w > best_weight)) {
+        uint64_t weight = rk_rendezvous(root, r->vms[i].id);
+        if (is_candidate(r, job, i, now_ms) && (best < 0 || weight > best_weight)) {
             best = (int)i;
-            best_weight = w;
+            best_weight = weight;
         }
     }
     return best;
--- a/core/place.c
+++ b/core/place.c
@@ -256,6 +256,7 @@
                             (PREFIX_CACHE_SLOTS - 1)];
 }
 
+/* Returns true if a prompt with this prefix was sent to the VM recently. */
 static bool is_cached(struct rk_place *p, uint64_t prefix_hash, uint64_t vm,
                       int64_t now_ms)
 {
@@ -317,6 +318,8 @@
     return v->is_new ? q->tries && v->gets_rollout_calls : !q->tries;
 }
 
+/* Returns true if the VM may get the call, apart from limits and cooldowns that end
+ * by themselves. */
 static bool is_eligible(const struct rk_place_query *q, uint32_t service_hash,
                         const struct rk_place_vm *v)
 {
@@ -334,6 +337,7 @@
     bool shared; /* ranked for a shared prefix, not for a single request */
 };
 
+/* Inserts the VM, in the order of weights, if it is among the highest ranked. */
 static void offer_preferred(struct preferred *h, const struct rk_place_vm *v,
                             uint64_t weight)
 {
@@ -372,12 +376,15 @@
     return -1;
 }
 
+/* Returns the share of the shared prefix that is assumed to be cached at the VM. */
 static double cached_share(const struct preferred *h, const struct rk_place_vm *v)
 {
     int at = preferred_index(h, v);
     return h->shared && at >= 0 ? cached_shares[at] : 0;
 }
 
+/* Returns the costs that are due to the VM's failures, refusals, pause, full slots
+ * and limit. */
 static double health_penalty_ms(const struct rk_place_vm *v,
                                 const struct rk_pace *health, int64_t now_ms)
 {
@@ -392,6 +399,8 @@
     return ms;
 }
 
+/* Returns the load that an engine call meets at the VM, from the calls of all
+ * nodes. share: part of the shared prefix that is assumed to be cached there. */
 static struct rk_engine_load expected_load(struct rk_place *p,
                                            const struct rk_place_query *q,
                                            const struct rk_place_vm *v,
@@ -519,6 +528,7 @@
     return best;
 }
 
+/* Records that all segments of the prompt were sent to the VM. */
 static void cache_segments(struct rk_place *p, const struct rk_place_vm *vm,
                            const struct rk_place_query *q, int64_t now_ms)
 {
--- a/core/place.h
+++ b/core/place.h
@@ -281,8 +281,8 @@
                          int64_t now_ms);
 /* Returns the number of VMs that are in a cooldown for this node. */
 size_t rk_place_resting(const struct rk_place *p, int64_t now_ms);
-/* Drops the signals of VMs that were not received for long. Limits and leaving
- * signals of listed VMs are kept. */
+/* Drops signals that were not received for 120 s. Limits and leaving signals of
+ * listed VMs are kept. */
 void rk_place_forget_signals(struct rk_place *p, int64_t now_ms);
 
 /* Returns the linked list (by next) of all VMs. It belongs to p. */
--- a/core/place_signals.c
+++ b/core/place_signals.c
@@ -41,6 +41,7 @@
     p->nodes = nodes;
 }
 
+/* Updates each VM's pointer to its signals, after records were added or removed. */
 static void relink_signals(struct rk_place *p, int64_t now_ms)
 {
     for (struct rk_place_vm *v = p->vms; v; v = v->next) {
--- a/core/place_versions.c
+++ b/core/place_versions.c
@@ -95,6 +95,8 @@
     return sum;
 }
 
+/* Returns true while only a share of the calls or a single VM tries the new
+ * version. */
 static bool is_limited_phase(const struct rk_rollout_rule *rule)
 {
     return rule->phase == RK_ROLLOUT_TRIAL || rule->phase == RK_ROLLOUT_LOAD;
--- a/core/prefix.c
+++ b/core/prefix.c
@@ -148,6 +148,8 @@
     }
 }
 
+/* Records the VM as a holder of the block. If all slots are taken, it replaces the
+ * holder whose VM had prefilled the fewest tokens at its last use of the block. */
 static void set_holder(struct block *b, uint16_t vm, uint64_t prefilled_tokens)
 {
     struct holder *slot = &b->holders[0];
--- a/core/router.c
+++ b/core/router.c
@@ -95,20 +95,22 @@
     }
 }
 
+/* Returns the slot of the VM's incarnation, or a free one (used is false), or NULL
+ * if all are taken. */
 static struct vm *find_vm(struct rk_router *r, const struct rk_vm *row)
 {
-    struct vm *free_row = NULL;
+    struct vm *free_slot = NULL;
     for (size_t i = 0; i < r->vms_len; i++) {
         struct vm *v = &r->vms[i];
         if (v->used && v->incarnation == row->incarnation &&
             !strcmp(v->id, row->id))
             return v;
-        if (!v->used && !free_row)
-            free_row = v;
+        if (!v->used && !free_slot)
+            free_slot = v;
     }
-    if (!free_row && r->vms_len < RK_ROUTER_MAX_VMS)
-        free_row = &r->vms[r->vms_len++];
-    return free_row;
+    if (!free_slot && r->vms_len < RK_ROUTER_MAX_VMS)
+        free_slot = &r->vms[r->vms_len++];
+    return free_slot;
 }
 
 static void init_vm(struct rk_router *r, struct vm *v, const struct rk_vm *row,
@@ -124,6 +126,7 @@
     r->prefilled_tokens[i] = 0;
 }
 
+/* The row counts the calls of all nodes; those of this node are subtracted. */
 static void apply_load(struct vm *v, const struct rk_vm *row)
 {
     if (row->load_seq <= v->load_seq)
@@ -192,6 +195,8 @@
         b->outstanding += n;
 }
 
+/* Returns the record of the organisation, in a new or idle slot if needed, or NULL
+ * if all slots have outstanding calls. */
 static struct org *find_org(struct rk_router *r, const char *name)
 {
     struct org *idle = NULL;
@@ -212,6 +217,7 @@
 
 /* ---- lifecycle of a job ---- */
 
+/* Returns the time in ms that the job is expected to occupy a slot. */
 static double expected_slot_ms(const struct rk_job *job)
 {
     const struct rk_policy *p = &job->svc->policy;
@@ -254,6 +260,8 @@
     return wait > 0 ? (int64_t)(wait / limit) : 0;
 }
 
+/* Returns how long in ms the job may wait: until its deadline can just be met, and
+ * no longer than queue_ms. It may be negative. */
 static int64_t allowed_wait_ms(const struct rk_job *job, int64_t now_ms)
 {
     int64_t slack = job->deadline_ms - now_ms - (int64_t)expected_slot_ms(job);
@@ -363,6 +371,8 @@
     return NULL;
 }
 
+/* Additive increase, multiplicative decrease: the limit grows by about one for each
+ * round of calls that meet the target. */
 static void adapt_limit(struct vm *v, int64_t took_ms, int64_t now_ms)
 {
     double slots = (double)v->svc->policy.slots;
@@ -419,6 +429,7 @@
     svc->slot_time_ratio += EWMA_WEIGHT * (ratio - svc->slot_time_ratio);
 }
 
+/* Frees the job's slot at its VM. */
 static void release_vm(struct rk_router *r, struct rk_job *job, bool failed,
                        int64_t now_ms)
 {
--- a/core/send_budget.c
+++ b/core/send_budget.c
@@ -20,6 +20,7 @@
            waiting_bytes > b->sent_bytes / WAITING_DIVISOR;
 }
 
+/* Reduces the budget to a share of what the link carried in the last round. */
 static void shrink(struct rk_send_budget *b, size_t waiting_bytes)
 {
     size_t carried = b->waiting_before + b->sent_bytes - waiting_bytes;
--- a/core/speeds.c
+++ b/core/speeds.c
@@ -143,6 +143,7 @@
     return refused / (refused + p->calls + PRIOR_ACCEPTED_CALLS);
 }
 
+/* Returns the logarithm of actual over expected time, within MAX_LOG_RATIO. */
 static double log_ratio(double seen_ms, double expected_ms)
 {
     double ratio = fmax(seen_ms, RATIO_MIN_MS) / fmax(expected_ms, RATIO_MIN_MS);
--- a/core/vm_signals.c
+++ b/core/vm_signals.c
@@ -160,7 +160,7 @@
 
 /* ---- received signals ---- */
 
-/* A VM never stops leaving. */
+/* Leaving is final for an incarnation. */
 static bool set_leaving(struct rk_vm_signal *v, bool own, int64_t now_ms)
 {
     if (v->leaving)
--- a/core/vm_signals.h
+++ b/core/vm_signals.h
@@ -103,7 +103,8 @@
  * RK_VM_..._CHANGED bits. */
 unsigned rk_vm_signal_hear(struct rk_vm_signal *v,
                            const struct rk_vm_said *advertised, int64_t now_ms);
-/* Removes records for which no signal was received for long. */
+/* Removes records for which no signal was received for 120 s and whose cooldown has
+ * ended. */
 void rk_vm_signals_forget(struct rk_vm_signals *s, int64_t now_ms);
 /* Returns the number of records. */
 size_t rk_vm_signals_len(const struct rk_vm_signals *s);
