--- a/serve/attempts.c
+++ b/serve/attempts.c
@@ -1,5 +1,6 @@
-/* Attempts of an exchange at upstreams: begun when the router says where, ended
- * with a verdict, retried or resumed as that allows. */
+/* Attempts of an exchange at upstreams. An attempt starts when the router has
+ * chosen a VM and ends with a verdict, which decides whether the call is retried,
+ * resumed or ended. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,15 +13,17 @@
 #include "services/attempt.h"
 
 #define MAX_ATTEMPTS 8
-/* A call under which so many VMs were lost, without notice, may be what ends them:
- * each takes its other calls along. */
-#define LOST_VMS_MAX   3
-#define FIRST_REFUSAL  300 /* HTTP status */
-#define COLLECT_MAX    (1024 * 1024)
-#define SPARE_EVERY_MS 100
-#define RECHECK_MS     25
+/* A call whose attempts ended with the unannounced loss of this many VMs may itself
+ * crash them. It is not retried further, since each crash also breaks the VM's
+ * other calls. */
+#define UNANNOUNCED_LOSSES_MAX 3
+#define FIRST_ERROR_STATUS                                                         \
+    300 /* HTTP status; such an answer is no loss of the VM */
+#define ANSWER_TEXT_MAX     (1024 * 1024)
+#define SPARE_INTERVAL_MS   100
+#define RECHECK_INTERVAL_MS 25
 
-static void finish_whole(struct rk_exchange *x, int status)
+static void finish_ok(struct rk_exchange *x, int status)
 {
     struct rk_outcome o = {.status = status, .verdict = RK_RAN, .whole = true};
     rk_exchange_finish(x, &o);
@@ -31,30 +34,33 @@
     if (!x->req.stream) {
         struct rk_buf b = {0};
         rk_completion_answer(&b, x->req.id, x->policy.model, x->req.chat,
-                             x->collected.data ? x->collected.data : "",
+                             x->answer_text.data ? x->answer_text.data : "",
                              x->prompt.tokens, x->stream.next);
-        rk_exchange_give_body(x, 200, "application/json", b.data, b.len);
+        rk_exchange_deliver_body(x, 200, "application/json", b.data, b.len);
         rk_buf_free(&b);
     }
-    finish_whole(x, 200);
+    finish_ok(x, 200);
 }
 
 static void log_attempt(const struct rk_exchange *x, const char *event,
-                        const char *at, const char *verdict, const char *detail)
+                        const char *vm_id, const char *verdict, const char *detail)
 {
     RK_EVENT(event, RK_S("request", x->req.id), RK_N("attempt", x->attempts),
-             RK_S("at", at), RK_S("verdict", verdict),
+             RK_S("at", vm_id), RK_S("verdict", verdict),
              RK_N("next_token", x->stream.next), RK_S("detail", detail));
 }
 
-/* After a failed attempt: may another one go out? */
+/* Returns true if another attempt may follow a failed one. Takes a retry from the
+ * budget where one is needed. */
 static bool may_retry(struct rk_exchange *x, enum rk_verdict v, bool overload)
 {
-    if (x->attempts >= MAX_ATTEMPTS || x->lost_vms >= LOST_VMS_MAX ||
+    if (x->attempts >= MAX_ATTEMPTS ||
+        x->unannounced_losses >= UNANNOUNCED_LOSSES_MAX ||
         !rk_verdict_allows_retry(v, x->policy.repeatable))
         return false;
-    /* A lost vm asks for no budget: its work must go somewhere. A refusal or a
-     * silence does: a retry there adds load to load. */
+    /* After the loss of a VM a retry is free, because its work has to run
+     * somewhere. After a refusal or a time-out it costs budget, because it adds
+     * load to an overloaded service. */
     if (!overload || rk_budget_spend(&x->t->budget))
         return true;
     rk_count(RK_C_RETRY_DENIED, 1);
@@ -68,8 +74,8 @@
     const struct rk_refusal_contract contract = {.refusal_not_run =
                                                      x->policy.refusal_not_run};
     enum rk_verdict v = rk_verdict_of(end, &contract);
-    const char *at = rk_router_vm_id(x->t->router, x->job.vm);
-    log_attempt(x, "attempt.failed", at, rk_verdict_str(v), detail);
+    const char *vm_id = rk_router_vm_id(x->t->router, x->job.vm);
+    log_attempt(x, "attempt.failed", vm_id, rk_verdict_str(v), detail);
     if (end->rest_ms > 0)
         rk_router_rest(x->t->router, &x->job, end->rest_ms, rk_mono_ms());
     snprintf(x->detail, sizeof(x->detail), "%s", detail);
@@ -77,8 +83,8 @@
     bool leaving = rk_router_vm_leaving(x->t->router, x->job.vm);
     bool overload =
         end->http_status || (end->handed && !leaving && !x->stream.next);
-    bool refused = end->http_status >= FIRST_REFUSAL;
-    x->lost_vms += end->handed && !end->answered && !refused && !leaving;
+    bool refused = end->http_status >= FIRST_ERROR_STATUS;
+    x->unannounced_losses += end->handed && !end->answered && !refused && !leaving;
     if (!x->sink && v != RK_NOT_RUN) {
         rk_exchange_give_up(x, 504, 0, x->detail);
         return;
@@ -95,7 +101,7 @@
     rk_router_retry(x->t->router, &x->job, rk_mono_ms());
     x->state = X_QUEUED;
     if (!rk_router_can_serve(x->t->router, &x->job))
-        rk_exchange_leave_domain(x, end->handed);
+        rk_exchange_reroute(x, end->handed);
 }
 
 static bool on_chunk(void *ctx, const struct rk_chunk *chunk, const char *raw)
@@ -110,15 +116,15 @@
         return false;
     rk_count(RK_C_TOKENS, 1);
     if (!x->req.stream) {
-        x->collected.max = COLLECT_MAX;
-        return rk_buf_addstr(&x->collected, chunk->text);
+        x->answer_text.max = ANSWER_TEXT_MAX;
+        return rk_buf_addstr(&x->answer_text, chunk->text);
     }
     struct rk_part part = {.status = 200,
                            .content_type = "text/event-stream",
                            .index = index,
                            .data = raw,
                            .len = strlen(raw)};
-    rk_exchange_give_part(x, &part);
+    rk_exchange_deliver_part(x, &part);
     return true;
 }
 
@@ -157,7 +163,7 @@
         enum rk_verdict v = rk_verdict_of(&a->end, &contract);
         log_attempt(x, "attempt.whole", rk_router_vm_id(t->router, x->job.vm),
                     rk_verdict_str(v), "");
-        rk_exchange_give_body(x, status, a->content_type, a->body, a->len);
+        rk_exchange_deliver_body(x, status, a->content_type, a->body, a->len);
         struct rk_outcome o = {.status = status, .verdict = v, .whole = true};
         rk_exchange_finish(x, &o);
     } else {
@@ -175,7 +181,7 @@
 {
     if (x->stream.next)
         rk_count(RK_C_RESUMES, 1);
-    if (x->stream.next && x->kv_came) {
+    if (x->stream.next && x->kv_imported) {
         rk_count(RK_C_KV_MOVES, 1);
     } else if (x->stream.next) {
         rk_count(RK_C_RECOMPUTED,
@@ -197,36 +203,38 @@
         rk_engine_attempt_start(x->t->loop, x->t->http, &spec, &engine_handlers, x);
 }
 
-/* An import on its way, found again by the exchange's id. */
-struct import {
+/* A KV cache import in progress. The exchange may end meanwhile, so it is looked up
+ * by id. */
+struct kv_import {
     struct rk_traffic *t;
     uint64_t id;
 };
 
-static void on_imported(void *ctx, enum rk_status st)
+static void on_kv_imported(void *ctx, enum rk_status st)
 {
-    struct import *i = ctx;
+    struct kv_import *i = ctx;
     struct rk_exchange *x = rk_exchange_find(i->t, i->id);
-    if (x && x->state == X_MOVING) {
-        x->kv_came = st == RK_OK;
-        RK_EVENT("kv.moved", RK_S("request", x->req.id), RK_N("whole", x->kv_came));
+    if (x && x->state == X_IMPORTING) {
+        x->kv_imported = st == RK_OK;
+        RK_EVENT("kv.moved", RK_S("request", x->req.id),
+                 RK_N("whole", x->kv_imported));
         x->state = X_SENT;
         start_engine(x);
     }
     free(i);
 }
 
-/* Fetch the stream's KV cache from the vm that goes, while there is time; then,
- * with or without it, resume. */
-static void import_kv(struct rk_exchange *x)
+/* Makes the new VM fetch the stream's KV cache from the VM that is about to be
+ * reclaimed, then resumes the stream, whether or not the import succeeded. */
+static void start_kv_import(struct rk_exchange *x)
 {
-    struct import *i = rk_alloc(1, sizeof(*i));
-    *i = (struct import){.t = x->t, .id = x->id};
-    x->state = X_MOVING;
+    struct kv_import *i = rk_alloc(1, sizeof(*i));
+    *i = (struct kv_import){.t = x->t, .id = x->id};
+    x->state = X_IMPORTING;
     rk_engine_kv_import(x->t->http, rk_router_vm_addr(x->t->router, x->job.vm),
-                        x->moved_from, x->req.id, x->completion.upstream_body,
-                        x->move_by_ms - rk_mono_ms(), on_imported, i);
-    x->moved_from[0] = '\0';
+                        x->kv_source_addr, x->req.id, x->completion.upstream_body,
+                        x->kv_source_until_ms - rk_mono_ms(), on_kv_imported, i);
+    x->kv_source_addr[0] = '\0';
 }
 
 static void start_service(struct rk_exchange *x)
@@ -251,8 +259,9 @@
 
 static void send_attempt(struct rk_exchange *x)
 {
-    /* A pause may have come between the decision and now: past its deadline a
-     * claimed key may be forgotten elsewhere, so nothing is sent any more. */
+    /* The thread may have been paused since the router's decision. After the
+     * deadline the claim of a key may have expired at other nodes, so nothing is
+     * sent. */
     if (rk_mono_ms() >= x->deadline_ms) {
         rk_exchange_give_up(x, 504, 0, "the deadline passed before it was sent");
         return;
@@ -268,9 +277,10 @@
     rk_count(RK_C_ATTEMPTS, 1);
     log_attempt(x, "attempt.start", rk_router_vm_id(x->t->router, x->job.vm), "",
                 "");
-    x->kv_came = false;
-    if (x->policy.engine && x->moved_from[0] && x->move_by_ms > rk_mono_ms())
-        import_kv(x);
+    x->kv_imported = false;
+    if (x->policy.engine && x->kv_source_addr[0] &&
+        x->kv_source_until_ms > rk_mono_ms())
+        start_kv_import(x);
     else if (x->policy.engine)
         start_engine(x);
     else
@@ -279,7 +289,7 @@
 
 static void publish_spare(struct rk_traffic *t, int64_t now_ms)
 {
-    if (now_ms - t->spare_ms < SPARE_EVERY_MS)
+    if (now_ms - t->spare_ms < SPARE_INTERVAL_MS)
         return;
     t->spare_ms = now_ms;
     atomic_store_explicit(&t->spare, rk_router_spare(t->router),
@@ -294,5 +304,5 @@
         send_attempt((struct rk_exchange *)((char *)job -
                                             offsetof(struct rk_exchange, job)));
     if (!t->recheck.slot && rk_router_waiting(t->router))
-        rk_timer_start(t->loop, &t->recheck, RECHECK_MS);
+        rk_timer_start(t->loop, &t->recheck, RECHECK_INTERVAL_MS);
 }
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -14,10 +14,10 @@
 #include "serve/view.h"
 #include "services/attempt.h"
 
-#define ID_BUCKETS      4096
-#define KEPT_ANSWER_MAX (64 * 1024)
-#define MOVE_MARGIN_MS  500   /* before a reclaim, for the move itself */
-#define DETACHED_MS     60000 /* how long a call runs on without its caller */
+#define ID_BUCKETS          4096
+#define REPLAY_BODY_MAX     (64 * 1024)
+#define MOVE_MARGIN_MS      500   /* time reserved for the move itself */
+#define DETACHED_TIMEOUT_MS 60000 /* for a call without a caller */
 
 /* ---- table ---- */
 
@@ -64,8 +64,8 @@
     rk_timer_stop(t->loop, &x->deadline);
     rk_request_free(&x->req);
     free(x->completion.upstream_body);
-    rk_buf_free(&x->collected);
-    rk_buf_free(&x->kept);
+    rk_buf_free(&x->answer_text);
+    rk_buf_free(&x->replay_body);
     free(x);
 }
 
@@ -81,7 +81,7 @@
         rk_count(RK_C_REFUSED_MAYBE, 1);
 }
 
-static void tell_end(struct rk_exchange *x, const struct rk_outcome *o)
+static void report_outcome(struct rk_exchange *x, const struct rk_outcome *o)
 {
     if (!x->sink)
         return;
@@ -98,33 +98,36 @@
     sink->end(x->sink_ctx, o);
 }
 
-static void settle_claim(struct rk_exchange *x, const struct rk_outcome *o)
+/* Reports the call's outcome to the claim of its key, with the answer to
+ * replay. */
+static void finish_claim(struct rk_exchange *x, const struct rk_outcome *o)
 {
     if (!x->claimed)
         return;
-    struct rk_answer answer = {
-        .status = x->kept_status, .body = x->kept.data, .len = x->kept.len};
-    rk_strcpy(answer.content_type, sizeof(answer.content_type), x->kept_type);
-    bool keep = o->whole && x->kept.data;
+    struct rk_answer answer = {.status = x->replay_status,
+                               .body = x->replay_body.data,
+                               .len = x->replay_body.len};
+    rk_strcpy(answer.content_type, sizeof(answer.content_type), x->replay_type);
+    bool keep = o->whole && x->replay_body.data;
     x->t->opt.claims.finish(x->t->opt.claims.ctx, x->shard, x->key, o->verdict,
                             keep ? &answer : NULL, o->retry_after_ms);
 }
 
-/* The exchange is over; x is gone after this. */
 void rk_exchange_finish(struct rk_exchange *x, const struct rk_outcome *outcome)
 {
     struct rk_traffic *t = x->t;
     if (x->state == X_CLAIMING && x->claim_wanted && !x->claimed)
         t->opt.claims.cancel(t->opt.claims.ctx, t->opt.index, x->id, x->shard);
     rk_router_end(t->router, &x->job, false, rk_mono_ms());
-    settle_claim(x, outcome);
-    tell_end(x, outcome);
+    finish_claim(x, outcome);
+    report_outcome(x, outcome);
     free_exchange(x);
 }
 
-/* Is the call one whose key an earlier arrival may have run, for all this node
- * knows? Before its settings are found (or without them) any keyed call is. */
-static bool key_is_unknown(const struct rk_exchange *x)
+/* Returns true if an earlier arrival of the call's key may have run, as far as this
+ * node can tell. That holds for any keyed call whose service is not determined
+ * yet. */
+static bool key_state_unknown(const struct rk_exchange *x)
 {
     if (!x->req.key[0] || x->req.claimed || x->claimed || x->ever_sent)
         return false;
@@ -136,7 +139,7 @@
 {
     struct rk_outcome o = {
         .status = status,
-        .verdict = key_is_unknown(x) ? RK_MAY_HAVE_RUN : x->verdict,
+        .verdict = key_state_unknown(x) ? RK_MAY_HAVE_RUN : x->verdict,
         .not_sent = !x->ever_sent,
         .retry_after_ms = retry_after_ms,
         .detail = detail,
@@ -146,45 +149,45 @@
 
 /* ---- answers ---- */
 
-static void keep_part(struct rk_exchange *x, const struct rk_part *part)
+static void record_for_replay(struct rk_exchange *x, const struct rk_part *part)
 {
     if (!x->claimed)
         return;
-    x->kept.max = KEPT_ANSWER_MAX;
-    x->kept_status = part->status;
-    rk_strcpy(x->kept_type, sizeof(x->kept_type), part->content_type);
-    if (!rk_buf_add(&x->kept, part->data, part->len))
-        rk_buf_free(&x->kept);
+    x->replay_body.max = REPLAY_BODY_MAX;
+    x->replay_status = part->status;
+    rk_strcpy(x->replay_type, sizeof(x->replay_type), part->content_type);
+    if (!rk_buf_add(&x->replay_body, part->data, part->len))
+        rk_buf_free(&x->replay_body);
 }
 
-void rk_exchange_give_part(struct rk_exchange *x, const struct rk_part *part)
+void rk_exchange_deliver_part(struct rk_exchange *x, const struct rk_part *part)
 {
-    keep_part(x, part);
-    x->part_sent = true;
+    record_for_replay(x, part);
+    x->sink_has_data = true;
     if (x->sink)
         x->sink->part(x->sink_ctx, part);
 }
 
-void rk_exchange_give_body(struct rk_exchange *x, int status, const char *type,
-                           const char *body, size_t len)
+void rk_exchange_deliver_body(struct rk_exchange *x, int status, const char *type,
+                              const char *body, size_t len)
 {
     struct rk_part part = {.status = status,
                            .content_type = type,
                            .index = -1,
                            .data = body,
                            .len = len};
-    rk_exchange_give_part(x, &part);
+    rk_exchange_deliver_part(x, &part);
 }
 
 /* ---- claims ---- */
 
-static void ask_claim(struct rk_exchange *x)
+static void request_claim(struct rk_exchange *x)
 {
     x->state = X_CLAIMING;
     struct rk_claim_port *port = &x->t->opt.claims;
     if (!port->ask(port->ctx, x->t->opt.index, x->id, x->shard, x->key,
                    x->policy.claims_local)) {
-        x->state = X_QUEUED; /* nothing to cancel */
+        x->state = X_QUEUED; /* there is no claim request to cancel */
         rk_exchange_give_up(x, 503, RK_OVERLOAD_RETRY_MS, "too many claims wait");
     }
 }
@@ -207,8 +210,8 @@
                            .whole = true,
                            .not_sent = true,
                            .replayed = true};
-    rk_exchange_give_body(x, r->answer.status, r->answer.content_type,
-                          r->answer.body, r->answer.len);
+    rk_exchange_deliver_body(x, r->answer.status, r->answer.content_type,
+                             r->answer.body, r->answer.len);
     rk_exchange_finish(x, &o);
 }
 
@@ -249,22 +252,22 @@
     rk_exchange_dispatch(t);
 }
 
-/* The key's owner is asked first; this node if it is the owner, or if the owner
- * can't be reached. */
+/* Asks the owner of the key's shard for the claim by forwarding the call to it. The
+ * claim is made here if this node is the owner or the owner cannot be reached. */
 static void claim_or_forward(struct rk_exchange *x)
 {
     const struct rk_view *v = rk_traffic_view(x->t);
     int owner = v->shard_owner[x->shard % RK_MAX_SHARDS];
-    bool here = owner < 0 || x->no_owner || x->req.hops >= RK_MAX_HOPS;
+    bool here = owner < 0 || x->owner_unreachable || x->req.hops >= RK_MAX_HOPS;
     if (x->req.to_owner)
         here =
             here || !strcmp(v->peers[owner].domain, v->domain) || x->req.hops > 1;
     if (!here && rk_exchange_forward(x, &v->peers[owner], true))
         return;
-    ask_claim(x);
+    request_claim(x);
 }
 
-void rk_exchange_run(struct rk_exchange *x)
+void rk_exchange_claim_or_queue(struct rk_exchange *x)
 {
     if (x->claim_wanted)
         claim_or_forward(x);
@@ -272,9 +275,10 @@
         rk_exchange_queue(x);
 }
 
-/* ---- beginning ---- */
+/* ---- start and abort ---- */
 
-/* Stop what is under way and end with what can be said for sure. */
+/* Cancels the attempt in progress and ends the call with the verdict that is
+ * certain. */
 static void abandon(struct rk_exchange *x, int status, const char *detail)
 {
     struct rk_traffic *t = x->t;
@@ -300,16 +304,16 @@
         abandon(x, 504, "the deadline passed");
         return;
     }
-    /* The caller gets its final answer now; the call runs on, so that a repeat
-     * of its key can be told what became of it. */
+    /* The caller gets its final answer now. The call keeps running, so that a
+     * repeat of its key can be answered with the outcome. */
     struct rk_outcome o = {.status = 504,
                            .verdict = RK_MAY_HAVE_RUN,
                            .detail = "the deadline passed; it may have run"};
-    tell_end(x, &o);
-    rk_timer_start(x->t->loop, &x->deadline, DETACHED_MS);
+    report_outcome(x, &o);
+    rk_timer_start(x->t->loop, &x->deadline, DETACHED_TIMEOUT_MS);
 }
 
-/* Refuse before anything was looked up or claimed. */
+/* Ends a call with an input error, before it is claimed or queued. */
 static struct rk_exchange *reject(struct rk_exchange *x, int status,
                                   const char *detail)
 {
@@ -336,7 +340,7 @@
     return rk_config_model(cfg, x->completion.model);
 }
 
-static void choose_class(struct rk_exchange *x, const struct rk_org *org)
+static void apply_default_class(struct rk_exchange *x, const struct rk_org *org)
 {
     if (!x->req.cls[0])
         rk_strcpy(x->req.cls, sizeof(x->req.cls), org->default_class);
@@ -422,7 +426,7 @@
     const struct rk_org *org = rk_config_org(cfg, x->req.org);
     if (!org)
         return reject(x, 403, "unknown organisation");
-    choose_class(x, org);
+    apply_default_class(x, org);
     const struct rk_class *cls = rk_config_class(cfg, x->req.cls);
     if (x->req.cls[0] && !cls)
         return reject(x, 400, "unknown priority class");
@@ -432,7 +436,7 @@
     fill_job(x);
     rk_budget_earn(&t->budget, cfg->retry_budget_pct);
     uint64_t id = x->id;
-    rk_exchange_run(x);
+    rk_exchange_claim_or_queue(x);
     rk_exchange_dispatch(t);
     return rk_exchange_find(t, id);
 }
@@ -444,7 +448,7 @@
     RK_EVENT("call.cancelled", RK_S("request", x->req.id));
     bool runs_on = (x->service || x->state == X_FORWARDED) && !x->policy.repeatable;
     if (runs_on) {
-        rk_timer_start(t->loop, &x->deadline, DETACHED_MS);
+        rk_timer_start(t->loop, &x->deadline, DETACHED_TIMEOUT_MS);
         return;
     }
     abandon(x, 499, "the caller is gone");
@@ -466,31 +470,36 @@
     abandon(x, 499, "this node stops");
 }
 
-/* ---- the world changes ---- */
+/* ---- view changes and shutdown ---- */
 
-/* Would the rest of the answer come too late for the vm's reclaim? */
-static bool must_move(const struct rk_exchange *x, const struct rk_vm *row,
-                      int64_t wall_ms)
+/* Returns true if the VM will be reclaimed before the remaining tokens are
+ * generated. */
+static bool outlasts_vm(const struct rk_exchange *x, const struct rk_vm *row,
+                        int64_t wall_ms)
 {
     if (!x->engine || !x->policy.repeatable || !row->leave_at_ms)
         return false;
-    int64_t left = x->completion.max_tokens - x->stream.next;
-    int64_t needs = (int64_t)(x->policy.token_ms * (double)left) + MOVE_MARGIN_MS;
-    return wall_ms + needs > (int64_t)row->leave_at_ms;
+    int64_t tokens_left = x->completion.max_tokens - x->stream.next;
+    int64_t needed_ms =
+        (int64_t)(x->policy.token_ms * (double)tokens_left) + MOVE_MARGIN_MS;
+    return wall_ms + needed_ms > (int64_t)row->leave_at_ms;
 }
 
-static void move(struct rk_exchange *x, const struct rk_vm *row, int64_t wall_ms)
+/* Cancels the attempt and resumes the stream at another VM, which may fetch the KV
+ * cache from the old one until that is reclaimed. */
+static void move_before_reclaim(struct rk_exchange *x, const struct rk_vm *row,
+                                int64_t wall_ms)
 {
     if (x->policy.kv_move)
-        rk_strcpy(x->moved_from, sizeof(x->moved_from), row->addr);
-    x->move_by_ms = rk_mono_ms() + (int64_t)row->leave_at_ms - wall_ms;
+        rk_strcpy(x->kv_source_addr, sizeof(x->kv_source_addr), row->addr);
+    x->kv_source_until_ms = rk_mono_ms() + (int64_t)row->leave_at_ms - wall_ms;
     rk_engine_attempt_cancel(x->engine);
     x->engine = NULL;
     struct rk_attempt_end end = {.handed = true};
     rk_exchange_attempt_failed(x, &end, "moved before a reclaim");
 }
 
-static const struct rk_vm *find_row(const struct rk_view *v, const char *id)
+static const struct rk_vm *find_vm_row(const struct rk_view *v, const char *id)
 {
     for (size_t i = 0; i < v->vms_len; i++)
         if (!strcmp(v->vms[i].id, id))
@@ -506,21 +515,21 @@
         next = x->next;
         if (x->state == X_SENT && rk_router_vm_leaving(t->router, x->job.vm)) {
             const struct rk_vm *row =
-                find_row(v, rk_router_vm_id(t->router, x->job.vm));
-            if (row && must_move(x, row, wall_ms))
-                move(x, row, wall_ms);
+                find_vm_row(v, rk_router_vm_id(t->router, x->job.vm));
+            if (row && outlasts_vm(x, row, wall_ms))
+                move_before_reclaim(x, row, wall_ms);
         } else if (x->state == X_QUEUED && x->job.svc) {
-            /* The last vm of its service may have left. */
+            /* The last VM of the service may have left. */
             if (!rk_router_can_serve(t->router, &x->job)) {
                 snprintf(x->detail, sizeof(x->detail), "no upstream vm is live");
-                rk_exchange_leave_domain(x, false);
+                rk_exchange_reroute(x, false);
             }
         }
     }
     rk_exchange_dispatch(t);
 }
 
-void rk_exchange_hand_over(struct rk_traffic *t)
+void rk_exchange_end_resumable(struct rk_traffic *t)
 {
     for (struct rk_exchange *x = t->exchanges, *next; x; x = next) {
         next = x->next;
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -1,5 +1,9 @@
-/* One call from its arrival to its end: claim, queue, attempts, retries,
- * resumes, forwards, and the one outcome its sink gets. Traffic thread only. */
+/* Life cycle of one call on a traffic thread: it is claimed if required, queued,
+ * attempted, retried, resumed or forwarded to a peer, and its sink gets exactly one
+ * outcome.
+ *
+ *
+ * Traffic thread only. */
 #ifndef RK_SERVE_EXCHANGE_H
 #define RK_SERVE_EXCHANGE_H
 
@@ -11,33 +15,51 @@
 struct rk_exchange;
 struct rk_claim_reply;
 
-/* Takes the request's body over. The sink is told the end exactly once, maybe
- * before this returns (then NULL is returned). */
+/* Starts a call. Takes ownership of the request's body. The sink's end() is called
+ * exactly once, possibly before this function returns; it then returns NULL. The
+ * exchange frees itself when the call ends. */
 struct rk_exchange *rk_exchange_start(struct rk_traffic *t,
                                       struct rk_request *request,
                                       const struct rk_sink *sink, void *ctx);
 
-/* Whoever asked is gone: the sink is not called any more. A call that may not
- * be repeated and is under way runs on, so that its end is known. */
+/* Detaches the sink because the caller is gone; no sink callback comes any more. A
+ * non-repeatable call that is at a plain service or at a peer keeps running for up
+ * to 60 s, so that its outcome is recorded for its key. Any other call ends at
+ * once. */
 void rk_exchange_cancel(struct rk_exchange *x);
 
-/* Does its caller get the answer as a stream? */
+/* Returns true if the caller receives the answer as a stream. */
 bool rk_exchange_is_stream(const struct rk_exchange *x);
 
-/* For traffic.c. */
-void rk_exchange_abort(struct rk_exchange *x); /* the node ends */
+/* ---- used by traffic.c ---- */
+/* Ends the call without notifying its sink, because the traffic thread shuts
+ * down. */
+void rk_exchange_abort(struct rk_exchange *x);
+/* Continues a call that waits for its claim with the decision in r. Ignored when
+ * the call no longer waits for one. r stays the caller's. */
 void rk_exchange_claim_decided(struct rk_exchange *x,
                                const struct rk_claim_reply *r);
+/* Applies a new view to all calls of the thread: moves streams away from VMs that
+ * will be reclaimed before they end, and reroutes queued calls whose service has no
+ * live VM left. */
 void rk_exchange_view_changed(struct rk_traffic *t);
-void rk_exchange_hand_over(struct rk_traffic *t);
+/* Ends all repeatable streams with an outcome that lets the caller resume them at
+ * another node. */
+void rk_exchange_end_resumable(struct rk_traffic *t);
+/* Sends every queued call that the router can place now. */
 void rk_exchange_dispatch(struct rk_traffic *t);
+/* Returns the call's id, which is unique within the thread. */
 uint64_t rk_exchange_id(const struct rk_exchange *x);
+/* Returns the exchange with this id, or NULL if it has ended. */
 struct rk_exchange *rk_exchange_find(struct rk_traffic *t, uint64_t id);
 
-/* For forward.c: what came back of a call handed to a peer. lost: the link
- * broke, the outcome's verdict says whether the call may have left. */
-void rk_exchange_peer_part(struct rk_exchange *x, const struct rk_part *part);
-void rk_exchange_peer_end(struct rk_exchange *x, const struct rk_outcome *outcome,
-                          bool lost);
+/* ---- used by forward.c ---- */
+/* Delivers a part of the answer that a peer sent for a forwarded call. */
+void rk_exchange_on_peer_part(struct rk_exchange *x, const struct rk_part *part);
+/* Ends a forwarded call, or queues it here again. lost: the link to the peer
+ * broke; the verdict of the outcome then says whether the call may have reached the
+ * peer. */
+void rk_exchange_on_peer_end(struct rk_exchange *x,
+                             const struct rk_outcome *outcome, bool lost);
 
 #endif
--- a/serve/exchange_impl.h
+++ b/serve/exchange_impl.h
@@ -1,5 +1,5 @@
-/* What the files of an exchange share: its struct, and the steps one file asks
- * of another. Not for others. Traffic thread only. */
+/* Internals of an exchange, shared by exchange.c, attempts.c and placement.c: its
+ * struct and the steps that one file calls in another. Traffic thread only. */
 #ifndef RK_SERVE_EXCHANGE_IMPL_H
 #define RK_SERVE_EXCHANGE_IMPL_H
 
@@ -9,92 +9,102 @@
 #include "serve/exchange.h"
 #include "serve/traffic.h"
 
-#define RK_OVERLOAD_RETRY_MS 1000 /* when to come back after a refusal */
-#define RK_DETAIL_MAX        160
+#define RK_OVERLOAD_RETRY_MS 1000 /* Retry-After of a refusal */
+#define RK_DETAIL_MAX        160  /* bytes of a reason, with its NUL */
 
 struct rk_engine_attempt;
 struct rk_service_attempt;
 struct rk_attempt_end;
 struct rk_member;
 
-enum state {
+enum exchange_state {
     X_CLAIMING,
     X_QUEUED,
-    X_MOVING,    /* its KV cache is on its way to the next upstream */
-    X_SENT,      /* at an upstream */
-    X_FORWARDED, /* at a peer */
+    X_IMPORTING, /* waits for the KV cache to be copied to the next VM */
+    X_SENT,      /* at an upstream VM */
+    X_FORWARDED, /* at a peer node */
 };
 
 struct rk_exchange {
     struct rk_traffic *t;
     uint64_t id;
-    struct rk_exchange *next, **prev; /* among all */
+    struct rk_exchange *next, **prev; /* list of all exchanges of the thread */
     struct rk_exchange *next_by_id;
     struct rk_request req;
-    const struct rk_sink *sink; /* NULL: nobody listens any more */
+    /* NULL once the outcome is reported or the caller is gone */
+    const struct rk_sink *sink;
     void *sink_ctx;
     struct rk_policy policy;
     struct rk_completion completion;
     struct rk_prompt prompt;
     struct rk_job job;
-    enum state state;
+    enum exchange_state state;
     struct rk_timer deadline;
     int64_t started_ms, deadline_ms;
-    bool claimed;      /* this node holds the key's claim */
-    bool claim_wanted; /* the call must be claimed before it runs */
+    bool claimed;      /* this node holds the claim of the key */
+    bool claim_wanted; /* the call must not run before it is claimed */
     struct rk_claim_key key;
     uint32_t shard;
     int attempts, spills;
-    int lost_vms;  /* that broke off while they had it, and weren't told to leave */
-    bool no_owner; /* the owner couldn't be reached: claim here */
-    enum rk_verdict verdict; /* of all attempts so far */
+    /* attempts that broke off at a VM that had not announced its end */
+    int unannounced_losses;
+    bool owner_unreachable;  /* no answer from the shard's owner: claim here */
+    enum rk_verdict verdict; /* joined over all attempts so far */
     bool ever_sent;
     struct rk_stream stream;
-    bool part_sent;               /* the sink got something */
-    char moved_from[RK_ADDR_MAX]; /* whence its KV cache can be fetched; "" */
-    bool kv_came;                 /* to the vm it is sent to now */
-    int64_t move_by_ms;           /* when that vm goes, monotonic */
+    bool sink_has_data; /* a part was delivered */
+    /* VM that still has the stream's KV cache; "": none */
+    char kv_source_addr[RK_ADDR_MAX];
+    bool kv_imported;           /* at the VM that gets the current attempt */
+    int64_t kv_source_until_ms; /* monotonic time at which that VM is reclaimed */
     struct rk_engine_attempt *engine;
     struct rk_service_attempt *service;
     char peer[RK_ID_MAX];
-    struct rk_buf collected; /* text of an answer that isn't streamed */
-    char kept_type[RK_CTYPE_MAX];
-    struct rk_buf kept; /* a claimed call's answer, for repeats */
-    int kept_status;
+    struct rk_buf answer_text; /* of a completion that is not streamed */
+    char replay_type[RK_CTYPE_MAX];
+    /* answer of a claimed call, kept for repeats of its key */
+    struct rk_buf replay_body;
+    int replay_status;
     char detail[RK_DETAIL_MAX];
 };
 
-/* exchange.c: ends. The exchange is gone after rk_exchange_finish(),
- * rk_exchange_give_up(), and what calls them. */
+/* exchange.c: ends. The exchange is freed by rk_exchange_finish(), by
+ * rk_exchange_give_up(), and by every function that calls one of them. */
+/* Settles the claim, reports the outcome to the sink and frees the exchange. */
 void rk_exchange_finish(struct rk_exchange *x, const struct rk_outcome *outcome);
 
-/* Refuse or give up with a verdict. A keyed call that was not claimed here can't
- * say "not run" for its key. */
+/* Ends the call with an error status and the joined verdict. A keyed call that is
+ * not claimed here never reports "not run", since an earlier arrival of its key may
+ * have run. retry_after_ms 0: no Retry-After. */
 void rk_exchange_give_up(struct rk_exchange *x, int status, int64_t retry_after_ms,
                          const char *detail);
 
-/* exchange.c: parts of the answer on their way to the sink. */
-void rk_exchange_give_part(struct rk_exchange *x, const struct rk_part *part);
-void rk_exchange_give_body(struct rk_exchange *x, int status, const char *type,
-                           const char *body, size_t len);
+/* exchange.c: deliver a part, or a whole body, of the answer to the sink. Answers
+ * of claimed calls are also recorded for repeats of the key. */
+void rk_exchange_deliver_part(struct rk_exchange *x, const struct rk_part *part);
+void rk_exchange_deliver_body(struct rk_exchange *x, int status, const char *type,
+                              const char *body, size_t len);
 
-/* exchange.c: claim the call if it must be, then queue it. */
-void rk_exchange_run(struct rk_exchange *x);
+/* exchange.c: claims the call if that is required, else queues it. */
+void rk_exchange_claim_or_queue(struct rk_exchange *x);
 
-/* attempts.c: an attempt at an upstream failed; retry, resume or give up. */
+/* attempts.c: handles a failed attempt at an upstream: the call is retried,
+ * resumed, rerouted or ended. detail is copied. */
 void rk_exchange_attempt_failed(struct rk_exchange *x,
                                 const struct rk_attempt_end *end,
                                 const char *detail);
 
-/* placement.c: queue the call here, or hand it to another failure domain. */
+/* placement.c: queues the call here. When the router refuses it for want of a VM or
+ * of time, it is forwarded to another failure domain or ended. */
 void rk_exchange_queue(struct rk_exchange *x);
 
-/* placement.c: no vm here can take the call: another failure domain does, or a vm
- * that failed it once gets another try (reached: the failure was not one of
- * reaching it), or it ends at once, not at its deadline. */
-void rk_exchange_leave_domain(struct rk_exchange *x, bool reached);
+/* placement.c: handles a call that no VM of this failure domain can take. It is
+ * forwarded to another domain with spare capacity. Failing that, a repeatable call
+ * may go again to VMs that failed it, if reached is true (the failed VM had been
+ * reached). Otherwise the call ends now instead of waiting for its deadline. */
+void rk_exchange_reroute(struct rk_exchange *x, bool reached);
 
-/* placement.c: hand the call to a peer. False: nothing was sent. */
+/* placement.c: forwards the call to a peer. Returns false if nothing was sent. */
 bool rk_exchange_forward(struct rk_exchange *x, const struct rk_member *peer,
                          bool to_owner);
 
--- a/serve/forward.c
+++ b/serve/forward.c
@@ -10,9 +10,11 @@
 #include "serve/exchange.h"
 #include "serve/traffic.h"
 
-#define ACK_MS 500 /* silence after which a peer counts as lost for a call */
+/* A peer that has not acknowledged a call within this time counts as lost for it.
+ */
+#define ACK_TIMEOUT_MS 500
 
-/* A call handed out and not ended. */
+/* A forwarded call that has not ended. */
 struct outbound {
     uint64_t id;
     struct rk_forwards *f;
@@ -21,7 +23,7 @@
     struct outbound *next;
 };
 
-/* The link to one peer; goes with its last call or its failure. */
+/* Link to one peer. It is freed when the link goes down. */
 struct peer {
     char id[RK_ID_MAX];
     struct rk_forwards *f;
@@ -30,15 +32,15 @@
     struct peer *next;
 };
 
-/* A call taken from a peer. */
+/* A call received from a peer. */
 struct inbound {
     uint64_t id;
     struct conn *conn;
-    uint64_t exchange; /* its number; it may have ended without a word at a stop */
+    uint64_t exchange; /* id of the exchange, which may already have ended */
     struct inbound *next;
 };
 
-/* A link a peer opened. */
+/* A link opened by a peer. */
 struct conn {
     struct rk_forwards *f;
     struct rk_link *link;
@@ -53,7 +55,7 @@
     struct conn *conns;
 };
 
-/* ---- out ---- */
+/* ---- outbound ---- */
 
 static struct outbound **find_outbound(struct peer *p, uint64_t id)
 {
@@ -63,18 +65,19 @@
     return o;
 }
 
-static bool drop_outbound(struct peer *p, uint64_t id)
+static bool remove_outbound(struct peer *p, uint64_t id)
 {
-    struct outbound **o = find_outbound(p, id), *gone = *o;
-    if (!gone)
+    struct outbound **o = find_outbound(p, id), *removed = *o;
+    if (!removed)
         return false;
-    *o = gone->next;
-    rk_timer_stop(p->f->t->loop, &gone->ack);
-    free(gone);
+    *o = removed->next;
+    rk_timer_stop(p->f->t->loop, &removed->ack);
+    free(removed);
     return true;
 }
 
-static void lose_call(struct rk_forwards *f, uint64_t id, bool may_have_left,
+/* Ends a forwarded call whose outcome never arrived from the peer. */
+static void fail_call(struct rk_forwards *f, uint64_t id, bool may_have_left,
                       const char *detail)
 {
     struct rk_exchange *x = rk_exchange_find(f->t, id);
@@ -86,7 +89,7 @@
         .not_sent = !may_have_left,
         .detail = detail,
     };
-    rk_exchange_peer_end(x, &o, true);
+    rk_exchange_on_peer_end(x, &o, true);
 }
 
 static void send_cancel(struct peer *p, uint64_t id)
@@ -99,19 +102,19 @@
     rk_link_send(p->link, &frame);
 }
 
-static void on_ack_late(void *ctx)
+static void on_ack_timeout(void *ctx)
 {
     struct outbound *o = ctx;
     struct peer *p = o->peer;
     uint64_t id = o->id;
-    bool left = rk_link_was_up(p->link);
+    bool may_have_left = rk_link_was_up(p->link);
     send_cancel(p, id);
-    drop_outbound(p, id);
-    lose_call(p->f, id, left, "the peer doesn't answer");
+    remove_outbound(p, id);
+    fail_call(p->f, id, may_have_left, "the peer doesn't answer");
 }
 
-static void on_out_frame(void *ctx, struct rk_link *link,
-                         const Rillknot__Frame *frame)
+static void on_outbound_frame(void *ctx, struct rk_link *link,
+                              const Rillknot__Frame *frame)
 {
     (void)link;
     struct peer *p = ctx;
@@ -130,11 +133,11 @@
                                      .index = d->index,
                                      .data = (const char *)d->data.data,
                                      .len = d->data.len};
-        rk_exchange_peer_part(x, &part);
+        rk_exchange_on_peer_part(x, &part);
     } else if (frame->body_case == RILLKNOT__FRAME__BODY_FORWARD_END) {
         const Rillknot__ForwardEnd *e = frame->forward_end;
         struct rk_exchange *x = rk_exchange_find(t, e->id);
-        if (!drop_outbound(p, e->id) || !x)
+        if (!remove_outbound(p, e->id) || !x)
             return;
         const struct rk_outcome o = {.status = (int)e->status,
                                      .verdict = e->verdict <= RK_RAN
@@ -146,15 +149,16 @@
                                      .resume = e->resume,
                                      .retry_after_ms = e->retry_after_ms,
                                      .detail = e->detail};
-        rk_exchange_peer_end(x, &o, false);
+        rk_exchange_on_peer_end(x, &o, false);
     }
 }
 
-/* The peer's link is gone, with it the calls handed out over it. */
+/* Frees a peer whose link is down and ends the calls that were forwarded over
+ * it. */
 static void free_peer(struct peer *p)
 {
     struct rk_forwards *f = p->f;
-    bool left = rk_link_was_up(p->link);
+    bool may_have_left = rk_link_was_up(p->link);
     struct outbound *calls = p->calls;
     rk_link_destroy(p->link);
     free(p);
@@ -163,13 +167,13 @@
         uint64_t id = calls->id;
         rk_timer_stop(f->t->loop, &calls->ack);
         free(calls);
-        lose_call(f, id, left,
-                  left ? "the link to the peer broke"
-                       : "the peer can't be reached");
+        fail_call(f, id, may_have_left,
+                  may_have_left ? "the link to the peer broke"
+                                : "the peer can't be reached");
     }
 }
 
-static void on_out_down(void *ctx, struct rk_link *link)
+static void on_outbound_down(void *ctx, struct rk_link *link)
 {
     (void)link;
     struct peer *p = ctx;
@@ -180,10 +184,11 @@
     free_peer(p);
 }
 
-static const struct rk_link_ops out_ops = {.on_frame = on_out_frame,
-                                           .on_down = on_out_down};
+static const struct rk_link_ops outbound_ops = {.on_frame = on_outbound_frame,
+                                                .on_down = on_outbound_down};
 
-static struct peer *peer_link(struct rk_forwards *f, const struct rk_member *m)
+/* Returns the link to a peer, opened if there is none yet; NULL on failure. */
+static struct peer *connect_peer(struct rk_forwards *f, const struct rk_member *m)
 {
     struct peer *p = f->peers;
     while (p && strcmp(p->id, m->id) != 0)
@@ -193,7 +198,7 @@
     p = rk_alloc(1, sizeof(*p));
     p->f = f;
     rk_strcpy(p->id, sizeof(p->id), m->id);
-    p->link = rk_link_connect(f->t->loop, m->forward_addr, &out_ops, p);
+    p->link = rk_link_connect(f->t->loop, m->forward_addr, &outbound_ops, p);
     if (!p->link) {
         free(p);
         return NULL;
@@ -206,7 +211,7 @@
 bool rk_forwards_send(struct rk_forwards *f, const struct rk_member *m, uint64_t id,
                       const struct rk_request *r, int64_t deadline_left_ms)
 {
-    struct peer *p = peer_link(f, m);
+    struct peer *p = connect_peer(f, m);
     if (!p)
         return false;
     Rillknot__ForwardBegin b = RILLKNOT__FORWARD_BEGIN__INIT;
@@ -237,9 +242,9 @@
         return false;
     struct outbound *o = rk_alloc(1, sizeof(*o));
     *o = (struct outbound){.id = id, .f = f, .peer = p, .next = p->calls};
-    o->ack = (struct rk_timer){.fn = on_ack_late, .ctx = o};
+    o->ack = (struct rk_timer){.fn = on_ack_timeout, .ctx = o};
     p->calls = o;
-    rk_timer_start(f->t->loop, &o->ack, ACK_MS);
+    rk_timer_start(f->t->loop, &o->ack, ACK_TIMEOUT_MS);
     return true;
 }
 
@@ -248,14 +253,14 @@
     struct peer *p = f->peers;
     while (p && strcmp(p->id, peer) != 0)
         p = p->next;
-    if (!p || !drop_outbound(p, id))
+    if (!p || !remove_outbound(p, id))
         return;
     send_cancel(p, id);
 }
 
-/* ---- in ---- */
+/* ---- inbound ---- */
 
-static void drop_inbound(struct inbound *in)
+static void remove_inbound(struct inbound *in)
 {
     struct inbound **p = &in->conn->calls;
     while (*p != in)
@@ -264,7 +269,7 @@
     free(in);
 }
 
-static void in_part(void *ctx, const struct rk_part *part)
+static void inbound_part(void *ctx, const struct rk_part *part)
 {
     struct inbound *in = ctx;
     Rillknot__ForwardData d = RILLKNOT__FORWARD_DATA__INIT;
@@ -280,7 +285,7 @@
     rk_link_send(in->conn->link, &frame);
 }
 
-static void in_end(void *ctx, const struct rk_outcome *o)
+static void inbound_end(void *ctx, const struct rk_outcome *o)
 {
     struct inbound *in = ctx;
     Rillknot__ForwardEnd e = RILLKNOT__FORWARD_END__INIT;
@@ -297,10 +302,11 @@
     frame.body_case = RILLKNOT__FRAME__BODY_FORWARD_END;
     frame.forward_end = &e;
     rk_link_send(in->conn->link, &frame);
-    drop_inbound(in);
+    remove_inbound(in);
 }
 
-static const struct rk_sink in_sink = {.part = in_part, .end = in_end};
+static const struct rk_sink inbound_sink = {.part = inbound_part,
+                                            .end = inbound_end};
 
 static void send_ack(struct conn *c, uint64_t id)
 {
@@ -312,7 +318,7 @@
     rk_link_send(c->link, &frame);
 }
 
-static void take_call(struct conn *c, const Rillknot__ForwardBegin *b)
+static void accept_call(struct conn *c, const Rillknot__ForwardBegin *b)
 {
     struct rk_request r = {
         .deadline_in_ms = b->deadline_left_ms,
@@ -342,7 +348,7 @@
     c->calls = in;
     rk_count(RK_C_FORWARDED_IN, 1);
     send_ack(c, b->id);
-    struct rk_exchange *x = rk_exchange_start(c->f->t, &r, &in_sink, in);
+    struct rk_exchange *x = rk_exchange_start(c->f->t, &r, &inbound_sink, in);
     if (x)
         in->exchange = rk_exchange_id(x);
 }
@@ -354,13 +360,13 @@
         rk_exchange_cancel(x);
 }
 
-static void on_in_frame(void *ctx, struct rk_link *link,
-                        const Rillknot__Frame *frame)
+static void on_inbound_frame(void *ctx, struct rk_link *link,
+                             const Rillknot__Frame *frame)
 {
     (void)link;
     struct conn *c = ctx;
     if (frame->body_case == RILLKNOT__FRAME__BODY_FORWARD_BEGIN) {
-        take_call(c, frame->forward_begin);
+        accept_call(c, frame->forward_begin);
     } else if (frame->body_case == RILLKNOT__FRAME__BODY_FORWARD_CANCEL) {
         struct inbound *in = c->calls;
         while (in && in->id != frame->forward_cancel->id)
@@ -368,7 +374,7 @@
         if (!in)
             return;
         cancel_inbound(in);
-        drop_inbound(in);
+        remove_inbound(in);
     }
 }
 
@@ -385,7 +391,7 @@
     free(c);
 }
 
-static void on_in_down(void *ctx, struct rk_link *link)
+static void on_inbound_down(void *ctx, struct rk_link *link)
 {
     (void)link;
     struct conn *c = ctx;
@@ -396,8 +402,8 @@
     free_conn(c);
 }
 
-static const struct rk_link_ops in_ops = {.on_frame = on_in_frame,
-                                          .on_down = on_in_down};
+static const struct rk_link_ops inbound_ops = {.on_frame = on_inbound_frame,
+                                               .on_down = on_inbound_down};
 
 static void on_accept(void *ctx, struct rk_link *link)
 {
@@ -408,13 +414,14 @@
     rk_link_set_ctx(link, c);
 }
 
-/* ---- making ---- */
+/* ---- create and destroy ---- */
 
 struct rk_forwards *rk_forwards_create(struct rk_traffic *t, const char *addr)
 {
     struct rk_forwards *f = rk_alloc(1, sizeof(*f));
     f->t = t;
-    f->listener = rk_listener_create(t->loop, addr, true, &in_ops, on_accept, f);
+    f->listener =
+        rk_listener_create(t->loop, addr, true, &inbound_ops, on_accept, f);
     if (!f->listener) {
         free(f);
         return NULL;
--- a/serve/forward.h
+++ b/serve/forward.h
@@ -1,5 +1,6 @@
-/* Calls handed from node to node over links of the traffic threads: out, one
- * link for each peer; in, a listener whose calls become exchanges here. */
+/* Forwards calls between traffic threads of different nodes. Outbound: one link per
+ * peer. Inbound: a listener whose calls are started as exchanges of this thread.
+ * Traffic thread only. */
 #ifndef RK_SERVE_FORWARD_H
 #define RK_SERVE_FORWARD_H
 
@@ -13,18 +14,21 @@
 struct rk_exchange;
 struct rk_member;
 
-/* NULL when the address can't be bound. */
+/* Listens on addr (ip:port). Returns NULL if the address cannot be bound. */
 struct rk_forwards *rk_forwards_create(struct rk_traffic *t, const char *addr);
+/* Closes all links. Outbound calls are ended as lost, inbound calls are
+ * cancelled. */
 void rk_forwards_destroy(struct rk_forwards *f);
+/* Returns the bound address, with the port chosen by the kernel. Owned by f. */
 const char *rk_forwards_addr(const struct rk_forwards *f);
 
-/* Hand a call to a peer; parts and end come to the exchange under `id`. False:
- * nothing was sent. */
+/* Forwards a call to a peer. Parts and end are delivered to the exchange with this
+ * id. The request is copied. Returns false if nothing was sent. */
 bool rk_forwards_send(struct rk_forwards *f, const struct rk_member *peer,
                       uint64_t id, const struct rk_request *request,
                       int64_t deadline_left_ms);
 
-/* The exchange doesn't wait any more; the peer is told. */
+/* Cancels a forwarded call and notifies the peer. No callback follows. */
 void rk_forwards_cancel(struct rk_forwards *f, const char *peer, uint64_t id);
 
 #endif
--- a/serve/placement.c
+++ b/serve/placement.c
@@ -1,5 +1,5 @@
-/* Where an exchange goes: the queue here, a peer that owns its key's shard, or a
- * peer of another failure domain with room. */
+/* Decides where an exchange runs: in the local queue, at the peer that owns the
+ * shard of its key, or at a peer in another failure domain with spare capacity. */
 #include <stdio.h>
 #include <string.h>
 
@@ -32,15 +32,16 @@
     return true;
 }
 
-/* Another failure domain with room, while this one has none. */
+/* Forwards the call to a live peer in another failure domain that reports spare
+ * capacity. Returns false if there is none. */
 static bool spill(struct rk_exchange *x)
 {
     const struct rk_view *v = rk_traffic_view(x->t);
     if (x->spills >= MAX_SPILLS || x->req.hops >= RK_MAX_HOPS || !v->peers_len)
         return false;
-    uint32_t at = rk_rng_below(&x->t->rng, (uint32_t)v->peers_len);
+    uint32_t start = rk_rng_below(&x->t->rng, (uint32_t)v->peers_len);
     for (size_t i = 0; i < v->peers_len; i++) {
-        const struct rk_member *p = &v->peers[(at + i) % v->peers_len];
+        const struct rk_member *p = &v->peers[(start + i) % v->peers_len];
         if (p->state != RK_MEMBER_ALIVE || p->leaving || !p->spare ||
             !strcmp(p->domain, v->domain) || !strcmp(p->id, x->peer))
             continue;
@@ -51,16 +52,16 @@
     return false;
 }
 
-void rk_exchange_peer_part(struct rk_exchange *x, const struct rk_part *part)
+void rk_exchange_on_peer_part(struct rk_exchange *x, const struct rk_part *part)
 {
     if (part->index >= 0 &&
         rk_stream_take(&x->stream, part->index) != RK_TOKEN_DELIVER)
         return;
-    rk_exchange_give_part(x, part);
+    rk_exchange_deliver_part(x, part);
 }
 
-void rk_exchange_peer_end(struct rk_exchange *x, const struct rk_outcome *o,
-                          bool lost)
+void rk_exchange_on_peer_end(struct rk_exchange *x, const struct rk_outcome *o,
+                             bool lost)
 {
     struct rk_traffic *t = x->t;
     RK_EVENT("forward.end", RK_S("request", x->req.id), RK_S("peer", x->peer),
@@ -68,19 +69,19 @@
              RK_S("detail", o->detail ? o->detail : ""));
     snprintf(x->detail, sizeof(x->detail), "%s", o->detail ? o->detail : "");
     bool to_owner = x->claim_wanted && !x->claimed;
-    if (o->whole || x->part_sent) {
+    if (o->whole || x->sink_has_data) {
         if (!o->whole && x->policy.repeatable && x->stream.next && x->sink &&
             !o->resume) {
-            rk_exchange_queue(x); /* resume it here */
+            rk_exchange_queue(x); /* resume the stream here */
             rk_exchange_dispatch(t);
             return;
         }
         rk_exchange_finish(x, o);
     } else if (to_owner && lost) {
-        /* Claims are fenced by the store, so asking again here is safe even if
-         * the owner got the call and runs it. */
-        x->no_owner = true;
-        rk_exchange_run(x);
+        /* The store fences claims, so claiming here is safe even if the owner
+         * received the call and runs it. */
+        x->owner_unreachable = true;
+        rk_exchange_claim_or_queue(x);
     } else if (!to_owner &&
                rk_verdict_allows_retry(o->verdict, x->policy.repeatable)) {
         x->verdict = rk_verdict_join(x->verdict, o->verdict);
@@ -95,7 +96,7 @@
 
 /* ---- queue ---- */
 
-void rk_exchange_leave_domain(struct rk_exchange *x, bool reached)
+void rk_exchange_reroute(struct rk_exchange *x, bool reached)
 {
     struct rk_router *router = x->t->router;
     if (x->spills < MAX_SPILLS) {
--- a/serve/traffic.c
+++ b/serve/traffic.c
@@ -8,7 +8,7 @@
 #include "serve/forward.h"
 #include "serve/view.h"
 
-/* A message from control; freed on the traffic thread. */
+/* A claim decision sent by control; freed on the traffic thread. */
 struct message {
     struct rk_traffic *t;
     struct rk_claim_reply reply;
@@ -89,9 +89,10 @@
 
 void rk_traffic_hand_over(struct rk_traffic *t)
 {
-    rk_exchange_hand_over(t);
+    rk_exchange_end_resumable(t);
 }
 
+/* Counts this node and the peers of its failure domain that are not leaving. */
 static int serving_nodes(const struct rk_view *v)
 {
     int nodes = 1;
@@ -115,12 +116,14 @@
 
 void rk_traffic_view_changed(struct rk_traffic *t)
 {
-    /* A full queue is no loss: the next view brings what this one did. */
+    /* If the queue is full the message is dropped, which is harmless: the next view
+     * contains the same changes. */
     rk_loop_post(t->loop, on_view_changed, t);
 }
 
-/* A grant nobody waits for any more: the key was not run, and can be. */
-static void give_back(struct rk_traffic *t, const struct rk_claim_reply *r)
+/* Releases a granted claim whose call has ended: the key was not run and may be
+ * claimed again. */
+static void release_claim(struct rk_traffic *t, const struct rk_claim_reply *r)
 {
     if (r->decision == RK_CLAIM_GRANTED)
         t->opt.claims.finish(t->opt.claims.ctx, r->shard, r->key, RK_NOT_RUN, NULL,
@@ -134,7 +137,7 @@
     if (x)
         rk_exchange_claim_decided(x, &m->reply);
     else
-        give_back(m->t, &m->reply);
+        release_claim(m->t, &m->reply);
     free(m->reply.answer.body);
     free(m);
 }
@@ -146,8 +149,9 @@
     *m = (struct message){.t = t, .reply = *reply};
     if (rk_loop_post(t->loop, on_claim_decided, m))
         return;
-    /* The call ends by its deadline; its key is given back. */
-    give_back(t, reply);
+    /* The queue is full. The call ends at its deadline, and a granted claim is
+     * released now. */
+    release_claim(t, reply);
     free(m->reply.answer.body);
     free(m);
 }
--- a/serve/traffic.h
+++ b/serve/traffic.h
@@ -1,8 +1,9 @@
-/* A traffic thread: its event loop, router, connections to upstreams and peers,
- * and the exchanges it has in hand. It reads control's view, asks control for
- * claims by messages, and takes no lock of control's.
+/* A traffic thread: its event loop, router, links to upstreams and peers, and the
+ * exchanges in flight. It reads the control thread's view (an immutable snapshot),
+ * requests claims from control by messages, and takes no lock that control holds.
  *
- * Unless said otherwise, functions belong to the traffic thread. */
+ *
+ * Unless stated otherwise, functions must be called on the traffic thread. */
 #ifndef RK_SERVE_TRAFFIC_H
 #define RK_SERVE_TRAFFIC_H
 
@@ -24,20 +25,24 @@
 struct rk_exchange;
 struct rk_forwards;
 
-/* How traffic reaches the claims that control keeps. Any thread. */
+/* Interface of the claims that the control thread manages. The functions may be
+ * called from any thread. */
 struct rk_claim_port {
     void *ctx;
-    /* False: control's queue is full; no decision will come. */
+    /* Requests the claim of a key. The decision arrives by
+     * rk_traffic_claim_decided() with the same ticket. Returns false if control's
+     * queue is full; no decision follows. */
     bool (*ask)(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard,
                 struct rk_claim_key key, bool local);
+    /* Withdraws a request whose decision has not arrived. */
     void (*cancel)(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard);
-    /* answer may be NULL; copied. */
+    /* Reports the outcome of a granted claim. answer may be NULL and is copied. */
     void (*finish)(void *ctx, uint32_t shard, struct rk_claim_key key,
                    enum rk_verdict verdict, const struct rk_answer *answer,
                    int64_t retry_after_ms);
 };
 
-/* A decision on its way from control to a traffic thread. */
+/* Decision on a claim, sent by control to a traffic thread. */
 struct rk_claim_reply {
     uint64_t ticket;
     uint32_t shard;
@@ -45,21 +50,22 @@
     enum rk_claim_decision decision;
     enum rk_verdict verdict;
     int64_t retry_after_ms;
-    const char *detail; /* a literal */
+    const char *detail; /* string literal */
     bool has_answer;
-    struct rk_answer answer; /* body owned */
+    struct rk_answer answer; /* owns its body */
 };
 
+/* Options of a traffic thread. views must outlive it. */
 struct rk_traffic_options {
-    unsigned index;
-    const char *forward_addr; /* where peers' calls come in */
+    unsigned index;           /* of the thread within its process */
+    const char *forward_addr; /* listens for calls forwarded by peers */
     uint64_t seed;
     enum rk_route_policy policy;
     struct rk_view_cell *views;
     struct rk_claim_port claims;
 };
 
-/* Shared by the files of serve/; opaque to the rest. */
+/* Accessed by the files of serve/ and, where noted, by control. */
 struct rk_traffic {
     struct rk_traffic_options opt;
     struct rk_loop *loop;
@@ -70,38 +76,46 @@
     struct rk_forwards *forwards;
     struct rk_budget budget;
     struct rk_rng rng;
-    struct rk_exchange *exchanges; /* all in hand */
+    struct rk_exchange *exchanges; /* all calls in flight */
     size_t exchanges_len;
     uint64_t next_id;
-    struct rk_exchange **by_id; /* hash buckets */
-    _Atomic uint32_t spare;     /* calls it could take; read by control */
+    struct rk_exchange **by_id; /* hash table of exchanges; NULL until first used */
+    _Atomic uint32_t spare;     /* free slots reported to peers; read by control */
+    /* When spare was last stored, monotonic. */
     int64_t spare_ms;
-    struct rk_timer recheck; /* while jobs wait */
+    struct rk_timer recheck; /* runs while jobs are queued */
 };
 
-/* NULL when the forward address can't be bound: see rk_last_error(). */
+/* Creates the thread's state; the caller starts the thread. Returns NULL if the
+ * forward address cannot be bound: see rk_last_error(). */
 struct rk_traffic *rk_traffic_create(const struct rk_traffic_options *opt);
+/* Ends all calls without notifying their sinks. Call it after the thread has
+ * ended. */
 void rk_traffic_destroy(struct rk_traffic *t);
 
-/* The address peers forward to, with the kernel's port. Any thread. */
+/* Returns the address that peers forward to, with the port chosen by the kernel.
+ * Any thread. */
 const char *rk_traffic_forward_addr(const struct rk_traffic *t);
 
-/* Runs until rk_loop_stop() on its loop. */
+/* Runs the event loop until rk_loop_stop() is called on it. */
 void rk_traffic_run(struct rk_traffic *t);
 
-/* Control thread: the view changed; a claim was decided (reply is copied, the
- * answer's body is taken over). */
+/* Control thread: announces a new view. Does not block. */
 void rk_traffic_view_changed(struct rk_traffic *t);
+/* Control thread: delivers the decision on a claim. *reply is copied; ownership of
+ * the answer's body passes to this function. */
 void rk_traffic_claim_decided(struct rk_traffic *t,
                               const struct rk_claim_reply *reply);
 
-/* The view of the batch of events being handled; never NULL. */
+/* Returns the view that is valid for the current batch of loop events; never
+ * NULL. */
 const struct rk_view *rk_traffic_view(struct rk_traffic *t);
 
-/* Calls in hand: what a planned stop waits for. */
+/* Returns the number of calls in flight. A planned stop waits until it is 0. */
 size_t rk_traffic_in_hand(const struct rk_traffic *t);
 
-/* End streams that can be resumed elsewhere: the notice is nearly over. */
+/* Ends streams that can be resumed at another node. Used shortly before the end of
+ * the reclaim notice. */
 void rk_traffic_hand_over(struct rk_traffic *t);
 
 #endif
--- a/serve/view.c
+++ b/serve/view.c
@@ -72,7 +72,7 @@
 
 struct rk_view_reader *rk_view_reader_create(struct rk_view_cell *cell)
 {
-    /* ck wants its records on cache lines of their own. */
+    /* Concurrency Kit requires epoch records to be aligned to cache lines. */
     struct rk_view_reader *r = aligned_alloc(
         CK_MD_CACHELINE, (sizeof(*r) / CK_MD_CACHELINE + 1) * CK_MD_CACHELINE);
     if (!r)
@@ -89,7 +89,7 @@
     if (!r)
         return;
     ck_epoch_unregister(&r->record);
-    /* The record stays listed in the epoch: it is freed with the cell. */
+    /* The record stays in the epoch's list, so it is freed with the cell. */
 }
 
 void rk_view_enter(struct rk_view_reader *r)
