--- a/serve/relay.c
+++ b/serve/relay.c
@@ -8,13 +8,14 @@
 #include "serve/relay_call.h"
 #include "services/upstream.h"
 
-#define REPORT_MS          200
-#define ACCEPT_MAX_MS      400 /* of a start, in which new connections wait */
-#define USAGE_KEPT_WINDOWS 6
-#define SUSPECTS_MS        1000 /* for which what was seen of one is reported */
-#define FORGET_EVERY_MS    10000
-
-/* Until the routes tell others. */
+#define REPORT_INTERVAL_MS  200
+#define ACCEPT_DELAY_MAX_MS 400 /* longest delay of new connections at start */
+#define USAGE_WINDOWS_KEPT  6
+/* How long a changed quarantine row is repeated in reports. */
+#define SUSPECT_REPORT_MS         1000
+#define SIGNAL_EXPIRY_INTERVAL_MS 10000
+
+/* Used until the first routes arrive. */
 static const struct rk_server_limits default_limits = {
     .header_bytes = 16 * 1024,
     .body_bytes = 4 * 1024 * 1024,
@@ -56,8 +57,9 @@
 
 /* ---- reports ---- */
 
-static void keep_use(const struct rk_relay *r, struct rk_quota_org *o,
-                     struct rk_org_use *use)
+/* Fills the usage of an organisation that is to be persisted in the store. */
+static void fill_persisted_usage(const struct rk_relay *r, struct rk_quota_org *o,
+                                 struct rk_org_use *use)
 {
     const struct rk_org_info *org =
         r->routes ? rk_routes_org(r->routes, o->name) : NULL;
@@ -66,7 +68,7 @@
     rk_quota_keep(&r->quota, o, quota, rate, use->kept, rk_mono_ms());
 }
 
-static void fill_uses(struct rk_relay *r, struct rk_relay_report *report)
+static void fill_quota_usage(struct rk_relay *r, struct rk_relay_report *report)
 {
     report->uses = rk_alloc(r->quota.orgs_len + 1, sizeof(*report->uses));
     for (size_t i = 0; i < r->quota.orgs_len; i++) {
@@ -75,14 +77,14 @@
         use->units = r->quota.orgs[i].own_total;
         use->asking = rk_quota_asking(&r->quota.orgs[i], rk_mono_ms());
         rk_quota_tell(&r->quota, &r->quota.orgs[i], use->known, rk_mono_ms());
-        keep_use(r, &r->quota.orgs[i], use);
+        fill_persisted_usage(r, &r->quota.orgs[i], use);
     }
 }
 
-static void fill_usage(struct rk_relay *r, struct rk_relay_report *report)
+static void fill_usage_counts(struct rk_relay *r, struct rk_relay_report *report)
 {
     int64_t window = rk_wall_ms() / r->opt.bounds.usage_window_ms;
-    rk_usage_forget(&r->usage, window - USAGE_KEPT_WINDOWS);
+    rk_usage_forget(&r->usage, window - USAGE_WINDOWS_KEPT);
     report->usage = rk_alloc(r->usage.len + 1, sizeof(*report->usage));
     if (r->usage.len)
         memcpy(report->usage, r->usage.rows, r->usage.len * sizeof(*r->usage.rows));
@@ -104,7 +106,7 @@
     }
 }
 
-static void fill_trials(const struct rk_relay *r, struct rk_relay_report *report)
+static void fill_canaries(const struct rk_relay *r, struct rk_relay_report *report)
 {
     const struct rk_place_rollout *rollouts = rk_place_rollouts(r->place);
     for (size_t i = 0; i < RK_ROLLOUTS; i++) {
@@ -122,37 +124,38 @@
     }
 }
 
-/* A report may be dropped: each row is in those of a second. */
+/* A report may be dropped, so each changed row is repeated in the reports of one
+ * second. */
 static void fill_suspects(const struct rk_relay *r, struct rk_relay_report *report)
 {
     int64_t now_ms = rk_mono_ms();
     report->suspects = rk_alloc(r->quarantine.len + 1, sizeof(*report->suspects));
     for (size_t i = 0; i < r->quarantine.len; i++) {
         const struct rk_quarantine_row *row = &r->quarantine.rows[i];
-        if (row->own && now_ms - row->changed_ms < SUSPECTS_MS)
+        if (row->own && now_ms - row->changed_ms < SUSPECT_REPORT_MS)
             report->suspects[report->suspects_len++] = *row;
     }
 }
 
-static void forget_signals(struct rk_relay *r, int64_t now_ms)
+static void expire_signals(struct rk_relay *r, int64_t now_ms)
 {
-    if (now_ms - r->forgot_ms < FORGET_EVERY_MS)
+    if (now_ms - r->signals_expired_ms < SIGNAL_EXPIRY_INTERVAL_MS)
         return;
-    r->forgot_ms = now_ms;
+    r->signals_expired_ms = now_ms;
     rk_place_forget_signals(r->place, now_ms);
 }
 
 static void on_report(void *ctx)
 {
     struct rk_relay *r = ctx;
-    forget_signals(r, rk_mono_ms());
-    rk_timer_start(r->loop, &r->report, REPORT_MS);
+    expire_signals(r, rk_mono_ms());
+    rk_timer_start(r->loop, &r->report, REPORT_INTERVAL_MS);
     struct rk_relay_report *report = rk_alloc(1, sizeof(*report));
     report->loads_len = rk_place_own_loads(r->place, rk_mono_ms(), &report->loads);
-    fill_uses(r, report);
-    fill_usage(r, report);
+    fill_quota_usage(r, report);
+    fill_usage_counts(r, report);
     fill_services(r, report);
-    fill_trials(r, report);
+    fill_canaries(r, report);
     fill_suspects(r, report);
     report->signals_len =
         rk_place_copy_signals(r->place, rk_mono_ms(), &report->signals);
@@ -172,8 +175,8 @@
     struct rk_routes *routes;
     struct rk_vm_row *rows;
     size_t rows_len;
-    char (*gone)[RK_ID_MAX];
-    size_t gone_len;
+    char (*removed)[RK_ID_MAX];
+    size_t removed_len;
     struct rk_relay_peers *peers;
     struct rk_org_use *uses;
     size_t uses_len;
@@ -190,6 +193,7 @@
     struct rk_relay_bounds bounds;
 };
 
+/* Sends a copy of m to the relay's thread. Returns false if its queue is full. */
 static bool post(struct rk_relay *r, rk_call_fn *fn, const struct message *m)
 {
     struct message *copy = rk_alloc(1, sizeof(*copy));
@@ -201,22 +205,23 @@
     return false;
 }
 
-static void accept_now(void *ctx)
+static void start_accepting(void *ctx)
 {
     struct rk_relay *r = ctx;
-    rk_timer_stop(r->loop, &r->accept);
+    rk_timer_stop(r->loop, &r->accept_timer);
     rk_server_set_accepting(r->server, true);
 }
 
-/* A call taken before this node knows anything could only be refused: for the tens
- * of ms that this takes, connections wait. */
-static void accept_if_known(struct rk_relay *r)
+/* Until routes, VMs and quotas have arrived, a few tens of ms after the start,
+ * calls could only be refused. New connections wait in the listen queue
+ * meanwhile. */
+static void accept_if_ready(struct rk_relay *r)
 {
-    if (r->accept.slot && r->routes && r->vms_known && r->store_read)
-        accept_now(r);
+    if (r->accept_timer.slot && r->routes && r->vms_known && r->quotas_restored)
+        start_accepting(r);
 }
 
-static void take_routes(void *ctx)
+static void apply_routes(void *ctx)
 {
     struct message *m = ctx;
     struct rk_relay *r = m->r;
@@ -231,21 +236,22 @@
     rk_server_set_limits(r->server, &limits);
     rk_routes_unref(r->routes);
     r->routes = m->routes;
-    accept_if_known(r);
+    accept_if_ready(r);
     free(m);
 }
 
 bool rk_relay_set_routes(struct rk_relay *r, struct rk_routes *routes)
 {
-    if (post(r, take_routes, &(struct message){.routes = routes}))
+    if (post(r, apply_routes, &(struct message){.routes = routes}))
         return true;
     rk_routes_unref(routes);
     return false;
 }
 
-/* Connections that rest, to an earlier life of a vm, lead nowhere. */
-static void forget_earlier_lives(struct rk_relay *r, const struct rk_vm_row *rows,
-                                 size_t len)
+/* Closes idle connections to VMs that have restarted: they lead to an earlier
+ * incarnation. */
+static void close_stale_connections(struct rk_relay *r,
+                                    const struct rk_vm_row *rows, size_t len)
 {
     for (size_t i = 0; i < len; i++) {
         const struct rk_place_vm *vm = rk_place_find(r->place, rows[i].id);
@@ -254,51 +260,54 @@
     }
 }
 
-static void take_vms(void *ctx)
+static void apply_vms(void *ctx)
 {
     struct message *m = ctx;
-    forget_earlier_lives(m->r, m->rows, m->rows_len);
+    close_stale_connections(m->r, m->rows, m->rows_len);
     rk_place_set_vms(m->r->place, m->rows, m->rows_len, rk_mono_ms());
     m->r->vms_known = true;
-    accept_if_known(m->r);
+    accept_if_ready(m->r);
     free(m->rows);
     free(m);
 }
 
 bool rk_relay_set_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len)
 {
-    if (post(r, take_vms, &(struct message){.rows = rows, .rows_len = len}))
+    if (post(r, apply_vms, &(struct message){.rows = rows, .rows_len = len}))
         return true;
     free(rows);
     return false;
 }
 
-static void change_vms(void *ctx)
+static void apply_vm_changes(void *ctx)
 {
     struct message *m = ctx;
-    forget_earlier_lives(m->r, m->rows, m->rows_len);
-    rk_place_change_vms(m->r->place, m->rows, m->rows_len, m->gone, m->gone_len,
-                        rk_mono_ms());
+    close_stale_connections(m->r, m->rows, m->rows_len);
+    rk_place_change_vms(m->r->place, m->rows, m->rows_len, m->removed,
+                        m->removed_len, rk_mono_ms());
     free(m->rows);
-    free(m->gone);
+    free(m->removed);
     free(m);
 }
 
 bool rk_relay_change_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len,
-                         char (*gone)[RK_ID_MAX], size_t gone_len)
+                         char (*removed)[RK_ID_MAX], size_t removed_len)
 {
-    const struct message m = {
-        .rows = rows, .rows_len = len, .gone = gone, .gone_len = gone_len};
-    if (post(r, change_vms, &m))
+    const struct message m = {.rows = rows,
+                              .rows_len = len,
+                              .removed = removed,
+                              .removed_len = removed_len};
+    if (post(r, apply_vm_changes, &m))
         return true;
     free(rows);
-    free(gone);
+    free(removed);
     return false;
 }
 
-/* What the fleet learnt of engines is what this node starts from. */
-static void set_priors(struct rk_relay *r, const struct rk_service_use *services,
-                       size_t len)
+/* Uses the estimates learned by other nodes as the starting point of this
+ * node's. */
+static void set_engine_priors(struct rk_relay *r,
+                              const struct rk_service_use *services, size_t len)
 {
     for (size_t i = 0; i < len; i++) {
         struct rk_speed *speed = rk_place_speed_of(r->place, services[i].service);
@@ -306,7 +315,7 @@
     }
 }
 
-static void take_peers(void *ctx)
+static void apply_peers(void *ctx)
 {
     struct message *m = ctx;
     struct rk_relay *r = m->r;
@@ -317,15 +326,16 @@
     rk_place_set_nodes(r->place, p->nodes_total);
     for (size_t i = 0; i < p->uses_len; i++)
         rk_quota_add(&r->quota, p->uses[i].org, p->uses[i].units, now_ms);
-    /* Once: told again and again, the same use would count in two parts. */
-    bool whole = p->remembers_ms >= r->quota.window_ms;
-    bool wanted = p->catch_up || (whole && r->quota.forgot_ms);
-    for (size_t i = 0; wanted && i < p->known_len; i++)
+    /* Usage from a peer's history is added only once. If it were added with every
+     * message, the same usage could be counted in two slices of the window. */
+    bool complete = p->remembers_ms >= r->quota.window_ms;
+    bool apply_history = p->catch_up || (complete && r->quota.forgot_ms);
+    for (size_t i = 0; apply_history && i < p->known_len; i++)
         rk_quota_know(&r->quota, p->known[i].org, p->known[i].known, now_ms);
     for (size_t i = 0; i < r->quota.orgs_len; i++)
         r->quota.orgs[i].peers_asking =
             rk_tally_total(&p->asking, r->quota.orgs[i].name);
-    set_priors(r, p->services, p->services_len);
+    set_engine_priors(r, p->services, p->services_len);
     rk_quota_remind(&r->quota, p->remembers_ms);
     r->quota.lag_ms = p->lag_ms;
     r->quota.word_ms = p->silent_ms >= 0 ? now_ms - p->silent_ms : 0;
@@ -335,13 +345,13 @@
 
 bool rk_relay_set_peers(struct rk_relay *r, struct rk_relay_peers *peers)
 {
-    if (post(r, take_peers, &(struct message){.peers = peers}))
+    if (post(r, apply_peers, &(struct message){.peers = peers}))
         return true;
     rk_relay_peers_free(peers);
     return false;
 }
 
-static void take_rollouts(void *ctx)
+static void apply_rollouts(void *ctx)
 {
     struct message *m = ctx;
     rk_place_set_rollouts(m->r->place, m->rules, m->rules_len, m->is_fresh);
@@ -354,13 +364,13 @@
 {
     const struct message m = {
         .rules = rules, .rules_len = len, .is_fresh = is_fresh};
-    if (post(r, take_rollouts, &m))
+    if (post(r, apply_rollouts, &m))
         return true;
     free(rules);
     return false;
 }
 
-static void take_bounds(void *ctx)
+static void apply_bounds(void *ctx)
 {
     struct message *m = ctx;
     struct rk_relay *r = m->r;
@@ -373,10 +383,10 @@
 
 bool rk_relay_set_bounds(struct rk_relay *r, const struct rk_relay_bounds *bounds)
 {
-    return post(r, take_bounds, &(struct message){.bounds = *bounds});
+    return post(r, apply_bounds, &(struct message){.bounds = *bounds});
 }
 
-static void take_restore(void *ctx)
+static void apply_restored_quotas(void *ctx)
 {
     struct message *m = ctx;
     int64_t now_ms = rk_mono_ms();
@@ -384,8 +394,8 @@
         rk_quota_restore(&m->r->quota, m->uses[i].org, m->uses[i].known,
                          m->uses[i].asking, m->age_ms, now_ms);
     rk_quota_restored(&m->r->quota, m->age_ms);
-    m->r->store_read = true;
-    accept_if_known(m->r);
+    m->r->quotas_restored = true;
+    accept_if_ready(m->r);
     free(m->uses);
     free(m);
 }
@@ -394,16 +404,16 @@
                       int64_t age_ms)
 {
     const struct message m = {.uses = uses, .uses_len = len, .age_ms = age_ms};
-    if (post(r, take_restore, &m))
+    if (post(r, apply_restored_quotas, &m))
         return true;
     free(uses);
     return false;
 }
 
-static void take_engines(void *ctx)
+static void apply_engine_priors(void *ctx)
 {
     struct message *m = ctx;
-    set_priors(m->r, m->services, m->services_len);
+    set_engine_priors(m->r, m->services, m->services_len);
     free(m->services);
     free(m);
 }
@@ -412,19 +422,19 @@
                           size_t len)
 {
     const struct message m = {.services = services, .services_len = len};
-    if (post(r, take_engines, &m))
+    if (post(r, apply_engine_priors, &m))
         return true;
     free(services);
     return false;
 }
 
-static void take_suspects(void *ctx)
+static void apply_suspects(void *ctx)
 {
     struct message *m = ctx;
     for (size_t i = 0; i < m->suspects_len; i++)
         rk_quarantine_merge(&m->r->quarantine, &m->suspects[i], false,
                             rk_mono_ms());
-    rk_relay_call_off_stopped(m->r);
+    rk_relay_cancel_quarantined(m->r);
     free(m->suspects);
     free(m);
 }
@@ -433,13 +443,13 @@
                            size_t len)
 {
     const struct message m = {.suspects = rows, .suspects_len = len};
-    if (post(r, take_suspects, &m))
+    if (post(r, apply_suspects, &m))
         return true;
     free(rows);
     return false;
 }
 
-static void take_signals(void *ctx)
+static void apply_signals(void *ctx)
 {
     struct message *m = ctx;
     rk_place_set_signals(m->r->place, m->signals, m->signals_len, rk_mono_ms());
@@ -450,13 +460,13 @@
 bool rk_relay_set_signals(struct rk_relay *r, struct rk_vm_signal *rows, size_t len)
 {
     const struct message m = {.signals = rows, .signals_len = len};
-    if (post(r, take_signals, &m))
+    if (post(r, apply_signals, &m))
         return true;
     free(rows);
     return false;
 }
 
-static void take_close(void *ctx)
+static void apply_close(void *ctx)
 {
     struct rk_relay *r = ctx;
     rk_server_set_closing(r->server);
@@ -467,10 +477,10 @@
     int64_t now_ms = rk_mono_ms();
     atomic_store(&r->close_ends_ms, now_ms + ends_in_ms);
     atomic_store(&r->close_began_ms, now_ms);
-    rk_loop_post(r->loop, take_close, r);
+    rk_loop_post(r->loop, apply_close, r);
 }
 
-static void take_close_idle(void *ctx)
+static void apply_close_idle(void *ctx)
 {
     struct rk_relay *r = ctx;
     rk_server_close_idle(r->server);
@@ -478,10 +488,10 @@
 
 void rk_relay_close_idle(struct rk_relay *r)
 {
-    rk_loop_post(r->loop, take_close_idle, r);
+    rk_loop_post(r->loop, apply_close_idle, r);
 }
 
-static void take_stop_idle(void *ctx)
+static void apply_stop_idle(void *ctx)
 {
     struct rk_relay *r = ctx;
     if (r->calls_len || rk_server_busy(r->server))
@@ -492,7 +502,7 @@
 
 void rk_relay_stop_idle(struct rk_relay *r)
 {
-    rk_loop_post(r->loop, take_stop_idle, r);
+    rk_loop_post(r->loop, apply_stop_idle, r);
 }
 
 void rk_relay_stop(struct rk_relay *r)
@@ -500,22 +510,22 @@
     rk_loop_stop(r->loop);
 }
 
-/* ---- making ---- */
+/* ---- create and destroy ---- */
 
 static void on_request(void *ctx, struct rk_client *client)
 {
     rk_relay_call_start(ctx, client);
 }
 
-static void on_gone(void *ctx, void *user)
+static void on_client_gone(void *ctx, void *user)
 {
     (void)ctx;
     if (user)
-        rk_relay_call_gone(user);
+        rk_relay_call_caller_gone(user);
 }
 
 static const struct rk_server_ops server_ops = {.on_request = on_request,
-                                                .on_gone = on_gone};
+                                                .on_gone = on_client_gone};
 
 struct rk_relay *rk_relay_create(const struct rk_relay_options *opt)
 {
@@ -538,12 +548,12 @@
     r->quota.overrun = opt->bounds.quota_overrun;
     r->quota.rng.state = opt->seed + 2;
     r->usage.since_ms = rk_wall_ms();
-    r->store_read = opt->bounds.first_start;
-    r->accept = (struct rk_timer){.fn = accept_now, .ctx = r};
+    r->quotas_restored = opt->bounds.first_start;
+    r->accept_timer = (struct rk_timer){.fn = start_accepting, .ctx = r};
     rk_server_set_accepting(r->server, false);
-    rk_timer_start(r->loop, &r->accept, ACCEPT_MAX_MS);
+    rk_timer_start(r->loop, &r->accept_timer, ACCEPT_DELAY_MAX_MS);
     r->report = (struct rk_timer){.fn = on_report, .ctx = r};
-    rk_timer_start(r->loop, &r->report, REPORT_MS);
+    rk_timer_start(r->loop, &r->report, REPORT_INTERVAL_MS);
     return r;
 }
 
--- a/serve/relay.h
+++ b/serve/relay.h
@@ -1,6 +1,7 @@
-/* A traffic thread that relays calls by routes: takes them from callers, chooses
- * a vm, passes bytes on, repeats what may be repeated, and answers each call
- * once. It holds no lock; control tells it what to believe by messages. */
+/* A relay thread: accepts routed calls from callers, chooses a VM for each, passes
+ * the bytes through, retries what may be retried, and answers each call exactly
+ * once. It takes no locks; the node's control thread sends it settings and peers'
+ * state as messages and receives its reports. */
 #ifndef RK_SERVE_RELAY_H
 #define RK_SERVE_RELAY_H
 
@@ -21,135 +22,165 @@
 struct rk_relay;
 struct rk_loop;
 
-/* What bounds the calls of all nodes together; from the process file. */
+/* Limits shared by all nodes together, from the process file. */
 struct rk_relay_bounds {
-    int64_t retry_pct;   /* retries, in hundredths of a service's calls */
-    int64_t retry_burst; /* on top, of all nodes */
+    int64_t retry_pct;   /* retries per 100 calls of a service */
+    int64_t retry_burst; /* retries of all nodes allowed on top of that share */
     int64_t quota_window_ms;
-    double quota_slack;   /* units that the deployment forgives */
-    double quota_overrun; /* and a share of the quota */
+    double quota_slack;   /* units by which a quota may be exceeded */
+    double quota_overrun; /* share of a quota by which it may be exceeded */
     int64_t usage_window_ms;
-    bool first_start; /* nothing was used before */
+    /* the deployment starts for the first time, with no usage before */
+    bool first_start;
 };
 
-/* What was asked of an engine service here since the start, and is in hand. */
+/* Demand for a service and its calls in flight, as seen by one node. */
 struct rk_service_use {
     char service[RK_ID_MAX];
-    double read_tokens; /* of prompts, not found cached, each call's once */
+    /* uncached prompt tokens requested since the start, each call counted once */
+    double read_tokens;
     uint32_t running;
-    uint32_t begun; /* of these, the ones whose answers have begun */
-    struct rk_engine_estimate engine; /* learnt here */
+    uint32_t begun;                   /* running calls whose answers have begun */
+    struct rk_engine_estimate engine; /* estimate from this node's calls */
 };
 
-/* The row of a service; NULL: none. */
+/* Returns the entry of a service, or NULL if there is none. */
 const struct rk_service_use *
 rk_service_use_find(const struct rk_service_use *services, size_t len,
                     const char *service);
 
-/* What a relay tells control, a few times a second. */
+/* What a relay reports to control every 200 ms. The report owns its arrays. */
 struct rk_relay_report {
     struct rk_vm_load *loads;
     size_t loads_len;
     struct rk_org_use *uses;
     size_t uses_len;
-    struct rk_usage_row *usage; /* counts so far of recent windows */
+    struct rk_usage_row *usage; /* request counts of recent usage windows */
     size_t usage_len;
     struct rk_service_use *services;
     size_t services_len;
-    struct rk_rollout_seen *trials; /* of versions that are tried */
+    struct rk_rollout_seen *trials; /* observed canary results by rollout */
     size_t trials_len;
-    struct rk_quarantine_row *suspects; /* of what was seen here lately */
+    /* rows changed here within the last second */
+    struct rk_quarantine_row *suspects;
     size_t suspects_len;
-    struct rk_vm_signal *signals; /* what vms say of themselves */
+    struct rk_vm_signal *signals; /* state that VMs advertised in their answers */
     size_t signals_len;
-    size_t vms_resting;   /* that want nothing from this node now */
-    int64_t remembers_ms; /* how far back the knowledge of quotas goes */
-    bool knows_all;       /* uses[].kept is all that was used in the window */
-    int64_t version;      /* of the routes in force; 0: none */
-    bool vms_known;
-    size_t in_hand;
+    size_t vms_resting; /* VMs in a cooldown towards this node */
+    /* how far back this node's quota history goes, at most the window */
+    int64_t remembers_ms;
+    bool knows_all;  /* uses[].kept includes all usage within the quota window */
+    int64_t version; /* of the routes in force; 0: none received yet */
+    bool vms_known;  /* a list of VMs has been received */
+    size_t in_hand;  /* calls, and connections with unsent answers */
 };
+/* Frees a report and its arrays. */
 void rk_relay_report_free(struct rk_relay_report *r);
 
-/* What control tells of the peers. */
+/* Peers' state, sent by control. It owns its arrays. */
 struct rk_relay_peers {
-    struct rk_vm_load *loads; /* all peers' */
+    struct rk_vm_load *loads; /* load of VMs caused by all peers' calls */
     size_t loads_len;
-    struct rk_org_use *uses; /* used by them since the last telling */
+    struct rk_org_use *uses; /* quota units used by peers since the last message */
     size_t uses_len;
-    struct rk_org_use *known; /* by the peer with the longest memory */
+    /* quota usage of all nodes by organisation, as known to the peer with the
+     * longest history */
+    struct rk_org_use *known;
     size_t known_len;
-    struct rk_tally asking;          /* units a second that they are asked for */
-    struct rk_service_use *services; /* only what is known of engines' speed */
+    struct rk_tally asking;          /* quota units/s requested from peers */
+    struct rk_service_use *services; /* only the engine estimates are set */
     size_t services_len;
-    int64_t remembers_ms;         /* that peer's memory */
-    bool catch_up;                /* what it knows was not told while it was used */
-    int nodes_heard, nodes_total; /* this one included */
-    int64_t lag_ms;               /* age of what they tell, when it comes */
-    int64_t silent_ms;            /* since any of them told something; -1: never */
+    int64_t remembers_ms; /* length of that peer's history */
+    /* apply known[] even if its history is shorter than the quota window, because
+     * uses[] did not cover that period */
+    bool catch_up;
+    int nodes_heard, nodes_total; /* including this node */
+    int64_t lag_ms;               /* typical age of peers' reports on arrival */
+    int64_t silent_ms; /* time since any peer reported; -1: none ever did */
 };
+/* Frees the message and its arrays. */
 void rk_relay_peers_free(struct rk_relay_peers *p);
 
+/* Options of a relay. Callbacks get ctx. */
 struct rk_relay_options {
     const struct rk_dialect *dialect;
-    const char *listen; /* for callers */
+    const char *listen; /* address for callers, ip:port */
     char domain[RK_ID_MAX];
     uint64_t node; /* hash of this node's id and incarnation */
     uint64_t seed;
-    int max_clients;
+    int max_clients; /* open connections of callers */
     struct rk_relay_bounds bounds;
-    /* On the relay's thread; the receiver owns the report. */
+    /* Called on the relay's thread. The callee owns the report. */
     void (*on_report)(void *ctx, struct rk_relay_report *report);
-    /* On the relay's thread: it stopped, as asked by rk_relay_stop_idle(). */
+    /* Called on the relay's thread when rk_relay_stop_idle() has stopped it. */
     void (*on_stopped)(void *ctx);
     void *ctx;
 };
 
-/* NULL when the address can't be bound: see rk_last_error(). */
+/* Binds the listening address; the caller starts the thread. Returns NULL if the
+ * address cannot be bound: see rk_last_error(). *opt is copied, its dialect must
+ * outlive the relay. */
 struct rk_relay *rk_relay_create(const struct rk_relay_options *opt);
-void rk_relay_destroy(struct rk_relay *r); /* after its thread ended */
-void rk_relay_run(struct rk_relay *r);     /* until rk_relay_stop() */
+/* Ends all calls and frees the relay. Call it after the thread has ended. */
+void rk_relay_destroy(struct rk_relay *r);
+/* Runs the event loop until the relay is stopped. */
+void rk_relay_run(struct rk_relay *r);
+/* Returns the bound address. Owned by the relay. */
 const char *rk_relay_addr(const struct rk_relay *r);
 
-/* Any thread. What is passed in is taken over. False: the relay's queue is full,
- * and what was passed is freed. */
+/* ---- messages to the relay ----
+ *
+ * The functions up to rk_relay_set_signals() may be called from any thread. They
+ * take ownership of pointer arguments other than bounds. They return false if the
+ * relay's message queue is full; the arguments are then freed. */
+
+/* Replaces the routes. */
 bool rk_relay_set_routes(struct rk_relay *r, struct rk_routes *routes);
+/* Replaces the whole list of VMs. */
 bool rk_relay_set_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len);
-/* What changed since: ids of vms that are off the list, then rows. */
+/* Applies changes to the list of VMs: first removes the VMs with the ids in
+ * removed, then adds or replaces rows. */
 bool rk_relay_change_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len,
-                         char (*gone)[RK_ID_MAX], size_t gone_len);
+                         char (*removed)[RK_ID_MAX], size_t removed_len);
+/* Updates the peers' state. */
 bool rk_relay_set_peers(struct rk_relay *r, struct rk_relay_peers *peers);
 
-/* Roll-outs; is_fresh: their holder told of them lately. */
+/* Replaces the rollout rules. is_fresh: the leader has confirmed them recently. */
 bool rk_relay_set_rollouts(struct rk_relay *r, struct rk_rollout_rule *rules,
                            size_t len, bool is_fresh);
 
-/* Of the bounds, those of retries, and what is forgiven of quotas, change. */
+/* Updates the limits on retries and the tolerance of quotas; other members are
+ * ignored. *bounds is copied. */
 bool rk_relay_set_bounds(struct rk_relay *r, const struct rk_relay_bounds *bounds);
 
-/* What the store remembers of quotas, so old; len 0: nothing. */
+/* Restores the quota usage persisted before a restart. age_ms: how old it is. len
+ * 0: nothing was persisted. */
 bool rk_relay_restore(struct rk_relay *r, struct rk_org_use *uses, size_t len,
                       int64_t age_ms);
 
-/* What the store remembers of engines' speed: a start, until peers tell more. */
+/* Sets the persisted estimates of engine speed, used until peers report newer
+ * ones. */
 bool rk_relay_set_engines(struct rk_relay *r, struct rk_service_use *services,
                           size_t len);
 
-/* Requests under which VMs ended, as peers and the store tell of them. */
+/* Merges suspected requests reported by peers or read from the store. */
 bool rk_relay_set_suspects(struct rk_relay *r, struct rk_quarantine_row *rows,
                            size_t len);
 
-/* What vms say of themselves, and this node's part in their limits. */
+/* Merges the state that VMs advertised to other nodes, and sets this node's share
+ * of their rate limits. */
 bool rk_relay_set_signals(struct rk_relay *r, struct rk_vm_signal *rows,
                           size_t len);
 
-/* Any thread: this process ends in so many ms. Connections end with their next
- * answer; calls that can't end by then are refused. */
+/* Any thread: begins a planned stop that ends in ends_in_ms. Each connection is
+ * closed after its next answer. Calls that might outlast the stop are refused. */
 void rk_relay_close(struct rk_relay *r, int64_t ends_in_ms);
-/* Any thread: end connections that are idle. */
+/* Any thread: closes idle client connections. */
 void rk_relay_close_idle(struct rk_relay *r);
-/* Any thread: stop if nothing is in hand; nothing can come in between. */
+/* Any thread: stops the relay if no call is in flight. The check runs on the
+ * relay's thread, so no call can start between the check and the stop. */
 void rk_relay_stop_idle(struct rk_relay *r);
+/* Any thread: makes rk_relay_run() return. */
 void rk_relay_stop(struct rk_relay *r);
 
 #endif
--- a/serve/relay_answer.c
+++ b/serve/relay_answer.c
@@ -1,4 +1,5 @@
-/* What a vm answers to a relayed call, and what of it the caller gets. */
+/* Handles a VM's answer to a relayed call and decides what of it the caller
+ * receives. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,10 +13,10 @@
 #include "common/latency.h"
 #include "serve/relay_call_impl.h"
 
-#define UNSENT_MAX (4 * 1024 * 1024) /* bytes kept for a slow caller */
+#define UNSENT_MAX_BYTES (4 * 1024 * 1024) /* buffered for a slow caller */
 
-/* The vm's first byte: what was predicted is compared with it. */
-static void note_first(struct rk_relay_call *x)
+/* Records the attempt's time to first byte and the error of its prediction. */
+static void record_first_byte(struct rk_relay_call *x)
 {
     if (x->job.first)
         return;
@@ -25,18 +26,18 @@
     rk_latency_observe(RK_LATENCY_MISS, x->query.service,
                        late_ms > 0 ? "late" : "early",
                        late_ms > 0 ? late_ms : -late_ms);
-    rk_call_log_first(x, seen_ms);
+    rk_call_log_first_byte(x, seen_ms);
 }
 
-/* A request counts once for usage, from its first run on, however often it is sent
- * again; of a stream by its first token, unless it fails before. Counted for each
- * run, a service whose vms failed a third of its calls for 4 s put a window off by
- * 8%. */
-static void count_beginning(struct rk_relay_call *x, int64_t wall_ms)
+/* Counts the request in its organisation's usage. A request counts once, however
+ * often it is sent: a stream at its first token or its failure, any other call when
+ * it first runs. When each run was counted, a service whose VMs failed a third of
+ * its calls for 4 s made a usage window wrong by 8%. */
+static void count_usage(struct rk_relay_call *x, int64_t wall_ms)
 {
-    if (x->counted)
+    if (x->usage_counted)
         return;
-    x->counted = true;
+    x->usage_counted = true;
     x->ran = true;
     if (x->org)
         rk_usage_count(&x->r->usage, x->r->opt.node,
@@ -55,17 +56,16 @@
     return false;
 }
 
-/* Is the header named in the Connection header? */
 bool rk_call_is_nominated(const char *connection, const char *name)
 {
     size_t len = strlen(name);
     for (const char *at = connection; at && *at;) {
         at += strspn(at, " \t,");
         size_t n = strcspn(at, ",");
-        size_t word = n;
-        while (word && (at[word - 1] == ' ' || at[word - 1] == '\t'))
-            word--;
-        if (word == len && !strncasecmp(at, name, len))
+        size_t name_len = n;
+        while (name_len && (at[name_len - 1] == ' ' || at[name_len - 1] == '\t'))
+            name_len--;
+        if (name_len == len && !strncasecmp(at, name, len))
             return true;
         at += n;
     }
@@ -91,35 +91,39 @@
     rk_buf_free(&b);
 }
 
-/* Does the answer say that the call did not run? */
-static bool says_not_run(const struct rk_relay_call *x, const struct rk_head *head)
+/* Returns true if the answer proves that the call did not run. */
+static bool proves_not_run(const struct rk_relay_call *x,
+                           const struct rk_head *head)
 {
-    return head->status == HTTP_MISDIRECTED ||
+    return head->status == HTTP_MISDIRECTED_REQUEST ||
            rk_head_get(head, x->r->opt.dialect->not_run) != NULL;
 }
 
-/* Statuses that promise the caller what this vm did not prove. */
-static bool promises_not_run(int status)
+/* Returns true for statuses from which a caller concludes that its call did not
+ * run, although this VM has not proved it. */
+static bool implies_not_run(int status)
 {
-    return status == HTTP_QUOTA || status == HTTP_REFUSED ||
-           status == HTTP_TIMEOUT || status == HTTP_MISDIRECTED;
+    return status == HTTP_TOO_MANY_REQUESTS || status == HTTP_UNAVAILABLE ||
+           status == HTTP_REQUEST_TIMEOUT || status == HTTP_MISDIRECTED_REQUEST;
 }
 
-static enum fate judge(struct rk_relay_call *x, const struct rk_head *head)
+static enum answer_class classify_answer(struct rk_relay_call *x,
+                                         const struct rk_head *head)
 {
-    bool well = head->status / 100 == 2;
-    if (says_not_run(x, head))
-        return FATE_NOT_RUN;
-    if (well && !rk_head_get(head, x->r->opt.dialect->signature))
-        return FATE_REPEAT;
+    bool success = head->status / 100 == 2;
+    if (proves_not_run(x, head))
+        return ANSWER_NOT_RUN;
+    if (success && !rk_head_get(head, x->r->opt.dialect->signature))
+        return ANSWER_RETRY;
     if (x->begun)
-        return well ? FATE_PASS : FATE_REPEAT;
-    if (well)
-        return FATE_PASS;
-    if (promises_not_run(head->status))
-        return FATE_REPEAT;
-    bool more = x->attempts < x->route->max_attempts && rk_call_repeatable(x);
-    return head->status >= HTTP_SERVER_ERROR && more ? FATE_REPEAT : FATE_PASS;
+        return success ? ANSWER_PASS : ANSWER_RETRY;
+    if (success)
+        return ANSWER_PASS;
+    if (implies_not_run(head->status))
+        return ANSWER_RETRY;
+    bool retry_left = x->attempts < x->route->max_attempts && rk_call_repeatable(x);
+    return head->status >= HTTP_SERVER_ERROR && retry_left ? ANSWER_RETRY
+                                                           : ANSWER_PASS;
 }
 
 static enum rk_head_fate on_head(void *ctx, const struct rk_head *head)
@@ -132,21 +136,22 @@
                  RK_S("vm", x->vm->row.id));
         return RK_HEAD_SKIP;
     }
-    rk_call_hear_vm(x, head);
-    rk_timer_stop(x->r->loop, &x->silent);
+    rk_call_read_signals(x, head);
+    rk_timer_stop(x->r->loop, &x->silence_timer);
     x->vm_head_ms = rk_mono_ms();
-    x->fate = judge(x, head);
-    if (!id && x->fate == FATE_PASS && head->status / 100 == 2)
-        x->fate = FATE_REPEAT; /* nothing shows whose it is */
-    if (x->fate == FATE_NOT_RUN)
+    x->answer_class = classify_answer(x, head);
+    if (!id && x->answer_class == ANSWER_PASS && head->status / 100 == 2)
+        /* the answer cannot be matched to the request */
+        x->answer_class = ANSWER_RETRY;
+    if (x->answer_class == ANSWER_NOT_RUN)
         return RK_HEAD_TAKE;
     bool stream = x->route->kind == RK_CALL_STREAM;
     if (!stream || head->status / 100 != 2)
-        count_beginning(x, x->sent_wall_ms);
-    if (x->fate != FATE_PASS)
+        count_usage(x, x->sent_wall_ms);
+    if (x->answer_class != ANSWER_PASS)
         return RK_HEAD_TAKE;
     if (stream)
-        rk_timer_start(x->r->loop, &x->silent, SILENT_STREAM_MS);
+        rk_timer_start(x->r->loop, &x->silence_timer, STREAM_SILENCE_MS);
     if (!x->begun)
         begin_answer(x, head);
     return RK_HEAD_TAKE;
@@ -160,8 +165,9 @@
         rk_client_data(x->client, data, len);
 }
 
-/* May it go on at another vm behind the last whole event? */
-static bool goes_by_events(const struct rk_relay_call *x)
+/* Returns true if the stream may continue at another VM. It is then passed on in
+ * complete events, so that it can continue after the last one. */
+static bool delivers_complete_events(const struct rk_relay_call *x)
 {
     return x->route->kind == RK_CALL_STREAM &&
            (x->route->resumable || x->service->moves);
@@ -172,33 +178,33 @@
     struct rk_relay_call *x = ctx;
     if (!x->vm_first_ms)
         x->vm_first_ms = rk_mono_ms();
-    if (x->fate != FATE_PASS)
+    if (x->answer_class != ANSWER_PASS)
         return;
-    note_first(x);
-    count_beginning(x, rk_wall_ms());
+    record_first_byte(x);
+    count_usage(x, rk_wall_ms());
     if (x->route->kind == RK_CALL_STREAM)
-        rk_timer_start(x->r->loop, &x->silent, SILENT_STREAM_MS);
+        rk_timer_start(x->r->loop, &x->silence_timer, STREAM_SILENCE_MS);
     if (!x->client)
         return;
-    if (rk_client_unsent(x->client) > UNSENT_MAX) {
+    if (rk_client_unsent(x->client) > UNSENT_MAX_BYTES) {
         rk_call_cancel_attempt(x, RK_PLACE_CALLED_OFF);
-        rk_call_give_up(x, HTTP_BROKEN, 0, "the caller reads too slowly");
+        rk_call_give_up(x, HTTP_BAD_GATEWAY, 0, "the caller reads too slowly");
         return;
     }
-    if (goes_by_events(x))
+    if (delivers_complete_events(x))
         rk_events_feed(&x->events, data, len, on_event, x);
     else
         rk_client_data(x->client, data, len);
-    rk_call_move(x);
+    rk_call_try_move(x);
 }
 
-void rk_call_end_whole(struct rk_relay_call *x)
+void rk_call_end_complete(struct rk_relay_call *x)
 {
-    /* What follows the last whole event belongs to the answer, too. */
+    /* Bytes after the last complete event belong to the answer, too. */
     if (x->events.part.len && x->client)
         rk_client_data(x->client, x->events.part.data, x->events.part.len);
     bool failed = x->status >= HTTP_SERVER_ERROR;
-    rk_call_acquit(x);
+    rk_call_clear_suspicion(x);
     rk_call_end_attempt(x, failed ? RK_PLACE_ERROR : RK_PLACE_DONE);
     rk_call_finish(x);
 }
@@ -207,31 +213,31 @@
 {
     struct rk_relay_call *x = ctx;
     x->up = NULL;
-    switch (x->fate) {
-    case FATE_NOT_RUN:
+    switch (x->answer_class) {
+    case ANSWER_NOT_RUN:
         rk_call_attempt_not_run(x, "the vm did not run it");
         return;
-    case FATE_REPEAT:
+    case ANSWER_RETRY:
         rk_call_attempt_failed(x, true, RK_PLACE_ERROR,
                                "the vm answered a failure");
         return;
-    case FATE_NONE:
-    case FATE_PASS:
+    case ANSWER_PENDING:
+    case ANSWER_PASS:
         break;
     }
-    if (!rk_call_move_takes_end(x, true))
-        rk_call_end_whole(x);
+    if (!rk_call_move_stream_ended(x, true))
+        rk_call_end_complete(x);
 }
 
 static void on_fail(void *ctx, const struct rk_upstream_failure *f)
 {
     struct rk_relay_call *x = ctx;
     x->up = NULL;
-    if (x->fate != FATE_NOT_RUN && f->sent)
+    if (x->answer_class != ANSWER_NOT_RUN && f->sent)
         rk_call_suspect(x);
-    if (x->fate == FATE_NOT_RUN)
+    if (x->answer_class == ANSWER_NOT_RUN)
         rk_call_attempt_not_run(x, "the vm did not run it");
-    else if (!rk_call_move_takes_end(x, false))
+    else if (!rk_call_move_stream_ended(x, false))
         rk_call_attempt_failed(x, f->sent, RK_PLACE_LOST, f->what);
 }
 
--- a/serve/relay_arrive.c
+++ b/serve/relay_arrive.c
@@ -1,4 +1,4 @@
-/* What a caller asks: its route, its organisation, its time, its quota. */
+/* Evaluates a caller's request: route, organisation, deadline and quota. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,9 +13,11 @@
 
 #define PCT 100
 
-/* After a stop began, calls of any length are taken: the balancer may not know. */
-#define STOP_TAKES_MS 2700
+/* For this long after a stop began, calls of any length are accepted: the balancer
+ * may still send calls because it does not know of the stop yet. */
+#define STOP_ACCEPT_ALL_MS 2700
 
+/* Refuses a request for which no call was created. */
 static void refuse(struct rk_relay *r, struct rk_client *client, int status,
                    int64_t retry_after_ms, const char *why)
 {
@@ -38,7 +40,8 @@
     return host ? rk_routes_find(r->routes, host, path) : NULL;
 }
 
-/* The organisation of the request's key. False: it may not call the route. */
+/* Finds the organisation of the request's API key; *org is NULL if none is needed.
+ * Returns false if the key is missing or unknown. */
 static bool find_org(struct rk_relay *r, const struct rk_route *route,
                      const struct rk_head *head, const struct rk_org_info **org)
 {
@@ -61,7 +64,7 @@
         x->query.tokens_in = strtod(tokens, &end);
         out = *end == ',' ? strtod(end + 1, NULL) : 0;
     }
-    x->resumes = rk_head_get(head, d->resume_after) != NULL;
+    x->is_resume = rk_head_get(head, d->resume_after) != NULL;
     if (prefix)
         rk_place_parse_parts(&x->query, prefix);
     if (x->org && x->org->counts_tokens)
@@ -70,6 +73,7 @@
         x->units = 1;
 }
 
+/* Returns the time until the call's deadline in ms, at most the route's timeout. */
 static int64_t time_left(const struct rk_relay *r, const struct rk_route *route,
                          const struct rk_head *head)
 {
@@ -99,8 +103,8 @@
     x->query.request = rk_hash_str(0, x->id);
     x->query.route = route->name;
     x->query.tries = rk_place_tries(r->place, &x->query);
-    x->end = (struct rk_timer){.fn = rk_call_time_over, .ctx = x};
-    x->silent = (struct rk_timer){.fn = rk_call_silent, .ctx = x};
+    x->deadline_timer = (struct rk_timer){.fn = rk_call_on_deadline, .ctx = x};
+    x->silence_timer = (struct rk_timer){.fn = rk_call_on_silence, .ctx = x};
     x->next = r->calls;
     x->prev = &r->calls;
     if (x->next)
@@ -112,16 +116,17 @@
     return x;
 }
 
-/* Would the call outlast this process, which stops? */
+/* Returns true if the call might outlast the planned stop of this process. */
 static bool outlasts_stop(struct rk_relay *r, int64_t left_ms)
 {
     int64_t began_ms = atomic_load(&r->close_began_ms), now_ms = rk_mono_ms();
-    if (!began_ms || now_ms - began_ms < STOP_TAKES_MS)
+    if (!began_ms || now_ms - began_ms < STOP_ACCEPT_ALL_MS)
         return false;
     return now_ms + left_ms > atomic_load(&r->close_ends_ms);
 }
 
-/* Does its organisation's quota allow the call? If not, it is refused. */
+/* Charges the call to its organisation's quota. Returns false if the quota is used
+ * up; the call is then refused and freed. */
 static bool admit(struct rk_relay_call *x)
 {
     struct rk_quota *q = &x->r->quota;
@@ -138,7 +143,7 @@
         RK_N("share_pct", (int64_t)(answer.share * PCT)),
         RK_N("nodes_heard", q->nodes_heard), RK_N("nodes_total", q->nodes_total));
     x->units = 0;
-    rk_call_give_up(x, HTTP_QUOTA, answer.retry_after_ms,
+    rk_call_give_up(x, HTTP_TOO_MANY_REQUESTS, answer.retry_after_ms,
                     "the organisation's quota is used up");
     return false;
 }
@@ -150,16 +155,17 @@
     const struct rk_org_info *org;
     rk_count(RK_C_CALLS, 1);
     if (!r->routes) {
-        refuse(r, client, HTTP_REFUSED, RETRY_AFTER_MS, "no routes are known yet");
+        refuse(r, client, HTTP_UNAVAILABLE, RETRY_AFTER_MS,
+               "no routes are known yet");
         return;
     }
     const struct rk_route *route = find_route(r, client);
     if (!route) {
-        refuse(r, client, HTTP_NO_ROUTE, 0, "no such route");
+        refuse(r, client, HTTP_NOT_FOUND, 0, "no such route");
         return;
     }
     if (!find_org(r, route, head, &org)) {
-        refuse(r, client, HTTP_UNKNOWN_KEY, 0, "the key is not known");
+        refuse(r, client, HTTP_UNAUTHORIZED, 0, "the key is not known");
         return;
     }
     if (!id || strlen(id) >= REQUEST_ID_MAX) {
@@ -168,16 +174,16 @@
     }
     int64_t left_ms = time_left(r, route, head);
     if (left_ms <= 0) {
-        refuse(r, client, HTTP_TIMEOUT, 0, "the deadline has passed");
+        refuse(r, client, HTTP_REQUEST_TIMEOUT, 0, "the deadline has passed");
         return;
     }
     if (outlasts_stop(r, left_ms)) {
-        refuse(r, client, HTTP_REFUSED, 1, "this node stops");
+        refuse(r, client, HTTP_UNAVAILABLE, 1, "this node stops");
         return;
     }
     struct rk_relay_call *x = create_call(r, client, route, org);
-    x->end_ms = x->started_ms + left_ms;
-    rk_timer_start(r->loop, &x->end, left_ms);
+    x->deadline_ms = x->started_ms + left_ms;
+    rk_timer_start(r->loop, &x->deadline_timer, left_ms);
     if (!admit(x))
         return;
     rk_call_earn_retries(x);
--- a/serve/relay_call.c
+++ b/serve/relay_call.c
@@ -11,21 +11,31 @@
 #include "common/http1.h"
 #include "core/rank.h"
 
-#define LINE_MAX_LEN      192
-#define PROBLEM_MAX       256
-#define CONNECT_PLAIN_MS  150
-#define CONNECT_STREAM_MS 400
-#define REST_ONCE_MS      1500 /* rested longer, one may close under such a call */
-#define REST_ANY_MS       12000
-#define SILENT_PLAIN_MS   150 /* then another vm is tried, if it may be repeated */
-#define MAX_CHOICES       4   /* vms tried that could not even be connected to */
+#define LINE_MAX_LEN              192
+#define PROBLEM_MAX               256
+#define CONNECT_TIMEOUT_PLAIN_MS  150
+#define CONNECT_TIMEOUT_STREAM_MS 400
+/* Longest idle time of a connection that is reused. Calls that must not run twice
+ * get fresher ones, because the VM may close an idle connection just when the call
+ * is sent. */
+#define MAX_IDLE_ONCE_MS       1500
+#define MAX_IDLE_REPEATABLE_MS 12000
+/* Time without an answer after which another VM is tried, if the call is
+ * repeatable. */
+#define PLAIN_SILENCE_MS 150
+/* How many VMs are tried for one attempt if no connection can be opened. */
+#define MAX_CONNECT_TRIES 4
 #define MAX_CONNS_DEFAULT 64
 #define URGENT_RANK       0
-#define LATE_URGENT       1.5 /* times its target, a predicted first byte may come */
-#define LATE_OTHERS       1.0
-#define DOUBTS            2.0 /* standard errors: one in forty is worse */
+/* Multiple of the route's target that the predicted time to first byte may
+ * reach. */
+#define LATENESS_URGENT 1.5
+#define LATENESS_OTHERS 1.0
+/* Standard errors subtracted from a prediction; the true time is lower still in 1
+ * of 40 cases. */
+#define CONFIDENCE_STDERRS 2.0
 
-/* ---- life ---- */
+/* ---- life cycle ---- */
 
 bool rk_call_repeatable(const struct rk_relay_call *x)
 {
@@ -35,8 +45,8 @@
 
 static void free_call(struct rk_relay_call *x)
 {
-    rk_timer_stop(x->r->loop, &x->end);
-    rk_timer_stop(x->r->loop, &x->silent);
+    rk_timer_stop(x->r->loop, &x->deadline_timer);
+    rk_timer_stop(x->r->loop, &x->silence_timer);
     *x->prev = x->next;
     if (x->next)
         x->next->prev = x->prev;
@@ -47,7 +57,6 @@
     free(x);
 }
 
-/* The vm is done with the attempt. */
 void rk_call_end_attempt(struct rk_relay_call *x, enum rk_place_end end)
 {
     if (!x->vm)
@@ -79,16 +88,15 @@
     rk_client_answer(client, status, headers, body, (size_t)len);
 }
 
-/* The call's own final answer; nothing runs for it any more. */
 void rk_call_give_up(struct rk_relay_call *x, int status, int64_t retry_after_ms,
                      const char *why)
 {
     struct rk_client *client = x->client;
     bool begun = x->begun;
     rk_call_log_end(x, status, why);
-    rk_call_observe(x, !x->client        ? "gone"
-                       : x->may_have_run ? "failed"
-                                         : "refused");
+    rk_call_record_latency(x, !x->client        ? "gone"
+                              : x->may_have_run ? "failed"
+                                                : "refused");
     rk_count(x->may_have_run ? RK_C_REFUSED_MAYBE : RK_C_REFUSED_NOT_RUN, 1);
     if (x->org && !x->ran && !x->may_have_run)
         rk_quota_refund(&x->r->quota, x->org->name, x->units, rk_mono_ms());
@@ -101,33 +109,33 @@
         rk_call_answer_problem(client, status, retry_after_ms, why);
 }
 
-/* Where all vms of its service can't take it for what they say of themselves, till
- * one of them can. */
+/* Returns the time until a VM of the service can take the call again, if all of
+ * them refuse calls for now (rate limit or cooldown); otherwise the default. */
 static int64_t retry_after_ms(const struct rk_relay_call *x)
 {
     int64_t wait_ms = rk_place_wait_ms(x->r->place, &x->query, rk_mono_ms());
     return wait_ms > 0 ? wait_ms : RETRY_AFTER_MS;
 }
 
-/* No attempt is left: the truth about whether it may have run decides. */
+/* Ends the call after its last attempt. The status depends on whether it may have
+ * run. */
 static void give_up_sending(struct rk_relay_call *x, const char *why)
 {
     if (x->may_have_run)
-        rk_call_give_up(x, HTTP_BROKEN, 0, why);
+        rk_call_give_up(x, HTTP_BAD_GATEWAY, 0, why);
     else
-        rk_call_give_up(x, HTTP_REFUSED, retry_after_ms(x), why);
+        rk_call_give_up(x, HTTP_UNAVAILABLE, retry_after_ms(x), why);
 }
 
-/* VMs ended under the same request: it goes to no other. */
-static void give_up_stopped(struct rk_relay_call *x)
+/* Ends a call whose request is quarantined; it is sent to no further VM. */
+static void give_up_quarantined(struct rk_relay_call *x)
 {
     rk_count(RK_C_STOPPED, 1);
-    rk_call_give_up(x, x->may_have_run ? HTTP_BROKEN : HTTP_REFUSED,
-                    x->may_have_run ? 0 : STOPPED_RETRY_AFTER_MS,
+    rk_call_give_up(x, x->may_have_run ? HTTP_BAD_GATEWAY : HTTP_UNAVAILABLE,
+                    x->may_have_run ? 0 : QUARANTINE_RETRY_AFTER_MS,
                     "vms ended under this request");
 }
 
-/* The caller has got the vm's whole answer, a success or a failure of the vm's. */
 void rk_call_finish(struct rk_relay_call *x)
 {
     struct rk_client *client = x->client;
@@ -135,7 +143,7 @@
     if (served)
         rk_count(RK_C_ANSWERS_OK, 1);
     rk_call_log_end(x, x->status, "");
-    rk_call_observe(x, served ? "served" : "failed");
+    rk_call_record_latency(x, served ? "served" : "failed");
     free_call(x);
     if (client)
         rk_client_end(client);
@@ -143,28 +151,30 @@
 
 /* ---- retries ---- */
 
-static struct rk_relay_service *service_of(struct rk_relay *r, const char *name)
+static struct rk_relay_service *find_or_add_service(struct rk_relay *r,
+                                                    const char *name)
 {
     for (size_t i = 0; i < r->services_len; i++)
         if (!strcmp(r->services[i].name, name))
             return &r->services[i];
     if (r->services_len == RK_RELAY_SERVICES)
-        r->services_len = 0; /* services come and go with configurations */
+        /* the table is full, e.g. of services removed from the configuration */
+        r->services_len = 0;
     struct rk_relay_service *s = &r->services[r->services_len++];
     *s = (struct rk_relay_service){0};
     rk_strcpy(s->name, sizeof(s->name), name);
     return s;
 }
 
-static struct rk_budget *budget(struct rk_relay_call *x)
+static struct rk_budget *retry_budget(struct rk_relay_call *x)
 {
-    return &service_of(x->r, x->query.service)->budget;
+    return &find_or_add_service(x->r, x->query.service)->budget;
 }
 
 void rk_call_earn_retries(struct rk_relay_call *x)
 {
     const struct rk_relay_bounds *bounds = &x->r->opt.bounds;
-    struct rk_budget *b = budget(x);
+    struct rk_budget *b = retry_budget(x);
     rk_budget_set_share(b, bounds->retry_burst, x->r->quota.nodes_total,
                         bounds->first_start);
     rk_budget_earn(b, bounds->retry_pct);
@@ -172,7 +182,7 @@
 
 bool rk_call_take_retry(struct rk_relay_call *x)
 {
-    if (!rk_budget_spend(budget(x))) {
+    if (!rk_budget_spend(retry_budget(x))) {
         rk_count(RK_C_RETRY_DENIED, 1);
         return false;
     }
@@ -180,40 +190,41 @@
     return true;
 }
 
-/* May the call be sent to one more vm? Takes a retry from the budget. */
-static bool may_send_again(struct rk_relay_call *x)
+/* Returns true if the call may be sent to another VM. Takes a retry from the
+ * budget. */
+static bool take_another_attempt(struct rk_relay_call *x)
 {
     return x->attempts < x->route->max_attempts && rk_call_take_retry(x);
 }
 
+/* Keeps the call's next attempts away from its current VM. */
 static void exclude_vm(struct rk_relay_call *x)
 {
-    /* A caller is not made to try a new version twice. */
+    /* A call is sent to a canary version at most once. */
     if (x->vm && rk_place_is_trial(x->vm))
         x->query.tries = false;
     if (x->vm && x->query.excluded_len < RK_PLACE_EXCLUDED)
         x->query.excluded[x->query.excluded_len++] = x->vm->hash;
 }
 
-/* An attempt is over without a final answer; its upstream call is gone. */
 void rk_call_attempt_failed(struct rk_relay_call *x, bool sent,
                             enum rk_place_end end, const char *what)
 {
-    rk_call_log_attempt(x, what, sent);
+    rk_call_log_attempt_failed(x, what, sent);
     rk_call_move_free(x);
     exclude_vm(x);
     rk_call_end_attempt(x, end);
-    rk_timer_stop(x->r->loop, &x->silent);
-    x->fate = FATE_NONE;
+    rk_timer_stop(x->r->loop, &x->silence_timer);
+    x->answer_class = ANSWER_PENDING;
     if (!sent)
-        x->attempts--; /* it never arrived */
+        x->attempts--; /* it never reached a VM */
     else
         x->may_have_run = true;
     if (!x->client) {
         rk_call_give_up(x, 0, 0, what);
         return;
     }
-    bool again = !sent || (rk_call_repeatable(x) && may_send_again(x));
+    bool again = !sent || (rk_call_repeatable(x) && take_another_attempt(x));
     if (x->begun && !x->route->resumable)
         again = false;
     if (!again) {
@@ -227,15 +238,14 @@
     rk_call_send(x);
 }
 
-/* The vm proved that the call did not run there. */
 void rk_call_attempt_not_run(struct rk_relay_call *x, const char *what)
 {
-    rk_call_log_attempt(x, what, true);
+    rk_call_log_attempt_failed(x, what, true);
     exclude_vm(x);
     rk_call_end_attempt(x, RK_PLACE_REFUSED);
-    rk_timer_stop(x->r->loop, &x->silent);
-    x->fate = FATE_NONE;
-    if (x->client && may_send_again(x))
+    rk_timer_stop(x->r->loop, &x->silence_timer);
+    x->answer_class = ANSWER_PENDING;
+    if (x->client && take_another_attempt(x))
         rk_call_send(x);
     else
         give_up_sending(x, what);
@@ -248,8 +258,9 @@
     rk_buf_printf(b, "%s: %s\r\n", name, value);
 }
 
-/* Does a header that the caller sent go to the vm? Connection may name headers
- * that concern only the connection; not those by which the vm knows the call. */
+/* Returns true if a header of the caller's request is passed on to the VM. Headers
+ * that Connection lists concern only the caller's connection and are dropped,
+ * except those that identify the call to the VM. */
 static bool is_passed_on(const struct rk_relay_call *x, const char *connection,
                          const char *name)
 {
@@ -258,7 +269,8 @@
     case RK_HEADER_OURS:
         return false;
     case RK_HEADER_CALLERS:
-        /* This node says where to go on, once a vm has sent an event. */
+        /* After the first event of a VM, this node sets the point of resumption
+         * itself. */
         return !(x->begun && x->events.last_id[0] &&
                  !strcasecmp(name, d->resume_after));
     case RK_HEADER_OTHER:
@@ -278,15 +290,17 @@
     }
 }
 
-static int promised_rank(const struct rk_relay_call *x)
+/* Returns the rank promised to the organisation or, without one, the route's. */
+static int base_rank(const struct rk_relay_call *x)
 {
     return x->org && x->org->rank >= 0 ? x->org->rank : x->route->rank;
 }
 
-/* A stream that goes on is waited for already: its size doesn't count. */
-static int rank(const struct rk_relay_call *x)
+/* A resumed stream is already being read by its caller, so its size does not
+ * count. */
+static int engine_rank(const struct rk_relay_call *x)
 {
-    return rk_rank(promised_rank(x), x->begun ? 0 : x->job.load.unread);
+    return rk_rank(base_rank(x), x->begun ? 0 : x->job.load.unread);
 }
 
 static void build_head(const struct rk_relay_call *x, size_t body_len,
@@ -294,7 +308,7 @@
 {
     const struct rk_head *head = rk_client_head(x->client);
     const struct rk_dialect *d = x->r->opt.dialect;
-    int64_t left_ms = x->end_ms - rk_mono_ms();
+    int64_t left_ms = x->deadline_ms - rk_mono_ms();
     rk_buf_printf(b, "%s %s HTTP/1.1\r\n", http_method_str(head->method),
                   rk_head_target(head));
     copy_headers(x, head, b);
@@ -304,15 +318,15 @@
     if (x->org)
         add_line(b, d->organisation, x->org->name);
     if (x->service->engine)
-        rk_buf_printf(b, "%s: %d\r\n", d->rank, rank(x));
+        rk_buf_printf(b, "%s: %d\r\n", d->rank, engine_rank(x));
     const struct rk_place_vm *source =
         x->service->moves
             ? rk_place_source(x->r->place, &x->query, x->vm, rk_mono_ms())
             : NULL;
     if (source)
         add_line(b, d->fetch_from, source->row.addr);
-    if (x->moved_from[0])
-        add_line(b, d->go_on_from, x->moved_from);
+    if (x->kv_source[0])
+        add_line(b, d->go_on_from, x->kv_source);
     if (x->begun && x->events.last_id[0])
         add_line(b, d->resume_after, x->events.last_id);
     if (body_len || head->body_length >= 0 || head->chunked)
@@ -327,7 +341,7 @@
     return share > 0 ? (int)share : MAX_CONNS_DEFAULT;
 }
 
-/* Hand the call to x->vm. False: no byte can leave. */
+/* Sends the call to x->vm. Returns false if no byte can have been sent. */
 static bool start_attempt(struct rk_relay_call *x)
 {
     size_t body_len;
@@ -343,8 +357,9 @@
         .body = body,
         .body_len = body_len,
         .no_body = rk_client_head(x->client)->method == HTTP_HEAD,
-        .max_idle_ms = rk_call_repeatable(x) ? REST_ANY_MS : REST_ONCE_MS,
-        .connect_ms = stream ? CONNECT_STREAM_MS : CONNECT_PLAIN_MS,
+        .max_idle_ms =
+            rk_call_repeatable(x) ? MAX_IDLE_REPEATABLE_MS : MAX_IDLE_ONCE_MS,
+        .connect_ms = stream ? CONNECT_TIMEOUT_STREAM_MS : CONNECT_TIMEOUT_PLAIN_MS,
         .max_conns = rk_call_max_conns(x),
         .ops = &rk_call_upstream_ops,
         .ctx = x,
@@ -354,64 +369,67 @@
     return x->up != NULL;
 }
 
-static void watch_silence(struct rk_relay_call *x)
+static void start_silence_timer(struct rk_relay_call *x)
 {
     if (!rk_call_repeatable(x) || x->attempts >= x->route->max_attempts)
         return;
     bool stream = x->route->kind == RK_CALL_STREAM;
-    rk_timer_start(x->r->loop, &x->silent,
-                   stream ? SILENT_STREAM_MS + x->route->target_ms
-                          : SILENT_PLAIN_MS);
+    rk_timer_start(x->r->loop, &x->silence_timer,
+                   stream ? STREAM_SILENCE_MS + x->route->target_ms
+                          : PLAIN_SILENCE_MS);
 }
 
-/* Would a first attempt get its first byte so late that the answer is worth little?
- * Then others are served better without it, and its caller may come back. In doubt
- * it is tried: engines are known only by what was sent to them. */
-static bool comes_too_late(const struct rk_relay_call *x)
+/* Returns true if the predicted first byte is so late that the answer is worth
+ * little. Refusing the call then leaves capacity for others, and its caller may
+ * come back. If the prediction is uncertain the call is sent, because engine speed
+ * is only learned from calls that are sent. */
+static bool misses_target(const struct rk_relay_call *x)
 {
     double target_ms = (double)x->route->target_ms;
     if (!x->query.engine || x->attempts || x->begun || target_ms <= 0)
         return false;
-    double slack = promised_rank(x) <= URGENT_RANK ? LATE_URGENT : LATE_OTHERS;
-    return x->forecast.ms - DOUBTS * x->forecast.doubt_ms > target_ms * slack;
+    double slack = base_rank(x) <= URGENT_RANK ? LATENESS_URGENT : LATENESS_OTHERS;
+    return x->forecast.ms - CONFIDENCE_STDERRS * x->forecast.doubt_ms >
+           target_ms * slack;
 }
 
-/* What is asked of a service counts once a call, however often it is sent and
- * whether it can be served or not: what is read again, or comes back, because vms
- * are missing is no demand for more of them. */
-static void note_asked(struct rk_relay_call *x, double tokens)
+/* Adds the call to the demand for its service. Each call counts once, however often
+ * it is sent and whether or not it can be served. Otherwise retries and resumes
+ * after a loss of VMs would look like demand for more VMs. */
+static void count_demand(struct rk_relay_call *x, double tokens)
 {
-    if (x->asked || x->resumes)
+    if (x->demand_counted || x->is_resume)
         return;
-    x->asked = true;
-    service_of(x->r, x->query.service)->read_tokens += tokens;
+    x->demand_counted = true;
+    find_or_add_service(x->r, x->query.service)->read_tokens += tokens;
 }
 
 static void refuse_late(struct rk_relay_call *x)
 {
-    note_asked(x, rk_place_unread(x->r->place, &x->query, x->vm, rk_mono_ms()));
+    count_demand(x, rk_place_unread(x->r->place, &x->query, x->vm, rk_mono_ms()));
     x->vm = NULL;
     rk_count(RK_C_LATE_REFUSED, 1);
-    rk_call_give_up(x, HTTP_REFUSED,
+    rk_call_give_up(x, HTTP_UNAVAILABLE,
                     (int64_t)x->forecast.ms - x->route->target_ms / 2,
                     "its first byte would come too late");
 }
 
-static void note_sent(struct rk_relay_call *x)
+static void record_sent(struct rk_relay_call *x)
 {
-    note_asked(x, x->job.load.unread);
+    count_demand(x, x->job.load.unread);
     x->attempts++;
     x->move_tried = false;
-    x->silence_noted = false;
+    x->silence_reported = false;
     x->vm_head_ms = x->vm_first_ms = 0;
     rk_count(RK_C_ATTEMPTS, 1);
     rk_call_log_sent(x);
-    watch_silence(x);
+    start_silence_timer(x);
 }
 
-/* A vm of the version that the call goes to; where none of a new version can take
- * it, one of the old, and the other way round only where the old may be gone. */
-static struct rk_place_vm *choose(struct rk_relay_call *x, int64_t now_ms)
+/* Chooses a VM of the version that the call is assigned to. If no VM of a canary
+ * version can take it, a VM of the old version is chosen. The reverse applies only
+ * where the old VMs may be gone. */
+static struct rk_place_vm *choose_vm(struct rk_relay_call *x, int64_t now_ms)
 {
     struct rk_place *p = x->r->place;
     struct rk_place_vm *vm = rk_place_choose(p, &x->query, now_ms, &x->forecast);
@@ -423,42 +441,40 @@
 
 void rk_call_send(struct rk_relay_call *x)
 {
-    if (rk_call_is_stopped(x)) {
-        give_up_stopped(x);
+    if (rk_call_is_quarantined(x)) {
+        give_up_quarantined(x);
         return;
     }
-    for (int i = 0; i < MAX_CHOICES; i++) {
+    for (int i = 0; i < MAX_CONNECT_TRIES; i++) {
         int64_t now_ms = rk_mono_ms();
-        x->vm = choose(x, now_ms);
+        x->vm = choose_vm(x, now_ms);
         if (!x->vm)
             break;
-        if (comes_too_late(x)) {
+        if (misses_target(x)) {
             refuse_late(x);
             return;
         }
         rk_place_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
-        x->job.odd = x->begun || x->resumes;
+        x->job.odd = x->begun || x->is_resume;
         x->sent_wall_ms = rk_wall_ms();
         if (start_attempt(x)) {
-            note_sent(x);
+            record_sent(x);
             return;
         }
         exclude_vm(x);
         rk_call_end_attempt(x, RK_PLACE_CALLED_OFF);
     }
-    note_asked(x, x->query.tokens_in);
+    count_demand(x, x->query.tokens_in);
     give_up_sending(x, "no vm can take it");
 }
 
-/* A run that stopped elsewhere goes on at a vm that has got its memory; if it
- * can't, as after any other break. */
-void rk_call_send_moved(struct rk_relay_call *x, const char *vm_id,
-                        const char *from_addr, const char *handle)
+void rk_call_resume_moved(struct rk_relay_call *x, const char *vm_id,
+                          const char *from_addr, const char *handle)
 {
     int64_t now_ms = rk_mono_ms();
     struct rk_place_vm *from = x->vm;
-    rk_timer_stop(x->r->loop, &x->silent);
-    x->fate = FATE_NONE;
+    rk_timer_stop(x->r->loop, &x->silence_timer);
+    x->answer_class = ANSWER_PENDING;
     struct rk_place_vm *to = rk_place_find(x->r->place, vm_id);
     if (to != from)
         exclude_vm(x);
@@ -470,60 +486,61 @@
     x->vm = to;
     rk_place_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
     x->job.odd = true;
-    snprintf(x->moved_from, sizeof(x->moved_from), "%s/%s", from_addr, handle);
+    snprintf(x->kv_source, sizeof(x->kv_source), "%s/%s", from_addr, handle);
     bool sent = start_attempt(x);
-    x->moved_from[0] = '\0'; /* it serves once */
+    x->kv_source[0] = '\0'; /* used for this attempt only */
     if (!sent) {
         rk_call_attempt_failed(x, true, RK_PLACE_CALLED_OFF, "no connection");
         return;
     }
-    note_sent(x);
-    x->attempts--;              /* the same run goes on: the one before has ended */
-    x->move_tried = to == from; /* it went back for want of room elsewhere */
+    record_sent(x);
+    x->attempts--; /* the same run continues; this is not another attempt */
+    /* no other VM had room, so it returned to its own */
+    x->move_tried = to == from;
 }
 
 /* ---- timers ---- */
 
-void rk_call_time_over(void *ctx)
+void rk_call_on_deadline(void *ctx)
 {
     struct rk_relay_call *x = ctx;
-    if (x->up && rk_upstream_sent(x->up) && x->fate != FATE_NOT_RUN)
+    if (x->up && rk_upstream_sent(x->up) && x->answer_class != ANSWER_NOT_RUN)
         x->may_have_run = true;
     rk_call_cancel_attempt(x, x->begun ? RK_PLACE_CALLED_OFF : RK_PLACE_LOST);
     rk_count(RK_C_EXPIRED, 1);
-    rk_call_give_up(x, HTTP_TOO_LATE, 0, "its time is over");
+    rk_call_give_up(x, HTTP_GATEWAY_TIMEOUT, 0, "its time is over");
 }
 
-/* Is there a vm beside the one that has the call? */
+/* Returns true if a VM other than the current one can take the call. */
 static bool has_other_vm(const struct rk_relay_call *x)
 {
     struct rk_place_query other = x->query;
-    struct rk_engine_forecast first;
+    struct rk_engine_forecast forecast;
     if (x->vm && other.excluded_len < RK_PLACE_EXCLUDED)
         other.excluded[other.excluded_len++] = x->vm->hash;
     const struct rk_place_vm *vm =
-        rk_place_choose(x->r->place, &other, rk_mono_ms(), &first);
+        rk_place_choose(x->r->place, &other, rk_mono_ms(), &forecast);
     return vm && vm != x->vm;
 }
 
-static void wait_on(struct rk_relay_call *x)
+static void keep_waiting(struct rk_relay_call *x)
 {
-    if (x->vm && !x->silence_noted)
+    if (x->vm && !x->silence_reported)
         rk_place_silent(x->vm, &x->job, rk_mono_ms());
-    x->silence_noted = true;
-    watch_silence(x);
+    x->silence_reported = true;
+    start_silence_timer(x);
 }
 
-/* It is called off only where it goes on elsewhere: a vm that is slow may answer
- * yet. Under load, when retries run out, 73 of 300 calls at once were failed while
- * they ran. */
-void rk_call_silent(void *ctx)
+/* The call is cancelled only if another VM can take it, because a slow VM may still
+ * answer. Without this, 73 of 300 concurrent calls failed while they were running,
+ * after the retries were used up under load. */
+void rk_call_on_silence(void *ctx)
 {
     struct rk_relay_call *x = ctx;
     if (!rk_call_repeatable(x) || x->attempts >= x->route->max_attempts)
         return;
-    if (!rk_budget_has(budget(x)) || !has_other_vm(x)) {
-        wait_on(x);
+    if (!rk_budget_has(retry_budget(x)) || !has_other_vm(x)) {
+        keep_waiting(x);
         return;
     }
     bool sent = !x->up || rk_upstream_sent(x->up);
@@ -533,17 +550,20 @@
     rk_call_attempt_failed(x, sent, RK_PLACE_LOST, "the vm is silent");
 }
 
-void rk_relay_call_gone(struct rk_relay_call *x)
+void rk_relay_call_caller_gone(struct rk_relay_call *x)
 {
     bool runs_on = x->route->kind == RK_CALL_ONCE && x->up;
     if (runs_on)
-        rk_call_request(x); /* while its caller's bytes are there */
+        /* needs the request's bytes, which are freed with the client */
+        rk_call_fingerprint(x);
     x->client = NULL;
     if (runs_on)
-        return; /* it runs on: nobody may learn too late that it was cut off */
+        /* a non-repeatable call is not cut off, as its outcome would stay
+         * unknown */
+        return;
     rk_call_cancel_attempt(x, RK_PLACE_CALLED_OFF);
     rk_call_log_end(x, 0, "the caller is gone");
-    rk_call_observe(x, "gone");
+    rk_call_record_latency(x, "gone");
     free_call(x);
 }
 
--- a/serve/relay_call.h
+++ b/serve/relay_call.h
@@ -1,4 +1,5 @@
-/* One relayed call, from its arrival to its one answer. Relay thread only. */
+/* State of a relay, and the life cycle of one relayed call up to its single answer.
+ * Relay thread only. */
 #ifndef RK_SERVE_RELAY_CALL_H
 #define RK_SERVE_RELAY_CALL_H
 
@@ -15,13 +16,16 @@
 struct rk_upstream_call;
 struct rk_vm_check;
 
+/* Services of which a relay keeps state. When the table is full, it is emptied. */
 #define RK_RELAY_SERVICES 32
 
-/* What a relay keeps for a service. */
+/* Per-service state of a relay. */
 struct rk_relay_service {
     char name[RK_ID_MAX];
-    struct rk_budget budget; /* of retries */
-    double read_tokens;      /* asked of engines since the start */
+    struct rk_budget budget; /* retry budget */
+    /* uncached prompt tokens requested of engines since the start, refused calls
+     * included */
+    double read_tokens;
 };
 
 struct rk_relay {
@@ -32,34 +36,38 @@
     struct rk_place *place;
     struct rk_quota quota;
     struct rk_usage usage;
-    struct rk_routes *routes; /* NULL: none known yet */
+    struct rk_routes *routes; /* NULL: none received yet */
     bool vms_known;
-    bool store_read; /* what it remembers of an earlier life is known, or nothing */
-    struct rk_timer accept;
+    /* usage persisted before a restart has been applied, or there is none */
+    bool quotas_restored;
+    /* runs while new connections are held back at start */
+    struct rk_timer accept_timer;
     struct rk_relay_service services[RK_RELAY_SERVICES];
     size_t services_len;
     struct rk_relay_call *calls;
     size_t calls_len;
-    struct rk_quarantine quarantine; /* requests under which VMs ended */
-    struct rk_vm_check *vm_checks;   /* VMs at which calls broke off just now */
+    struct rk_quarantine quarantine; /* suspected and quarantined requests */
+    struct rk_vm_check *vm_checks;   /* checks of VMs at which calls broke off */
     struct rk_rng rng;
     struct rk_timer report;
-    int64_t forgot_ms; /* when old signals of vms were dropped last */
-    /* Of a planned stop; 0: none. */
+    int64_t signals_expired_ms; /* last expiry of VM signals, monotonic */
+    /* Begin and end of a planned stop, monotonic; 0: none. Set from any thread. */
     _Atomic int64_t close_began_ms, close_ends_ms;
 };
 
-/* Take a request that a caller sent. */
+/* Starts a call for the complete request of a client, or refuses it. */
 void rk_relay_call_start(struct rk_relay *r, struct rk_client *client);
 
-/* Its caller is gone. */
-void rk_relay_call_gone(struct rk_relay_call *call);
+/* Handles the loss of the call's client. A non-repeatable call that is at a VM
+ * keeps running. */
+void rk_relay_call_caller_gone(struct rk_relay_call *call);
 
-/* The relay ends. */
+/* Ends the call and its connections because the relay shuts down. */
 void rk_relay_call_abort(struct rk_relay_call *call);
 
-/* relay_suspect.c: call off what waits at engines and is a stopped request. */
-void rk_relay_call_off_stopped(struct rk_relay *r);
+/* relay_suspect.c: cancels quarantined calls that wait at engines. */
+void rk_relay_cancel_quarantined(struct rk_relay *r);
+/* relay_suspect.c: cancels and frees all checks of VMs. */
 void rk_relay_vm_checks_free(struct rk_relay *r);
 
 #endif
--- a/serve/relay_call_impl.h
+++ b/serve/relay_call_impl.h
@@ -1,147 +1,186 @@
-/* State of a relayed call, shared by relay_call.c (its life, attempts, ends),
- * relay_answer.c (what a vm answers), relay_arrive.c (what a caller asks) and
- * relay_suspect.c (what ends its VMs) and relay_log.c. Not for others. Relay thread
- * only. */
+/* State of a relayed call, shared by relay_call.c (life cycle and attempts),
+ * relay_answer.c (the VM's answer), relay_arrive.c (the caller's request),
+ * relay_move.c (moves between engines), relay_signals.c (what VMs advertise),
+ * relay_suspect.c (requests that crash VMs) and relay_log.c. Relay thread only. */
 #ifndef RK_SERVE_RELAY_CALL_IMPL_H
 #define RK_SERVE_RELAY_CALL_IMPL_H
 
 #include "serve/relay_call.h"
 #include "services/upstream.h"
 
-#define REQUEST_ID_MAX   96
-#define SILENT_STREAM_MS 1500
-#define RETRY_AFTER_MS   300 /* told with a refusal when nothing better is known */
-/* Told with a refusal of a request that VMs ended under: sooner nothing will have
- * changed, and later an operator may have let it through. */
-#define STOPPED_RETRY_AFTER_MS (60 * RK_MS_PER_S)
+#define REQUEST_ID_MAX 96 /* including the terminating NUL */
+/* Longest silence of a VM within a stream, after which another VM is tried. */
+#define STREAM_SILENCE_MS 1500
+/* Default Retry-After of a refusal. */
+#define RETRY_AFTER_MS 300
+/* Retry-After of a quarantined request. Its state rarely changes sooner, and after
+ * this time an operator may have cleared it. */
+#define QUARANTINE_RETRY_AFTER_MS (60 * RK_MS_PER_S)
 
 enum {
     HTTP_BAD_REQUEST = 400,
-    HTTP_UNKNOWN_KEY = 401,
-    HTTP_NO_ROUTE = 404,
-    HTTP_TIMEOUT = 408,
-    HTTP_MISDIRECTED = 421,
-    HTTP_QUOTA = 429,
+    HTTP_UNAUTHORIZED = 401,
+    HTTP_NOT_FOUND = 404,
+    HTTP_REQUEST_TIMEOUT = 408,
+    HTTP_MISDIRECTED_REQUEST = 421,
+    HTTP_TOO_MANY_REQUESTS = 429,
     HTTP_SERVER_ERROR = 500, /* and above */
-    HTTP_BROKEN = 502,
-    HTTP_REFUSED = 503,
-    HTTP_TOO_LATE = 504,
+    HTTP_BAD_GATEWAY = 502,
+    HTTP_UNAVAILABLE = 503,
+    HTTP_GATEWAY_TIMEOUT = 504,
 };
 
-/* What becomes of the answer that an attempt is getting. */
-enum fate {
-    FATE_NONE,    /* no head yet */
-    FATE_PASS,    /* goes to the caller */
-    FATE_NOT_RUN, /* proves that the call did not run */
-    FATE_REPEAT,  /* a failure, but the call may be repeated */
+/* How the answer of the current attempt is used. */
+enum answer_class {
+    ANSWER_PENDING, /* its head has not arrived */
+    ANSWER_PASS,    /* passed to the caller */
+    ANSWER_NOT_RUN, /* proves that the call did not run */
+    ANSWER_RETRY,   /* a failure; the call may be retried */
 };
 
 struct rk_relay_call {
     struct rk_relay *r;
     struct rk_relay_call *next, **prev;
-    struct rk_client *client; /* NULL: gone */
+    struct rk_client *client; /* NULL: the caller is gone */
     char id[REQUEST_ID_MAX];
-    struct rk_routes *routes; /* the version it is served by */
+    struct rk_routes *routes; /* the version that serves this call */
     const struct rk_route *route;
     const struct rk_service_info *service;
     const struct rk_org_info *org; /* NULL: none */
-    uint64_t request;              /* rk_call_request(); 0: not worked out yet */
+    uint64_t fingerprint; /* see rk_call_fingerprint(); 0: not computed yet */
     struct rk_place_query query;
-    double units; /* of the organisation's quota */
-    int64_t started_ms, end_ms;
-    struct rk_timer end;    /* the deadline or the route's timeout */
-    struct rk_timer silent; /* the vm says nothing */
-    /* The attempt under way. */
-    struct rk_upstream_call *up;
+    double units; /* cost in the organisation's quota */
+    int64_t started_ms, deadline_ms;
+    /* fires at the call's deadline or the route's timeout */
+    struct rk_timer deadline_timer;
+    /* fires when the VM sends nothing for too long */
+    struct rk_timer silence_timer;
+    /* ---- the current attempt ---- */
+    struct rk_upstream_call *up; /* NULL: none in progress */
     struct rk_place_vm *vm;
     struct rk_place_job job;
-    struct rk_engine_forecast forecast; /* of its first byte */
-    /* When this attempt's head, and first byte behind it, came; 0: not yet. */
+    struct rk_engine_forecast forecast; /* predicted time to first byte */
+    /* Arrival of the answer's head and of its first body byte, monotonic; 0: not
+     * yet. */
     int64_t vm_head_ms, vm_first_ms;
-    enum fate fate;
-    int64_t sent_wall_ms;
-    bool counted; /* this attempt's beginning, in usage */
-    /* All attempts. */
+    enum answer_class answer_class;
+    int64_t sent_wall_ms; /* wall-clock time at which it was sent */
+    bool usage_counted;   /* the request is counted in its organisation's usage */
+    /* ---- all attempts ---- */
     int attempts;
     bool may_have_run;
-    bool resumes; /* the caller goes on with a stream */
-    bool asked;   /* it is counted in what is asked of its service */
-    bool ran;     /* it counts for the quota */
-    bool begun;   /* the caller has got the head */
-    int status;   /* of that head */
+    bool is_resume;      /* the caller resumes a stream */
+    bool demand_counted; /* counted in the demand for its service */
+    bool ran;            /* an attempt has run, so the quota is not refunded */
+    bool begun;          /* the caller has received the answer's head */
+    int status;          /* HTTP status of that head */
     struct rk_events events;
-    int64_t first_ms;          /* to the first byte; -1 */
-    struct rk_call_move *move; /* its memory is being copied elsewhere; NULL: no */
-    bool move_tried;           /* at this vm, already */
-    bool silence_noted;        /* of this attempt */
-    char moved_from[RK_ADDR_MAX + RK_MOVE_HANDLE_MAX]; /* while it is sent there */
+    int64_t first_ms; /* time to first byte as the caller sees it; -1: none yet */
+    /* copy of the call's KV cache in progress; NULL: none */
+    struct rk_call_move *move;
+    bool move_tried;       /* a move away from the current VM was tried */
+    bool silence_reported; /* for the current attempt */
+    /* "ADDRESS/HANDLE" of the KV cache copy, set while the attempt that uses it is
+     * sent; else "" */
+    char kv_source[RK_ADDR_MAX + RK_MOVE_HANDLE_MAX];
 };
 
-/* relay_call.c: ends. The call is gone after them. */
+/* ---- relay_call.c: ends; rk_call_give_up() and rk_call_finish() free the call
+ * ---- */
+/* Answers a client with an error and a problem document (RFC 9457). why goes into
+ * its detail member as it stands, so it must need no JSON escapes. */
 void rk_call_answer_problem(struct rk_client *client, int status,
                             int64_t retry_after_ms, const char *why);
+/* Ends the call with an error answer of this node, or cuts the connection if the
+ * answer has begun. Refunds the quota if the call has certainly not run. The call
+ * must have no attempt in progress. retry_after_ms 0: no Retry-After. */
 void rk_call_give_up(struct rk_relay_call *x, int status, int64_t retry_after_ms,
                      const char *why);
+/* Ends the call after the VM's complete answer was passed to the caller. */
 void rk_call_finish(struct rk_relay_call *x);
 
-/* relay_log.c */
+/* ---- relay_log.c ---- */
+/* Log the events of a call: it was sent, its first byte came after seen_ms, an
+ * attempt failed, it ended. */
 void rk_call_log_sent(const struct rk_relay_call *x);
-void rk_call_log_first(const struct rk_relay_call *x, int64_t seen_ms);
-void rk_call_log_attempt(const struct rk_relay_call *x, const char *what,
-                         bool sent);
+void rk_call_log_first_byte(const struct rk_relay_call *x, int64_t seen_ms);
+void rk_call_log_attempt_failed(const struct rk_relay_call *x, const char *what,
+                                bool sent);
 void rk_call_log_end(const struct rk_relay_call *x, int status, const char *why);
-/* The call's end in the histograms. */
-void rk_call_observe(const struct rk_relay_call *x, const char *outcome);
+/* Records the call's latency histograms under an outcome. */
+void rk_call_record_latency(const struct rk_relay_call *x, const char *outcome);
 
-/* relay_call.c: attempts. */
+/* ---- relay_call.c: attempts ---- */
+/* Returns true if the call may run more than once. */
 bool rk_call_repeatable(const struct rk_relay_call *x);
+/* Credits the service's retry budget for a new call. */
 void rk_call_earn_retries(struct rk_relay_call *x);
+/* Chooses a VM and sends the call to it, or ends the call if that is impossible. */
 void rk_call_send(struct rk_relay_call *x);
+/* Reports the end of the current attempt to placement, without touching the
+ * connection. */
 void rk_call_end_attempt(struct rk_relay_call *x, enum rk_place_end end);
+/* Cancels the current attempt's upstream call, then ends the attempt. */
 void rk_call_cancel_attempt(struct rk_relay_call *x, enum rk_place_end end);
+/* Handles an attempt that ended without a final answer: the call is retried,
+ * resumed or ended. sent: a byte of the request may have reached the VM. what:
+ * reason for the log. */
 void rk_call_attempt_failed(struct rk_relay_call *x, bool sent,
                             enum rk_place_end end, const char *what);
+/* Handles an attempt whose VM proved that the call did not run there. */
 void rk_call_attempt_not_run(struct rk_relay_call *x, const char *what);
 
-/* Takes a retry from the budget, if there is one. */
+/* Takes a retry from the service's budget. Returns false if there is none. */
 bool rk_call_take_retry(struct rk_relay_call *x);
-void rk_call_send_moved(struct rk_relay_call *x, const char *vm_id,
-                        const char *from_addr, const char *handle);
-int rk_call_max_conns(const struct rk_relay_call *x); /* to one vm */
+/* Resumes a stream at the VM that has received a copy of its KV cache. Falls back
+ * to rk_call_attempt_failed() if that VM is gone. */
+void rk_call_resume_moved(struct rk_relay_call *x, const char *vm_id,
+                          const char *from_addr, const char *handle);
+/* Returns this node's share of the connections that the service allows per VM. */
+int rk_call_max_conns(const struct rk_relay_call *x);
 
-/* relay_move.c */
-/* Move the call's run away from its vm, if that leaves and it is worth it. */
-void rk_call_move(struct rk_relay_call *x);
+/* ---- relay_move.c ---- */
+/* Starts to move the stream away from its VM if that VM is leaving, another one can
+ * take it, and the retry budget allows it. */
+void rk_call_try_move(struct rk_relay_call *x);
+/* Cancels a move in progress, if any. */
 void rk_call_move_free(struct rk_relay_call *x);
-/* The vm's stream has ended while its memory is being copied; whole: as if it had
- * come to its end. False: nothing is copied, and the end counts. */
-bool rk_call_move_takes_end(struct rk_relay_call *x, bool whole);
+/* Handles the end of the VM's stream while a move is in progress. stream_complete:
+ * the answer ended regularly. Returns false if no move is in progress; the caller
+ * then handles the end. */
+bool rk_call_move_stream_ended(struct rk_relay_call *x, bool stream_complete);
 
-/* relay_suspect.c */
-/* What makes it the same request as an earlier call: core/quarantine.h. */
-uint64_t rk_call_request(struct rk_relay_call *x);
-/* Is it stopped, as VMs ended under the same request? */
-bool rk_call_is_stopped(struct rk_relay_call *x);
-/* Its connection to its vm broke off, though the call was sent: was that the vm's
- * end? Before the attempt is ended. */
+/* ---- relay_suspect.c ---- */
+/* Returns the fingerprint that identifies repeats of the same request, as defined
+ * by core/quarantine.h. 0 if it was not computed before the client went away. */
+uint64_t rk_call_fingerprint(struct rk_relay_call *x);
+/* Returns true if the request is quarantined because VMs ended while running it. */
+bool rk_call_is_quarantined(struct rk_relay_call *x);
+/* Called when the VM's connection broke off after the call was sent, before the
+ * attempt is ended: starts a check whether the VM has ended, with this call as a
+ * suspect. */
 void rk_call_suspect(struct rk_relay_call *x);
-/* Its vm ran it to the end. */
-void rk_call_acquit(struct rk_relay_call *x);
+/* Records that a VM ran the request to its end, which clears it of suspicion. */
+void rk_call_clear_suspicion(struct rk_relay_call *x);
 
-/* relay_signals.c */
-/* Take in what an answer of the call's vm says of the vm itself. */
-void rk_call_hear_vm(struct rk_relay_call *x, const struct rk_head *head);
+/* ---- relay_signals.c ---- */
+/* Evaluates what the headers of an answer say about the state of its VM. */
+void rk_call_read_signals(struct rk_relay_call *x, const struct rk_head *head);
 
-/* relay_call.c: timers. */
-void rk_call_time_over(void *ctx);
-void rk_call_silent(void *ctx);
+/* ---- relay_call.c: timer callbacks; ctx is the call ---- */
+void rk_call_on_deadline(void *ctx);
+void rk_call_on_silence(void *ctx);
 
-/* relay_answer.c */
-/* The vm's answer has come to its end. */
-void rk_call_end_whole(struct rk_relay_call *x);
+/* ---- relay_answer.c ---- */
+/* Ends the call after the VM's complete answer. */
+void rk_call_end_complete(struct rk_relay_call *x);
+/* Callbacks of a relayed call's upstream call. */
 extern const struct rk_upstream_ops rk_call_upstream_ops;
+/* Returns true for headers that concern only one connection, and for
+ * Content-Length. */
 bool rk_call_is_hop_header(const char *name);
-/* Is the header named in the Connection header? */
+/* Returns true if the Connection header lists the header name. connection may be
+ * NULL. */
 bool rk_call_is_nominated(const char *connection, const char *name);
 
 #endif
--- a/serve/relay_log.c
+++ b/serve/relay_log.c
@@ -1,14 +1,15 @@
-/* What a relayed call leaves in the log and the histograms. */
+/* Log events and histograms of relayed calls. */
 #include "common/eventlog.h"
 #include "common/latency.h"
 #include "serve/relay_call_impl.h"
 
-#define LOGGED_ONE_IN 16 /* of calls that ended well */
+#define LOG_SAMPLE_ONE_IN 16 /* of successful calls */
 
-/* Calls that ended well are logged as a sample, the same ones by each event. */
+/* Successful calls are logged as a sample. The choice depends on the request id
+ * only, so all events of a sampled call are logged. */
 static bool is_sampled(const struct rk_relay_call *x)
 {
-    return rk_hash_str(0, x->id) % LOGGED_ONE_IN == 0;
+    return rk_hash_str(0, x->id) % LOG_SAMPLE_ONE_IN == 0;
 }
 
 void rk_call_log_sent(const struct rk_relay_call *x)
@@ -25,7 +26,7 @@
              RK_N("home", rk_place_home(x->r->place, &x->query, x->vm)));
 }
 
-void rk_call_log_first(const struct rk_relay_call *x, int64_t seen_ms)
+void rk_call_log_first_byte(const struct rk_relay_call *x, int64_t seen_ms)
 {
     if (is_sampled(x))
         RK_EVENT("call.first", RK_S("request", x->id), RK_S("vm", x->vm->row.id),
@@ -35,8 +36,8 @@
 
 void rk_call_log_end(const struct rk_relay_call *x, int status, const char *why)
 {
-    bool well = status && status < HTTP_BAD_REQUEST && !why[0];
-    if (well && !is_sampled(x))
+    bool success = status && status < HTTP_BAD_REQUEST && !why[0];
+    if (success && !is_sampled(x))
         return;
     RK_EVENT("call.end", RK_S("request", x->id), RK_S("route", x->route->name),
              RK_N("version", x->routes->version), RK_N("status", status),
@@ -45,7 +46,7 @@
              RK_N("took_ms", rk_mono_ms() - x->started_ms));
 }
 
-void rk_call_observe(const struct rk_relay_call *x, const char *outcome)
+void rk_call_record_latency(const struct rk_relay_call *x, const char *outcome)
 {
     if (x->first_ms >= 0)
         rk_latency_observe(RK_LATENCY_FIRST, x->query.service, outcome,
@@ -54,7 +55,8 @@
                        rk_mono_ms() - x->started_ms);
 }
 
-void rk_call_log_attempt(const struct rk_relay_call *x, const char *what, bool sent)
+void rk_call_log_attempt_failed(const struct rk_relay_call *x, const char *what,
+                                bool sent)
 {
     RK_EVENT("call.attempt_failed", RK_S("request", x->id),
              RK_S("vm", x->vm ? x->vm->row.id : ""), RK_S("what", what),
--- a/serve/relay_move.c
+++ b/serve/relay_move.c
@@ -1,10 +1,11 @@
-/* A stream moves from an engine that leaves to another, with the memory of what it
- * has read and made: the engine is asked to stop the run and copy its memory, and
- * the same call goes on at the other one behind the last event that the caller has.
+/* Moves a stream from an engine that is leaving to another one, together with its
+ * KV cache. The engine is ordered to stop the run and copy the KV cache; the call
+ * then continues at the other engine after the last event that the caller has
+ * received.
  *
- * It buys what a resume costs: the prompt isn't read again, just when the engines
- * are fewest, and the caller sees a pause of the copy instead of one of some
- * hundred ms. Whatever fails leaves the call as it was, or to the resume. */
+ * Compared with a resume, the prompt need not be computed again at a time when
+ * engines are scarce, and the caller's pause is that of the copy instead of several
+ * hundred ms. If any step fails, the call stays where it is or is resumed. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -14,25 +15,31 @@
 #include "common/http1.h"
 #include "serve/relay_call_impl.h"
 
-/* From when a vm was told to leave: reclaims give 2.2 s and more, planned ends 2 s
- * and more. Most streams end meanwhile; all of them moved at once, chats were
- * served less often in time (0.903 instead of 0.907 of what they are worth). */
-#define STAY_MS    1300
-#define CONNECT_MS 150
-#define ANSWER_MS  800 /* copies wait for each other; then it is read again */
-#define CLOSE_MS   300 /* from the answer until the stopped stream has ended */
-#define BODY_MAX   4096
-
+/* Delay from the time a VM was told to leave. Reclaims give at least 2.2 s of
+ * notice, planned ends at least 2 s. Most streams end within the delay. Without it
+ * all of them moved at once, and chats met their targets less often (a score of
+ * 0.903 instead of 0.907). */
+#define MOVE_DELAY_MS      1300
+#define CONNECT_TIMEOUT_MS 150
+/* Time-out of the order's answer. Copies queue behind each other; after this time
+ * the prompt is computed again instead. */
+#define ORDER_TIMEOUT_MS 800
+/* Longest time from the order's answer until the stopped stream has ended. */
+#define STREAM_END_TIMEOUT_MS 300
+#define BODY_MAX              4096
+
+/* A move in progress. */
 struct rk_call_move {
     struct rk_relay_call *x;
-    struct rk_upstream_call *up; /* the order */
+    struct rk_upstream_call *up; /* the order to the engine */
     struct rk_timer timer;
-    char to_id[RK_ID_MAX]; /* the vm that gets the copy */
+    char to_id[RK_ID_MAX]; /* the VM that receives the copy */
     int status;
     struct rk_buf body;
-    char handle[RK_MOVE_HANDLE_MAX]; /* "": not answered yet */
-    bool closed;                     /* the stream has ended, without its end */
-    bool whole;                      /* the stream has ended as if it was whole */
+    /* of the copy; "": the order is not answered yet */
+    char handle[RK_MOVE_HANDLE_MAX];
+    bool stream_ended;    /* the VM's stream has ended */
+    bool stream_complete; /* it ended like a complete answer */
     int64_t began_ms;
 };
 
@@ -49,7 +56,7 @@
     x->move = NULL;
 }
 
-/* ---- how it ends ---- */
+/* ---- end of a move ---- */
 
 static void log_move(const struct rk_call_move *m, const char *what)
 {
@@ -59,8 +66,9 @@
              RK_N("took_ms", rk_mono_ms() - m->began_ms));
 }
 
-/* The stream stopped and its memory is there. */
-static void go_on(struct rk_call_move *m)
+/* Resumes the call at the copy. The old run has stopped and the KV cache is
+ * there. */
+static void resume_at_copy(struct rk_call_move *m)
 {
     struct rk_relay_call *x = m->x;
     char handle[RK_MOVE_HANDLE_MAX], from[RK_ADDR_MAX], to[RK_ID_MAX];
@@ -71,20 +79,20 @@
     rk_call_move_free(x);
     rk_count(RK_C_KV_MOVES, 1);
     rk_events_restart(&x->events);
-    rk_call_send_moved(x, to, from, handle);
+    rk_call_resume_moved(x, to, from, handle);
 }
 
-/* Nothing was copied. A stream that has ended meanwhile is whole, or goes on as
- * after any other break. */
-static void fail(struct rk_call_move *m, const char *what)
+/* Ends a move without a copy. If the stream has ended meanwhile, it is complete or
+ * is handled like any broken stream. */
+static void end_without_copy(struct rk_call_move *m, const char *what)
 {
     struct rk_relay_call *x = m->x;
-    bool closed = m->closed, whole = m->whole;
+    bool stream_ended = m->stream_ended, stream_complete = m->stream_complete;
     log_move(m, what);
     rk_call_move_free(x);
-    if (whole)
-        rk_call_end_whole(x);
-    else if (closed)
+    if (stream_complete)
+        rk_call_end_complete(x);
+    else if (stream_ended)
         rk_call_attempt_failed(x, true, RK_PLACE_CALLED_OFF, "the vm left");
 }
 
@@ -93,29 +101,29 @@
     struct rk_call_move *m = ctx;
     struct rk_relay_call *x = m->x;
     if (!m->handle[0]) {
-        fail(m, "no answer");
+        end_without_copy(m, "no answer");
         return;
     }
-    /* Stopped, but its connection says nothing. */
+    /* The run has stopped, but its connection has not been closed. */
     if (x->up)
         rk_upstream_cancel(x->up);
     x->up = NULL;
-    go_on(m);
+    resume_at_copy(m);
 }
 
-bool rk_call_move_takes_end(struct rk_relay_call *x, bool whole)
+bool rk_call_move_stream_ended(struct rk_relay_call *x, bool stream_complete)
 {
     struct rk_call_move *m = x->move;
     if (!m)
         return false;
-    m->closed = true;
-    m->whole = whole;
+    m->stream_ended = true;
+    m->stream_complete = stream_complete;
     if (m->handle[0])
-        go_on(m);
+        resume_at_copy(m);
     return true;
 }
 
-/* ---- the order ---- */
+/* ---- the order to the engine ---- */
 
 static enum rk_head_fate on_head(void *ctx, const struct rk_head *head)
 {
@@ -127,7 +135,7 @@
 static void on_body(void *ctx, const char *data, size_t len)
 {
     struct rk_call_move *m = ctx;
-    rk_buf_add(&m->body, data, len); /* what is too long can't be read */
+    rk_buf_add(&m->body, data, len); /* a body that is too long yields no handle */
 }
 
 static void on_end(void *ctx)
@@ -137,16 +145,16 @@
     m->up = NULL;
     rk_timer_stop(m->x->r->loop, &m->timer);
     bool stopped = d->move_handle(m->body.data ? m->body.data : "", m->handle);
-    /* It stopped, but there is no room: it goes on where it was, while that serves.
-     */
+    /* The run was stopped but the target has no room: it continues at the old VM
+     * until that leaves. */
     if (stopped && m->status != 200)
         rk_strcpy(m->to_id, sizeof(m->to_id), m->x->vm->row.id);
     if (!stopped) {
-        fail(m, "refused");
-    } else if (m->closed) {
-        go_on(m);
+        end_without_copy(m, "refused");
+    } else if (m->stream_ended) {
+        resume_at_copy(m);
     } else {
-        rk_timer_start(m->x->r->loop, &m->timer, CLOSE_MS);
+        rk_timer_start(m->x->r->loop, &m->timer, STREAM_END_TIMEOUT_MS);
     }
 }
 
@@ -154,7 +162,7 @@
 {
     struct rk_call_move *m = ctx;
     m->up = NULL;
-    fail(m, f->what);
+    end_without_copy(m, f->what);
 }
 
 static const struct rk_upstream_ops move_ops = {
@@ -176,7 +184,7 @@
                                           .head_len = head.len,
                                           .body = body.data,
                                           .body_len = body.len,
-                                          .connect_ms = CONNECT_MS,
+                                          .connect_ms = CONNECT_TIMEOUT_MS,
                                           .max_conns = rk_call_max_conns(x),
                                           .ops = &move_ops,
                                           .ctx = m};
@@ -186,21 +194,21 @@
     return m->up != NULL;
 }
 
-/* Is there something to be moved, and worth it? */
-static bool may_move(const struct rk_relay_call *x)
+/* Returns true if the stream can be moved and a move is worthwhile. */
+static bool can_move(const struct rk_relay_call *x)
 {
     return x->service->moves && x->vm && x->vm->left_ms && x->up && x->begun &&
-           rk_mono_ms() - x->vm->left_ms >= STAY_MS && !x->move_tried &&
+           rk_mono_ms() - x->vm->left_ms >= MOVE_DELAY_MS && !x->move_tried &&
            x->client && x->events.last_id[0];
 }
 
-void rk_call_move(struct rk_relay_call *x)
+void rk_call_try_move(struct rk_relay_call *x)
 {
-    struct rk_engine_forecast first;
-    if (!may_move(x))
+    struct rk_engine_forecast forecast;
+    if (!can_move(x))
         return;
     struct rk_place_vm *to =
-        rk_place_choose(x->r->place, &x->query, rk_mono_ms(), &first);
+        rk_place_choose(x->r->place, &x->query, rk_mono_ms(), &forecast);
     if (!to || to == x->vm || !rk_call_take_retry(x))
         return;
     struct rk_call_move *m = rk_alloc(1, sizeof(*m));
@@ -212,7 +220,7 @@
     x->move = m;
     x->move_tried = true;
     if (send_order(m, to))
-        rk_timer_start(x->r->loop, &m->timer, ANSWER_MS);
+        rk_timer_start(x->r->loop, &m->timer, ORDER_TIMEOUT_MS);
     else
         rk_call_move_free(x);
 }
--- a/serve/relay_signals.c
+++ b/serve/relay_signals.c
@@ -1,5 +1,5 @@
-/* What a vm's answer says of the vm itself: read, and passed on to the choice of
- * vms. */
+/* Reads what a VM's answer says about the VM itself (rate limit, leaving, cooldown)
+ * and passes it to placement. */
 #include <stdlib.h>
 
 #include "common/counters.h"
@@ -11,16 +11,16 @@
 #define RETRY_AFTER "Retry-After"
 #define MILLI       1000.0
 
-static void reject(const struct rk_relay_call *x, const char *name,
-                   const char *text)
+static void reject_signal(const struct rk_relay_call *x, const char *name,
+                          const char *text)
 {
     rk_count(RK_C_VM_SIGNALS_BAD, 1);
     RK_WARN("vm.signal_rejected", RK_S("vm", x->vm->row.id), RK_S("header", name),
             RK_S("value", text));
 }
 
-static bool read_limit(const struct rk_relay_call *x, const struct rk_head *head,
-                       double *per_s)
+static bool parse_limit(const struct rk_relay_call *x, const struct rk_head *head,
+                        double *per_s)
 {
     const char *name = x->r->opt.dialect->limit;
     const char *text = rk_head_get(head, name);
@@ -28,45 +28,47 @@
         return false;
     if (rk_parse_decimal(text, per_s))
         return true;
-    reject(x, name, text);
+    reject_signal(x, name, text);
     return false;
 }
 
-static int64_t read_rest_ms(const struct rk_relay_call *x,
-                            const struct rk_head *head)
+/* Returns the cooldown that a refusal requests by Retry-After; 0 if none. */
+static int64_t parse_cooldown_ms(const struct rk_relay_call *x,
+                                 const struct rk_head *head)
 {
     const char *text = rk_head_get(head, RETRY_AFTER);
-    bool turned_away = head->status == HTTP_REFUSED || head->status == HTTP_QUOTA;
-    if (!text || !turned_away)
+    bool refused =
+        head->status == HTTP_UNAVAILABLE || head->status == HTTP_TOO_MANY_REQUESTS;
+    if (!text || !refused)
         return 0;
-    int64_t rest_ms = rk_retry_after_ms(text);
-    if (rest_ms >= 0)
-        return rest_ms;
-    reject(x, RETRY_AFTER, text);
+    int64_t cooldown_ms = rk_retry_after_ms(text);
+    if (cooldown_ms >= 0)
+        return cooldown_ms;
+    reject_signal(x, RETRY_AFTER, text);
     return 0;
 }
 
-/* Is it certain that the call's vm made the answer? Another process may have got
- * its address, and says so by 421. */
-static bool is_of_vm(const struct rk_relay_call *x, const struct rk_head *head)
+/* Returns true if the answer was certainly made by the call's VM. Its address may
+ * since have been given to another process, which answers 421. */
+static bool is_from_vm(const struct rk_relay_call *x, const struct rk_head *head)
 {
     const struct rk_dialect *d = x->r->opt.dialect;
     bool named = rk_head_get(head, d->request_id) != NULL;
-    return head->status != HTTP_MISDIRECTED &&
+    return head->status != HTTP_MISDIRECTED_REQUEST &&
            (named || rk_head_get(head, d->not_run));
 }
 
-static struct rk_vm_said read_said(const struct rk_relay_call *x,
-                                   const struct rk_head *head)
+static struct rk_vm_said parse_signals(const struct rk_relay_call *x,
+                                       const struct rk_head *head)
 {
     const struct rk_dialect *d = x->r->opt.dialect;
     const char *leaving = rk_head_get(head, d->leaving);
-    struct rk_vm_said said = {.leaving = leaving && atoi(leaving) > 0,
-                              .rest_ms = read_rest_ms(x, head)};
-    said.limited = read_limit(x, head, &said.limit_per_s);
-    said.unlimited =
+    struct rk_vm_said signals = {.leaving = leaving && atoi(leaving) > 0,
+                                 .rest_ms = parse_cooldown_ms(x, head)};
+    signals.limited = parse_limit(x, head, &signals.limit_per_s);
+    signals.unlimited =
         !rk_head_get(head, d->limit) && rk_head_get(head, d->signature);
-    return said;
+    return signals;
 }
 
 static void log_changes(const struct rk_relay_call *x, unsigned changed)
@@ -83,10 +85,10 @@
                  RK_N("rest_ms", v->rest_until_ms - rk_mono_ms()));
 }
 
-void rk_call_hear_vm(struct rk_relay_call *x, const struct rk_head *head)
+void rk_call_read_signals(struct rk_relay_call *x, const struct rk_head *head)
 {
-    if (!is_of_vm(x, head))
+    if (!is_from_vm(x, head))
         return;
-    const struct rk_vm_said said = read_said(x, head);
-    log_changes(x, rk_place_hear(x->r->place, x->vm, &said, rk_mono_ms()));
+    const struct rk_vm_said signals = parse_signals(x, head);
+    log_changes(x, rk_place_hear(x->r->place, x->vm, &signals, rk_mono_ms()));
 }
