--- a/serve/attempts.c
+++ b/serve/attempts.c
@@ -12,14 +12,14 @@
 #include "serve/exchange_impl.h"
 #include "services/attempt.h"
 
-#define MAX_ATTEMPTS 8
+#define MAX_ATTEMPTS 8 /* per call */
 /* A call whose attempts ended with the unannounced loss of this many VMs may itself
  * crash them. It is not retried further, since each crash also breaks the VM's
  * other calls. */
 #define UNANNOUNCED_LOSSES_MAX 3
-#define FIRST_ERROR_STATUS                                                         \
-    300 /* HTTP status; such an answer is no loss of the VM */
-#define ANSWER_TEXT_MAX     (1024 * 1024)
+/* An answer with this HTTP status or above does not count as the loss of a VM. */
+#define FIRST_ERROR_STATUS  300
+#define ANSWER_TEXT_MAX     (1024 * 1024) /* bytes */
 #define SPARE_INTERVAL_MS   100
 #define RECHECK_INTERVAL_MS 25
 
@@ -303,6 +303,6 @@
     while ((job = rk_router_next(t->router, rk_mono_ms())))
         send_attempt((struct rk_exchange *)((char *)job -
                                             offsetof(struct rk_exchange, job)));
-    if (!t->recheck.slot && rk_router_waiting(t->router))
-        rk_timer_start(t->loop, &t->recheck, RECHECK_INTERVAL_MS);
+    if (!t->recheck_timer.slot && rk_router_waiting(t->router))
+        rk_timer_start(t->loop, &t->recheck_timer, RECHECK_INTERVAL_MS);
 }
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -14,10 +14,11 @@
 #include "serve/view.h"
 #include "services/attempt.h"
 
-#define ID_BUCKETS          4096
-#define REPLAY_BODY_MAX     (64 * 1024)
-#define MOVE_MARGIN_MS      500   /* time reserved for the move itself */
-#define DETACHED_TIMEOUT_MS 60000 /* for a call without a caller */
+#define ID_BUCKETS      4096
+#define REPLAY_BODY_MAX (64 * 1024) /* bytes */
+#define MOVE_MARGIN_MS  500         /* time reserved for the move itself */
+/* How long a call may run after its caller has left or got the final answer. */
+#define DETACHED_TIMEOUT_MS 60000
 
 /* ---- table ---- */
 
@@ -61,7 +62,7 @@
         p = &(*p)->next_by_id;
     *p = x->next_by_id;
     t->exchanges_len--;
-    rk_timer_stop(t->loop, &x->deadline);
+    rk_timer_stop(t->loop, &x->deadline_timer);
     rk_request_free(&x->req);
     free(x->completion.upstream_body);
     rk_buf_free(&x->answer_text);
@@ -277,8 +278,8 @@
 
 /* ---- start and abort ---- */
 
-/* Cancels the attempt in progress and ends the call with the verdict that is
- * certain. */
+/* Cancels the attempt in progress and ends the call. If it was sent, its verdict is
+ * at best that it may have run. */
 static void abandon(struct rk_exchange *x, int status, const char *detail)
 {
     struct rk_traffic *t = x->t;
@@ -310,7 +311,7 @@
                            .verdict = RK_MAY_HAVE_RUN,
                            .detail = "the deadline passed; it may have run"};
     report_outcome(x, &o);
-    rk_timer_start(x->t->loop, &x->deadline, DETACHED_TIMEOUT_MS);
+    rk_timer_start(x->t->loop, &x->deadline_timer, DETACHED_TIMEOUT_MS);
 }
 
 /* Ends a call with an input error, before it is claimed or queued. */
@@ -354,7 +355,7 @@
     if (in_ms <= 0 || in_ms > limit)
         in_ms = limit;
     x->deadline_ms = x->started_ms + in_ms;
-    rk_timer_start(x->t->loop, &x->deadline, in_ms);
+    rk_timer_start(x->t->loop, &x->deadline_timer, in_ms);
 }
 
 static void fill_job(struct rk_exchange *x)
@@ -398,7 +399,7 @@
     x->id = ++t->next_id;
     x->req = *request;
     x->started_ms = rk_mono_ms();
-    x->deadline = (struct rk_timer){.fn = on_deadline, .ctx = x};
+    x->deadline_timer = (struct rk_timer){.fn = on_deadline, .ctx = x};
     x->stream.next = request->resume_from;
     link_exchange(x);
     rk_count(RK_C_CALLS, 1);
@@ -448,7 +449,7 @@
     RK_EVENT("call.cancelled", RK_S("request", x->req.id));
     bool runs_on = (x->service || x->state == X_FORWARDED) && !x->policy.repeatable;
     if (runs_on) {
-        rk_timer_start(t->loop, &x->deadline, DETACHED_TIMEOUT_MS);
+        rk_timer_start(t->loop, &x->deadline_timer, DETACHED_TIMEOUT_MS);
         return;
     }
     abandon(x, 499, "the caller is gone");
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -2,7 +2,6 @@
  * attempted, retried, resumed or forwarded to a peer, and its sink gets exactly one
  * outcome.
  *
- *
  * Traffic thread only. */
 #ifndef RK_SERVE_EXCHANGE_H
 #define RK_SERVE_EXCHANGE_H
--- a/serve/exchange_impl.h
+++ b/serve/exchange_impl.h
@@ -18,8 +18,8 @@
 struct rk_member;
 
 enum exchange_state {
-    X_CLAIMING,
-    X_QUEUED,
+    X_CLAIMING,  /* waits for the decision on its claim */
+    X_QUEUED,    /* at the router */
     X_IMPORTING, /* waits for the KV cache to be copied to the next VM */
     X_SENT,      /* at an upstream VM */
     X_FORWARDED, /* at a peer node */
@@ -39,18 +39,18 @@
     struct rk_prompt prompt;
     struct rk_job job;
     enum exchange_state state;
-    struct rk_timer deadline;
+    struct rk_timer deadline_timer;
     int64_t started_ms, deadline_ms;
     bool claimed;      /* this node holds the claim of the key */
     bool claim_wanted; /* the call must not run before it is claimed */
     struct rk_claim_key key;
     uint32_t shard;
-    int attempts, spills;
+    int attempts, spills; /* spills: forwards to other failure domains */
     /* attempts that broke off at a VM that had not announced its end */
     int unannounced_losses;
     bool owner_unreachable;  /* no answer from the shard's owner: claim here */
     enum rk_verdict verdict; /* joined over all attempts so far */
-    bool ever_sent;
+    bool ever_sent;          /* an upstream may have received it */
     struct rk_stream stream;
     bool sink_has_data; /* a part was delivered */
     /* VM that still has the stream's KV cache; "": none */
@@ -59,23 +59,26 @@
     int64_t kv_source_until_ms; /* monotonic time at which that VM is reclaimed */
     struct rk_engine_attempt *engine;
     struct rk_service_attempt *service;
-    char peer[RK_ID_MAX];
+    char peer[RK_ID_MAX];      /* the peer it was forwarded to last */
     struct rk_buf answer_text; /* of a completion that is not streamed */
     char replay_type[RK_CTYPE_MAX];
     /* answer of a claimed call, kept for repeats of its key */
     struct rk_buf replay_body;
     int replay_status;
-    char detail[RK_DETAIL_MAX];
+    char detail[RK_DETAIL_MAX]; /* reason of the last failure */
 };
 
-/* exchange.c: ends. The exchange is freed by rk_exchange_finish(), by
- * rk_exchange_give_up(), and by every function that calls one of them. */
+/* ---- ends, in exchange.c ----
+ *
+ * The exchange is freed by rk_exchange_finish(), by rk_exchange_give_up(), and by
+ * every function that calls one of them. */
+
 /* Settles the claim, reports the outcome to the sink and frees the exchange. */
 void rk_exchange_finish(struct rk_exchange *x, const struct rk_outcome *outcome);
 
-/* Ends the call with an error status and the joined verdict. A keyed call that is
- * not claimed here never reports "not run", since an earlier arrival of its key may
- * have run. retry_after_ms 0: no Retry-After. */
+/* Ends the call with an error status and the joined verdict. If its key needs a
+ * claim that this node has not obtained, the verdict is "may have run", since an
+ * earlier arrival of the key may have run. retry_after_ms 0: no Retry-After. */
 void rk_exchange_give_up(struct rk_exchange *x, int status, int64_t retry_after_ms,
                          const char *detail);
 
--- a/serve/forward.c
+++ b/serve/forward.c
@@ -10,8 +10,7 @@
 #include "serve/exchange.h"
 #include "serve/traffic.h"
 
-/* A peer that has not acknowledged a call within this time counts as lost for it.
- */
+/* A peer that does not acknowledge a call within this time counts as lost. */
 #define ACK_TIMEOUT_MS 500
 
 /* A forwarded call that has not ended. */
--- a/serve/placement.c
+++ b/serve/placement.c
@@ -9,7 +9,7 @@
 #include "serve/forward.h"
 #include "serve/view.h"
 
-#define MAX_SPILLS 2
+#define MAX_SPILLS 2 /* forwards of a call to other failure domains */
 
 /* ---- peers ---- */
 
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -10,7 +10,7 @@
 
 #define REPORT_INTERVAL_MS  200
 #define ACCEPT_DELAY_MAX_MS 400 /* longest delay of new connections at start */
-#define USAGE_WINDOWS_KEPT  6
+#define USAGE_WINDOWS_KEPT  6   /* reported besides the current one */
 /* How long a changed quarantine row is repeated in reports. */
 #define SUSPECT_REPORT_MS         1000
 #define SIGNAL_EXPIRY_INTERVAL_MS 10000
@@ -149,7 +149,7 @@
 {
     struct rk_relay *r = ctx;
     expire_signals(r, rk_mono_ms());
-    rk_timer_start(r->loop, &r->report, REPORT_INTERVAL_MS);
+    rk_timer_start(r->loop, &r->report_timer, REPORT_INTERVAL_MS);
     struct rk_relay_report *report = rk_alloc(1, sizeof(*report));
     report->loads_len = rk_place_own_loads(r->place, rk_mono_ms(), &report->loads);
     fill_quota_usage(r, report);
@@ -552,8 +552,8 @@
     r->accept_timer = (struct rk_timer){.fn = start_accepting, .ctx = r};
     rk_server_set_accepting(r->server, false);
     rk_timer_start(r->loop, &r->accept_timer, ACCEPT_DELAY_MAX_MS);
-    r->report = (struct rk_timer){.fn = on_report, .ctx = r};
-    rk_timer_start(r->loop, &r->report, REPORT_INTERVAL_MS);
+    r->report_timer = (struct rk_timer){.fn = on_report, .ctx = r};
+    rk_timer_start(r->loop, &r->report_timer, REPORT_INTERVAL_MS);
     return r;
 }
 
--- a/serve/relay.h
+++ b/serve/relay.h
@@ -51,9 +51,9 @@
 
 /* What a relay reports to control every 200 ms. The report owns its arrays. */
 struct rk_relay_report {
-    struct rk_vm_load *loads;
+    struct rk_vm_load *loads; /* load of VMs caused by this node's calls */
     size_t loads_len;
-    struct rk_org_use *uses;
+    struct rk_org_use *uses; /* quota usage of this node's calls */
     size_t uses_len;
     struct rk_usage_row *usage; /* request counts of recent usage windows */
     size_t usage_len;
@@ -101,7 +101,7 @@
 /* Frees the message and its arrays. */
 void rk_relay_peers_free(struct rk_relay_peers *p);
 
-/* Options of a relay. Callbacks get ctx. */
+/* Options of a relay. Its callbacks receive ctx. */
 struct rk_relay_options {
     const struct rk_dialect *dialect;
     const char *listen; /* address for callers, ip:port */
--- a/serve/relay_answer.c
+++ b/serve/relay_answer.c
@@ -140,8 +140,8 @@
     rk_timer_stop(x->r->loop, &x->silence_timer);
     x->vm_head_ms = rk_mono_ms();
     x->answer_class = classify_answer(x, head);
+    /* Without an id, a success cannot be matched to the request. */
     if (!id && x->answer_class == ANSWER_PASS && head->status / 100 == 2)
-        /* the answer cannot be matched to the request */
         x->answer_class = ANSWER_RETRY;
     if (x->answer_class == ANSWER_NOT_RUN)
         return RK_HEAD_TAKE;
--- a/serve/relay_arrive.c
+++ b/serve/relay_arrive.c
@@ -29,6 +29,8 @@
     rk_call_answer_problem(client, status, retry_after_ms, why);
 }
 
+/* Finds the route by the Host header and the path without its query. Returns NULL
+ * if there is none. */
 static const struct rk_route *find_route(struct rk_relay *r,
                                          struct rk_client *client)
 {
@@ -53,6 +55,7 @@
     return *org != NULL;
 }
 
+/* Reads the prompt's size and segments and what the call costs in quota units. */
 static void parse_tokens(struct rk_relay_call *x, const struct rk_head *head)
 {
     const struct rk_dialect *d = x->r->opt.dialect;
--- a/serve/relay_call.c
+++ b/serve/relay_call.c
@@ -11,6 +11,7 @@
 #include "common/http1.h"
 #include "core/rank.h"
 
+/* Bytes of the headers and of the body of an error answer. */
 #define LINE_MAX_LEN              192
 #define PROBLEM_MAX               256
 #define CONNECT_TIMEOUT_PLAIN_MS  150
@@ -25,8 +26,8 @@
 #define PLAIN_SILENCE_MS 150
 /* How many VMs are tried for one attempt if no connection can be opened. */
 #define MAX_CONNECT_TRIES 4
-#define MAX_CONNS_DEFAULT 64
-#define URGENT_RANK       0
+#define MAX_CONNS_DEFAULT 64 /* per VM */
+#define URGENT_RANK       0  /* the most urgent rank */
 /* Multiple of the route's target that the predicted time to first byte may
  * reach. */
 #define LATENESS_URGENT 1.5
@@ -157,8 +158,8 @@
     for (size_t i = 0; i < r->services_len; i++)
         if (!strcmp(r->services[i].name, name))
             return &r->services[i];
+    /* A full table may consist of services that have left the configuration. */
     if (r->services_len == RK_RELAY_SERVICES)
-        /* the table is full, e.g. of services removed from the configuration */
         r->services_len = 0;
     struct rk_relay_service *s = &r->services[r->services_len++];
     *s = (struct rk_relay_service){0};
@@ -296,8 +297,8 @@
     return x->org && x->org->rank >= 0 ? x->org->rank : x->route->rank;
 }
 
-/* A resumed stream is already being read by its caller, so its size does not
- * count. */
+/* Returns the rank at the engine. The prompt size counts only until the caller has
+ * received the head: the caller of a resumed stream is already reading it. */
 static int engine_rank(const struct rk_relay_call *x)
 {
     return rk_rank(base_rank(x), x->begun ? 0 : x->job.load.unread);
@@ -495,7 +496,7 @@
     }
     record_sent(x);
     x->attempts--; /* the same run continues; this is not another attempt */
-    /* no other VM had room, so it returned to its own */
+    /* If no other VM had room, the run returned to its own VM. */
     x->move_tried = to == from;
 }
 
@@ -523,6 +524,7 @@
     return vm && vm != x->vm;
 }
 
+/* Reports the unresponsive VM to placement, once per attempt, and waits on. */
 static void keep_waiting(struct rk_relay_call *x)
 {
     if (x->vm && !x->silence_reported)
@@ -553,13 +555,12 @@
 void rk_relay_call_caller_gone(struct rk_relay_call *x)
 {
     bool runs_on = x->route->kind == RK_CALL_ONCE && x->up;
+    /* The fingerprint needs the request, which is freed with the client. */
     if (runs_on)
-        /* needs the request's bytes, which are freed with the client */
         rk_call_fingerprint(x);
     x->client = NULL;
+    /* Cutting off a non-repeatable call would leave its outcome unknown. */
     if (runs_on)
-        /* a non-repeatable call is not cut off, as its outcome would stay
-         * unknown */
         return;
     rk_call_cancel_attempt(x, RK_PLACE_CALLED_OFF);
     rk_call_log_end(x, 0, "the caller is gone");
--- a/serve/relay_call.h
+++ b/serve/relay_call.h
@@ -49,7 +49,7 @@
     struct rk_quarantine quarantine; /* suspected and quarantined requests */
     struct rk_vm_check *vm_checks;   /* checks of VMs at which calls broke off */
     struct rk_rng rng;
-    struct rk_timer report;
+    struct rk_timer report_timer;
     int64_t signals_expired_ms; /* last expiry of VM signals, monotonic */
     /* Begin and end of a planned stop, monotonic; 0: none. Set from any thread. */
     _Atomic int64_t close_began_ms, close_ends_ms;
--- a/serve/relay_call_impl.h
+++ b/serve/relay_call_impl.h
@@ -85,8 +85,9 @@
     char kv_source[RK_ADDR_MAX + RK_MOVE_HANDLE_MAX];
 };
 
-/* ---- relay_call.c: ends; rk_call_give_up() and rk_call_finish() free the call
- * ---- */
+/* ---- relay_call.c: ends ----
+ *
+ * rk_call_give_up() and rk_call_finish() free the call. */
 /* Answers a client with an error and a problem document (RFC 9457). why goes into
  * its detail member as it stands, so it must need no JSON escapes. */
 void rk_call_answer_problem(struct rk_client *client, int status,
--- a/serve/relay_move.c
+++ b/serve/relay_move.c
@@ -17,8 +17,8 @@
 
 /* Delay from the time a VM was told to leave. Reclaims give at least 2.2 s of
  * notice, planned ends at least 2 s. Most streams end within the delay. Without it
- * all of them moved at once, and chats met their targets less often (a score of
- * 0.903 instead of 0.907). */
+ * all of them moved at once, and chats reached 0.903 instead of 0.907 of the value
+ * they have if all are served in time. */
 #define MOVE_DELAY_MS      1300
 #define CONNECT_TIMEOUT_MS 150
 /* Time-out of the order's answer. Copies queue behind each other; after this time
@@ -26,7 +26,7 @@
 #define ORDER_TIMEOUT_MS 800
 /* Longest time from the order's answer until the stopped stream has ended. */
 #define STREAM_END_TIMEOUT_MS 300
-#define BODY_MAX              4096
+#define BODY_MAX              4096 /* bytes of the order's answer */
 
 /* A move in progress. */
 struct rk_call_move {
--- a/serve/relay_suspect.c
+++ b/serve/relay_suspect.c
@@ -16,12 +16,12 @@
  * break off meanwhile, and its process has ended by then. */
 #define CHECK_DELAY_MS     30
 #define CONNECT_TIMEOUT_MS 150
-#define SUSPECTS_MAX       64
+#define SUSPECTS_MAX       64 /* per VM */
 
 /* A VM that is crashed by a request ends soon after it has begun it: 36 to 79 ms
  * were observed. A call counts as just begun for JUST_BEGUN_MS, and is cleared if
- * it has been answered for longer than CLEARED_AFTER_MS; in between it may be the
- * cause, at a slow VM. In a simulation with ten such requests at once
+ * it has been answered for longer than CLEARED_AFTER_MS; in between, it may be the
+ * cause if the VM is slow. In a simulation with ten such requests at once
  * (tests/prop_quarantine.cc, 24 runs), these values quarantined 14 of 461,525 other
  * requests by mistake, compared with 41 of 461,388 if both were 1,000 ms. */
 #define JUST_BEGUN_MS    250
@@ -34,9 +34,9 @@
     char vm_id[RK_ID_MAX], addr[RK_ADDR_MAX];
     uint32_t vm_incarnation; /* hash of the VM's incarnation */
     struct rk_timer timer;
-    struct rk_conn *conn;
+    struct rk_conn *conn; /* NULL until the timer has fired */
     struct suspect {
-        struct rk_quarantine_row identity;
+        struct rk_quarantine_row identity; /* request, organisation and route */
         char call_id[REQUEST_ID_MAX];
         enum rk_suspicion suspicion;
     } suspects[SUSPECTS_MAX];
--- a/serve/traffic.h
+++ b/serve/traffic.h
@@ -2,7 +2,6 @@
  * exchanges in flight. It reads the control thread's view (an immutable snapshot),
  * requests claims from control by messages, and takes no lock that control holds.
  *
- *
  * Unless stated otherwise, functions must be called on the traffic thread. */
 #ifndef RK_SERVE_TRAFFIC_H
 #define RK_SERVE_TRAFFIC_H
@@ -81,9 +80,8 @@
     uint64_t next_id;
     struct rk_exchange **by_id; /* hash table of exchanges; NULL until first used */
     _Atomic uint32_t spare;     /* free slots reported to peers; read by control */
-    /* When spare was last stored, monotonic. */
-    int64_t spare_ms;
-    struct rk_timer recheck; /* runs while jobs are queued */
+    int64_t spare_ms;           /* last update of spare, monotonic */
+    struct rk_timer recheck_timer; /* runs while jobs are queued */
 };
 
 /* Creates the thread's state; the caller starts the thread. Returns NULL if the
