--- a/serve/forward.c
+++ b/serve/forward.c
@@ -18,7 +18,7 @@
     uint64_t id;
     struct rk_forwards *f;
     struct peer *peer;
-    struct rk_timer ack;
+    struct rk_timer ack_timer;
     struct outbound *next;
 };
 
@@ -70,7 +70,7 @@
     if (!removed)
         return false;
     *o = removed->next;
-    rk_timer_stop(p->f->t->loop, &removed->ack);
+    rk_timer_stop(p->f->t->loop, &removed->ack_timer);
     free(removed);
     return true;
 }
@@ -121,7 +121,7 @@
     if (frame->body_case == RILLKNOT__FRAME__BODY_FORWARD_ACK) {
         struct outbound *o = *find_outbound(p, frame->forward_ack->id);
         if (o)
-            rk_timer_stop(t->loop, &o->ack);
+            rk_timer_stop(t->loop, &o->ack_timer);
     } else if (frame->body_case == RILLKNOT__FRAME__BODY_FORWARD_DATA) {
         const Rillknot__ForwardData *d = frame->forward_data;
         struct rk_exchange *x = rk_exchange_find(t, d->id);
@@ -164,7 +164,7 @@
     for (struct outbound *next; calls; calls = next) {
         next = calls->next;
         uint64_t id = calls->id;
-        rk_timer_stop(f->t->loop, &calls->ack);
+        rk_timer_stop(f->t->loop, &calls->ack_timer);
         free(calls);
         fail_call(f, id, may_have_left,
                   may_have_left ? "the link to the peer broke"
@@ -241,9 +241,9 @@
         return false;
     struct outbound *o = rk_alloc(1, sizeof(*o));
     *o = (struct outbound){.id = id, .f = f, .peer = p, .next = p->calls};
-    o->ack = (struct rk_timer){.fn = on_ack_timeout, .ctx = o};
+    o->ack_timer = (struct rk_timer){.fn = on_ack_timeout, .ctx = o};
     p->calls = o;
-    rk_timer_start(f->t->loop, &o->ack, ACK_TIMEOUT_MS);
+    rk_timer_start(f->t->loop, &o->ack_timer, ACK_TIMEOUT_MS);
     return true;
 }
 
