--- a/node/digest.c
+++ b/node/digest.c
@@ -1,19 +1,23 @@
-/* Taking digests in. In a larger fleet the bridges of a failure domain hear its
- * nodes, tell their sum to the bridges of the other domains, and tell the fleet's
- * sum to the nodes of their own. A node counts one source at a time and notes what
- * the others say meanwhile, so that nothing is counted twice or lost when one takes
- * over. */
+/* Received digests. In a larger fleet the bridges of a failure domain receive its
+ * nodes' reports, send the sum to the bridges of the other domains, and send the
+ * sum over the fleet to the nodes of their own domain. Of each such sum a node
+ * counts one source at a time, and moves the baselines of all sources whenever it
+ * counts, so that nothing is counted twice or lost when another source takes over.
+ */
 #include <stdlib.h>
 #include <string.h>
 
 #include "node/mesh_impl.h"
 
-#define FRESH_MS  900  /* a source that is silent for longer has gone */
-#define LINGER_MS 2500 /* a fleet's sum counts for so long without a newer one */
+/* Age up to which a digest is counted; for one of the fleet, while there is no
+ * newer one. */
+#define SOURCE_MAX_AGE_MS 900
+#define FLEET_MAX_AGE_MS  2500
 
-/* ---- whose digest counts ---- */
+/* ---- choice of the source ---- */
 
-/* Is a a better source than b? It hears more nodes; among equals by id. */
+/* Returns whether `a` is a better source than `b`, which may be NULL: it reaches
+ * more nodes or, among equals, has the lower id. */
 static bool is_better(const struct member *a, const struct member *b)
 {
     if (!b || a->digest.nodes_heard != b->digest.nodes_heard)
@@ -21,12 +25,13 @@
     return strcmp(a->id, b->id) < 0;
 }
 
-static const struct member *source(const struct rk_mesh *m, const char *domain,
-                                   bool fleet, int64_t now_ms, int64_t age_ms)
+static const struct member *best_source(const struct rk_mesh *m, const char *domain,
+                                        bool fleet, int64_t now_ms,
+                                        int64_t max_age_ms)
 {
     const struct member *best = NULL;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (k->digest.is_told && now_ms - k->digest.heard_ms < age_ms &&
+        if (k->digest.has_content && now_ms - k->digest.received_ms < max_age_ms &&
             k->digest.fleet == fleet && !strcmp(k->domain, domain) &&
             is_better(k, best))
             best = k;
@@ -38,46 +43,49 @@
     if (m->bridge)
         return NULL;
     const char *domain = m->n->file.failure_domain;
-    const struct member *k = source(m, domain, true, now_ms, FRESH_MS);
-    return k ? k : source(m, domain, true, now_ms, LINGER_MS);
+    const struct member *k =
+        best_source(m, domain, true, now_ms, SOURCE_MAX_AGE_MS);
+    return k ? k : best_source(m, domain, true, now_ms, FLEET_MAX_AGE_MS);
 }
 
-const struct member *rk_digest_of_domain(const struct rk_mesh *m,
-                                         const char *domain, int64_t now_ms)
+const struct member *rk_digest_domain_source(const struct rk_mesh *m,
+                                             const char *domain, int64_t now_ms)
 {
-    return source(m, domain, false, now_ms, FRESH_MS);
+    return best_source(m, domain, false, now_ms, SOURCE_MAX_AGE_MS);
 }
 
 bool rk_digest_counts(const struct member *k, int64_t now_ms)
 {
-    return k->digest.heard_ms && !rk_mesh_is_near(k) &&
-           rk_digest_of_domain(k->m, k->domain, now_ms) == k;
+    return k->digest.received_ms && !rk_mesh_is_near(k) &&
+           rk_digest_domain_source(k->m, k->domain, now_ms) == k;
 }
 
-/* ---- counting one ---- */
+/* ---- counting ---- */
 
-static void rebase(struct digest *d)
+static void set_baseline(struct digest *d)
 {
-    d->based = true;
-    rk_tally_clear(&d->base_uses);
-    rk_tally_clear(&d->base_reads);
+    d->has_baseline = true;
+    rk_tally_clear(&d->baseline_uses);
+    rk_tally_clear(&d->baseline_reads);
     for (size_t i = 0; i < d->uses.len; i++)
-        *rk_tally_at(&d->base_uses, d->uses.rows[i].org) = d->uses.rows[i].units;
+        *rk_tally_at(&d->baseline_uses, d->uses.rows[i].org) =
+            d->uses.rows[i].units;
     for (size_t i = 0; i < d->services_len; i++)
-        *rk_tally_at(&d->base_reads, d->services[i].service) =
+        *rk_tally_at(&d->baseline_reads, d->services[i].service) =
             d->services[i].read_tokens;
 }
 
-/* All sources of the same kind are counted up to now. */
-static void rebase_all(struct rk_mesh *m, const struct member *counted)
+/* Moves the baselines of all sources of the same sum, as all of them are counted up
+ * to now. */
+static void set_baselines(struct rk_mesh *m, const struct member *counted)
 {
     for (struct member *k = m->contacts; k; k = k->next_contact)
-        if (k->digest.heard_ms && k->digest.fleet == counted->digest.fleet &&
+        if (k->digest.received_ms && k->digest.fleet == counted->digest.fleet &&
             !strcmp(k->domain, counted->domain))
-            rebase(&k->digest);
+            set_baseline(&k->digest);
 }
 
-static double own_read(const struct rk_mesh *m, const char *service)
+static double own_read_tokens(const struct rk_mesh *m, const char *service)
 {
     const struct rk_relay_report *r = m->n->report;
     const struct rk_service_use *own =
@@ -85,15 +93,17 @@
     return own ? own->read_tokens : 0;
 }
 
-/* A fleet's sum holds this node's own use, too, which the relay counts itself. */
-static void take_out_own(struct rk_mesh *m, const struct digest *d)
+/* Subtracts this node's own usage: a digest of the fleet includes it, and the relay
+ * counts it itself. */
+static void subtract_own(struct rk_mesh *m, const struct digest *d)
 {
     const struct rk_relay_report *r = m->n->report;
     for (size_t i = 0; r && i < r->uses_len; i++) {
         const struct rk_org_use *own = &r->uses[i];
         if (rk_org_uses_has(&d->uses, own->org))
-            rk_mesh_add_news(m, own->org,
-                             -rk_tally_rise(&m->based_uses, own->org, own->units));
+            rk_mesh_add_news(
+                m, own->org,
+                -rk_tally_rise(&m->baseline_uses, own->org, own->units));
     }
 }
 
@@ -101,71 +111,72 @@
 {
     for (size_t i = 0; i < d->uses.len; i++) {
         const struct rk_org_use *use = &d->uses.rows[i];
-        double rise = use->units - rk_tally_total(&d->base_uses, use->org);
+        double increase = use->units - rk_tally_total(&d->baseline_uses, use->org);
         if (!d->fleet)
-            *rk_tally_at(&m->fleet_uses, use->org) += rise;
-        rk_mesh_add_news(m, use->org, rise);
+            *rk_tally_at(&m->fleet_uses, use->org) += increase;
+        rk_mesh_add_news(m, use->org, increase);
     }
     if (d->fleet)
-        take_out_own(m, d);
+        subtract_own(m, d);
 }
 
 static void count_reads(struct rk_mesh *m, const struct digest *d)
 {
     for (size_t i = 0; i < d->services_len; i++) {
         const struct rk_service_use *use = &d->services[i];
-        double rise =
-            use->read_tokens - rk_tally_total(&d->base_reads, use->service);
+        double increase =
+            use->read_tokens - rk_tally_total(&d->baseline_reads, use->service);
         if (d->fleet)
-            rise -= rk_tally_rise(&m->based_reads, use->service,
-                                  own_read(m, use->service));
+            increase -= rk_tally_rise(&m->baseline_reads, use->service,
+                                      own_read_tokens(m, use->service));
         else
-            *rk_tally_at(&m->fleet_reads, use->service) += rise;
-        *rk_tally_at(&m->peer_reads, use->service) += rise;
+            *rk_tally_at(&m->fleet_reads, use->service) += increase;
+        *rk_tally_at(&m->peer_reads, use->service) += increase;
     }
 }
 
-static void base_own(struct rk_mesh *m)
+static void set_own_baseline(struct rk_mesh *m)
 {
     const struct rk_relay_report *r = m->n->report;
     for (size_t i = 0; r && i < r->uses_len; i++)
-        rk_tally_rise(&m->based_uses, r->uses[i].org, r->uses[i].units);
+        rk_tally_rise(&m->baseline_uses, r->uses[i].org, r->uses[i].units);
     for (size_t i = 0; r && i < r->services_len; i++)
-        rk_tally_rise(&m->based_reads, r->services[i].service,
+        rk_tally_rise(&m->baseline_reads, r->services[i].service,
                       r->services[i].read_tokens);
 }
 
-static void count(struct member *k)
+static void count_digest(struct member *k)
 {
     struct rk_mesh *m = k->m;
-    if (k->digest.based) {
+    if (k->digest.has_baseline) {
         count_uses(m, &k->digest);
         count_reads(m, &k->digest);
     } else {
-        k->digest.catch_up = true;
+        k->digest.needs_catch_up = true;
         if (k->digest.fleet)
-            base_own(m);
+            set_own_baseline(m);
     }
-    rebase_all(m, k);
+    set_baselines(m, k);
 }
 
-/* ---- taking one in ---- */
+/* ---- receiving ---- */
 
-/* What all used is told now and then: kept until it is told again. */
-static void take_uses(struct digest *to, const Rillknot__Digest *d)
+/* The quota history comes only with some of the digests; until then the earlier one
+ * is kept. */
+static void apply_uses(struct digest *to, const Rillknot__Digest *d)
 {
     rk_org_uses_begin(&to->uses);
     for (size_t i = 0; i < d->n_uses; i++) {
-        const Rillknot__OrgUse *told = d->uses[i];
-        struct rk_org_use *row = rk_org_uses_at(&to->uses, told->org);
-        row->units = told->units;
-        row->asking = rk_report_asking(told);
-        for (size_t j = 0; j < told->n_known && j < RK_QUOTA_PARTS; j++)
-            row->known[j] = (double)told->known[j];
+        const Rillknot__OrgUse *from = d->uses[i];
+        struct rk_org_use *row = rk_org_uses_at(&to->uses, from->org);
+        row->units = from->units;
+        row->asking = rk_report_asking(from);
+        for (size_t j = 0; j < from->n_known && j < RK_QUOTA_PARTS; j++)
+            row->known[j] = (double)from->known[j];
     }
 }
 
-static void take_services(struct digest *to, const Rillknot__Digest *d)
+static void apply_services(struct digest *to, const Rillknot__Digest *d)
 {
     to->services =
         rk_realloc(to->services, (d->n_services + 1) * sizeof(*to->services));
@@ -182,9 +193,9 @@
     }
 }
 
-/* A bridge's word on the nodes of its own domain, or on all if it tells of the
- * fleet: those it doesn't hear are not told by it any more. */
-static void take_members(struct rk_mesh *m, const Rillknot__Digest *d)
+/* Applies a bridge's member list: of its own domain, or of the fleet. Nodes that it
+ * doesn't reach lose its earlier report that they are reachable. */
+static void apply_members(struct rk_mesh *m, const Rillknot__Digest *d)
 {
     for (size_t i = 0; i < d->n_members; i++) {
         const Rillknot__NodeRow *row = d->members[i];
@@ -192,15 +203,15 @@
             continue;
         struct member *k = rk_mesh_find(m, row->id);
         if (k && !row->heard)
-            k->told_ms = 0;
+            k->reported_ms = 0;
         if (!row->heard)
             continue;
         if (!k || strcmp(k->addr, row->addr) != 0)
             k = rk_mesh_learn(m, row->id, row->addr);
         rk_strcpy(k->domain, sizeof(k->domain), row->domain);
-        if (row->capacity > 0) /* else the bridge doesn't know it either */
+        if (row->capacity > 0) /* 0: the bridge doesn't know it either */
             k->capacity = row->capacity;
-        k->told_ms = rk_mono_ms();
+        k->reported_ms = rk_mono_ms();
         k->unproven = false;
         k->leaving = row->leaving;
         k->slow = row->slow;
@@ -208,11 +219,12 @@
     }
 }
 
-static void take_sender(struct member *k, const Rillknot__Digest *d, int64_t now_ms)
+static void apply_sender(struct member *k, const Rillknot__Digest *d,
+                         int64_t now_ms)
 {
     rk_mesh_meet(k);
     rk_strcpy(k->domain, sizeof(k->domain), d->domain);
-    if (d->capacity > 0) /* nodes of an earlier version don't tell it */
+    if (d->capacity > 0) /* 0: a node of an earlier version */
         k->capacity = d->capacity;
     k->slow = d->slow;
     k->hears_store = d->hears_store;
@@ -225,39 +237,39 @@
 {
     struct digest *to = &k->digest;
     int64_t now_ms = rk_mono_ms();
-    take_sender(k, d, now_ms);
+    apply_sender(k, d, now_ms);
     if (to->incarnation != d->incarnation || to->fleet != d->fleet) {
         to->incarnation = d->incarnation;
-        to->based = false; /* it counts from nothing */
-        to->is_told = false;
+        to->has_baseline = false; /* its counters start from 0 */
+        to->has_content = false;
         rk_org_uses_clear(&to->uses);
     }
-    to->heard_ms = now_ms;
+    to->received_ms = now_ms;
     to->fleet = d->fleet;
     to->nodes_heard = (int)d->nodes_heard;
     to->nodes_total = (int)d->nodes_total;
     if (d->brief)
         return false;
-    to->is_told = true;
+    to->has_content = true;
     if (d->fleet && d->n_members)
-        k->m->fleet_ms = now_ms;
+        k->m->fleet_members_ms = now_ms;
     if (d->n_members)
         to->remembers_ms = d->remembers_ms;
     if (d->vms_told)
         rk_loads_take(&to->loads, &to->loads_len, d->vms, d->n_vms);
-    take_uses(to, d);
-    take_services(to, d);
-    take_members(k->m, d);
-    const struct member *counts =
+    apply_uses(to, d);
+    apply_services(to, d);
+    apply_members(k->m, d);
+    const struct member *counted =
         to->fleet ? rk_digest_of_fleet(k->m, now_ms)
-                  : rk_digest_of_domain(k->m, k->domain, now_ms);
-    if (counts != k || (!to->fleet && !k->m->bridge))
+                  : rk_digest_domain_source(k->m, k->domain, now_ms);
+    if (counted != k || (!to->fleet && !k->m->bridge))
         return false;
-    count(k);
-    /* What was used while no source counted is in what this one knows. */
-    if (to->catch_up && d->n_members) {
-        to->catch_up = false;
-        k->m->catch_up = k;
+    count_digest(k);
+    /* Usage of the time without a counted source is in this one's quota history. */
+    if (to->needs_catch_up && d->n_members) {
+        to->needs_catch_up = false;
+        k->m->catch_up_source = k;
     }
     return true;
 }
@@ -267,6 +279,6 @@
     free(d->loads);
     rk_org_uses_free(&d->uses);
     free(d->services);
-    rk_tally_free(&d->base_uses);
-    rk_tally_free(&d->base_reads);
+    rk_tally_free(&d->baseline_uses);
+    rk_tally_free(&d->baseline_reads);
 }
--- a/node/digest_tell.c
+++ b/node/digest_tell.c
@@ -1,42 +1,45 @@
-/* Making digests and telling them: the sum of this node's domain to the bridges of
- * the others, the sum of the fleet to the nodes of its own. */
+/* Digests that a bridge sends: the sum over its own domain to the bridges of the
+ * other domains, and the sum over the fleet to the nodes of its own. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define DIGEST_MS    250
-#define MEMBERS_EACH 4 /* digests, one tells who the members are */
-/* Of these, one tells a domain's nodes also of the nodes of others that bridge
- * none: they need only know that those exist. */
-#define FAR_EACH 4
-/* The first of a process tell the members each time: after a kill of all, who is
- * heard changes fast, and others know nobody. */
-#define FIRST_DIGESTS 8
-/* More vms are told in fewer of the digests. At 160 engines, loads that are 500
- * instead of 250 ms apart make the slowest first tokens of a hundred 12% later, 28%
- * under load. */
-#define VMS_AT_ONCE  300
-#define VMS_EACH_MAX 8 /* at least one of so many */
-/* Who comes second in its domain tells the domain's nodes each second time only
- * that it is there: they count the first one's, and need but half a second's news
- * when that falls silent. */
-#define SECOND_EACH 2
-
-/* A node that knows only this one's address is told who there is: 25 KB at 295
- * nodes, so not with each of its reports. */
-#define ANSWER_AGAIN_MS 2000
-
-/* A digest in the making. */
-struct making {
+#define DIGEST_MS 250 /* between rounds */
+/* One of this many rounds has the member list. */
+#define MEMBERS_ROUNDS 4
+/* One of this many member lists for the nodes of this domain has all nodes of the
+ * other domains. The rest of the lists have only the bridges there, as nodes need
+ * know of the others only that they exist. */
+#define ALL_MEMBERS_LISTS 4
+/* The first rounds of a process all have the member list. After a kill of all nodes
+ * reachability changes fast, and restarted nodes know no others. */
+#define FIRST_ROUNDS 8
+/* The more VMs there are, the fewer rounds have their loads: one round of
+ * 1 + VMs / VMS_PER_ROUND, and at least one of VMS_ROUNDS_MAX. At 160 engines,
+ * loads every 500 ms instead of every 250 ms made the slowest first tokens of a
+ * hundred come 12% later, and 28% later under load. */
+#define VMS_PER_ROUND  300
+#define VMS_ROUNDS_MAX 8
+/* The second bridge of a domain sends only heartbeats to the domain's nodes in
+ * every other round. They count the first bridge's digests; if those stop, digests
+ * that are half a second apart are enough. */
+#define SECOND_BRIDGE_ROUNDS 2
+
+/* Minimum interval between member lists to a node that knows only this one's
+ * address. One has 25 KB at 295 nodes, too much for an answer to each report. */
+#define MEMBERS_RETRY_MS 2000
+
+/* A digest being built. */
+struct digest_builder {
     Rillknot__Digest digest;
     Rillknot__LeaseRow lease;
-    struct rk_vm_load *loads; /* a row for each node and vm, then for each vm */
+    struct rk_vm_load *loads; /* by node and VM; by VM after sum_loads() */
     size_t loads_len;
-    struct rk_tally in_hand; /* calls, by service */
-    struct rk_tally begun;   /* of these, the ones whose answers have begun */
-    struct rk_tally asking;  /* units of quotas a second */
+    struct rk_tally in_flight; /* calls in flight, by service */
+    struct rk_tally begun;     /* of these, calls whose answers have begun */
+    struct rk_tally demand;    /* quota units/s, by organisation */
     Rillknot__VmUse *vms, **vm_ptrs;
     Rillknot__OrgUse *uses, **use_ptrs;
     uint64_t *known;
@@ -45,7 +48,8 @@
     Rillknot__NodeRow *members, **member_ptrs;
 };
 
-static void add_loads(struct making *p, const struct rk_vm_load *loads, size_t len)
+static void add_loads(struct digest_builder *p, const struct rk_vm_load *loads,
+                      size_t len)
 {
     p->loads = rk_realloc(p->loads, (p->loads_len + len + 1) * sizeof(*p->loads));
     if (len)
@@ -60,8 +64,8 @@
     return order ? order : (x->life > y->life) - (x->life < y->life);
 }
 
-/* One row for each life of a vm. */
-static void sum_loads(struct making *p)
+/* Merges the loads into one row for each incarnation of a VM. */
+static void sum_loads(struct digest_builder *p)
 {
     size_t len = 0;
     qsort(p->loads, p->loads_len, sizeof(*p->loads), by_vm);
@@ -74,39 +78,40 @@
     p->loads_len = len;
 }
 
-static void add_in_hand(struct making *p, const struct rk_service_use *services,
-                        size_t len)
+static void add_in_flight(struct digest_builder *p,
+                          const struct rk_service_use *services, size_t len)
 {
     for (size_t i = 0; i < len; i++) {
-        *rk_tally_at(&p->in_hand, services[i].service) += services[i].running;
+        *rk_tally_at(&p->in_flight, services[i].service) += services[i].running;
         *rk_tally_at(&p->begun, services[i].service) += services[i].begun;
     }
 }
 
-/* Sum what runs at the nodes of this domain, and of the others if fleet. */
-static void add_nodes(struct making *p, const struct rk_mesh *m, bool fleet)
+/* Adds the loads of the nodes of this domain and, if fleet, of the other domains.
+ */
+static void add_nodes(struct digest_builder *p, const struct rk_mesh *m, bool fleet)
 {
     const struct rk_relay_report *r = m->n->report;
     int64_t now_ms = rk_mono_ms();
     p->digest.nodes_heard = 1;
     if (r) {
         add_loads(p, r->loads, r->loads_len);
-        add_in_hand(p, r->services, r->services_len);
+        add_in_flight(p, r->services, r->services_len);
     }
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
         if (rk_mesh_is_near(k) && rk_mesh_is_heard(k, now_ms)) {
             p->digest.nodes_heard++;
             add_loads(p, k->loads, k->loads_len);
-            add_in_hand(p, k->services, k->services_len);
+            add_in_flight(p, k->services, k->services_len);
         } else if (fleet && rk_digest_counts(k, now_ms)) {
             p->digest.nodes_heard += (uint32_t)k->digest.nodes_heard;
             add_loads(p, k->digest.loads, k->digest.loads_len);
-            add_in_hand(p, k->digest.services, k->digest.services_len);
+            add_in_flight(p, k->digest.services, k->digest.services_len);
         }
     }
 }
 
-static void fill_vms(struct making *p)
+static void fill_vms(struct digest_builder *p)
 {
     size_t len = p->loads_len;
     p->vms = rk_alloc(len + 1, sizeof(*p->vms));
@@ -120,14 +125,16 @@
     p->digest.vms_told = true;
 }
 
-/* Are vms told with this digest? */
-static bool tells_vms(const struct rk_mesh *m, size_t vms)
+/* Returns whether this round's digests have the VMs' loads. */
+static bool is_vms_round(const struct rk_mesh *m, size_t vms)
 {
-    size_t each = 1 + vms / VMS_AT_ONCE;
-    return m->digests % (each < VMS_EACH_MAX ? each : VMS_EACH_MAX) == 0;
+    size_t rounds = 1 + vms / VMS_PER_ROUND;
+    return m->digest_rounds % (rounds < VMS_ROUNDS_MAX ? rounds : VMS_ROUNDS_MAX) ==
+           0;
 }
 
-static void fill_known(struct making *p, const struct rk_mesh *m, size_t row)
+static void fill_history(struct digest_builder *p, const struct rk_mesh *m,
+                         size_t row)
 {
     const struct rk_relay_report *r = m->n->report;
     const struct rk_org_use *own =
@@ -141,37 +148,39 @@
     p->uses[row].n_known = RK_QUOTA_PARTS;
 }
 
-/* What callers ask for at the nodes that the digest tells of. */
-static void add_asking(struct making *p, const struct rk_mesh *m, bool fleet)
+/* Sums the demand at the nodes that the digest covers. */
+static void add_demand(struct digest_builder *p, const struct rk_mesh *m,
+                       bool fleet)
 {
     const struct rk_relay_report *r = m->n->report;
-    rk_loads_add_asking(m, fleet, &p->asking, rk_mono_ms());
+    rk_loads_add_demand(m, fleet, &p->demand, rk_mono_ms());
     for (size_t i = 0; r && i < r->uses_len; i++)
-        *rk_tally_at(&p->asking, r->uses[i].org) += r->uses[i].asking;
+        *rk_tally_at(&p->demand, r->uses[i].org) += r->uses[i].asking;
 }
 
-static void fill_uses(struct making *p, const struct rk_mesh *m, bool fleet,
-                      bool known)
+static void fill_uses(struct digest_builder *p, const struct rk_mesh *m, bool fleet,
+                      bool with_history)
 {
     const struct rk_tally *uses = fleet ? &m->fleet_uses : &m->domain_uses;
     p->uses = rk_alloc(uses->len + 1, sizeof(*p->uses));
     p->use_ptrs = rk_alloc(uses->len + 1, sizeof(*p->use_ptrs));
     p->known = rk_alloc(uses->len * RK_QUOTA_PARTS + 1, sizeof(*p->known));
-    add_asking(p, m, fleet);
+    add_demand(p, m, fleet);
     for (size_t i = 0; i < uses->len; i++) {
         rillknot__org_use__init(&p->uses[i]);
         p->uses[i].org = uses->rows[i].name;
         p->uses[i].units = uses->rows[i].total;
-        p->uses[i].asking = (float)rk_tally_total(&p->asking, p->uses[i].org);
-        if (known)
-            fill_known(p, m, i);
+        p->uses[i].asking = (float)rk_tally_total(&p->demand, p->uses[i].org);
+        if (with_history)
+            fill_history(p, m, i);
         p->use_ptrs[i] = &p->uses[i];
     }
     p->digest.n_uses = uses->len;
     p->digest.uses = p->use_ptrs;
 }
 
-static void fill_services(struct making *p, const struct rk_mesh *m, bool fleet)
+static void fill_services(struct digest_builder *p, const struct rk_mesh *m,
+                          bool fleet)
 {
     const struct rk_tally *reads = fleet ? &m->fleet_reads : &m->domain_reads;
     p->engines = rk_alloc(reads->len + 1, sizeof(*p->engines));
@@ -182,7 +191,7 @@
         rillknot__service_use__init(use);
         use->service = reads->rows[i].name;
         use->read_tokens = reads->rows[i].total;
-        use->running = (uint32_t)rk_tally_total(&p->in_hand, use->service);
+        use->running = (uint32_t)rk_tally_total(&p->in_flight, use->service);
         use->begun = (uint32_t)rk_tally_total(&p->begun, use->service);
         struct rk_engine_estimate e = rk_engines_of(m, use->service, fleet);
         if (e.samples > 0) {
@@ -195,45 +204,48 @@
     p->digest.services = p->service_ptrs;
 }
 
-/* Is a member told as heard? A bridge speaks for its own domain from what it hears
- * itself; the rest is what was told here. */
-static bool is_told_of(const struct member *k, int64_t now_ms)
+/* Returns whether to report a member as reachable. For its own domain a bridge
+ * reports what it observed itself, for other domains what it received. */
+static bool is_reported_reachable(const struct member *k, int64_t now_ms)
 {
     if (rk_mesh_is_near(k) && k->m->bridge)
         return rk_mesh_is_heard(k, now_ms);
-    return (k->told_ms || k->heard_ms) && rk_mesh_is_alive(k, now_ms);
+    return (k->reported_ms || k->heard_ms) && rk_mesh_is_alive(k, now_ms);
 }
 
-/* Which members a digest tells of. */
+/* Which members a digest lists. SOME_MEMBERS has only the bridges of other domains.
+ */
 enum members { NO_MEMBERS, SOME_MEMBERS, ALL_MEMBERS };
 
-static enum members members_due(const struct rk_mesh *m)
+static enum members members_of_round(const struct rk_mesh *m)
 {
-    if (m->digests && m->digests < FIRST_DIGESTS)
+    if (m->digest_rounds && m->digest_rounds < FIRST_ROUNDS)
         return SOME_MEMBERS;
-    if (m->digests % MEMBERS_EACH != 0)
+    if (m->digest_rounds % MEMBERS_ROUNDS != 0)
         return NO_MEMBERS;
-    return m->digests % (MEMBERS_EACH * FAR_EACH) ? SOME_MEMBERS : ALL_MEMBERS;
+    return m->digest_rounds % (MEMBERS_ROUNDS * ALL_MEMBERS_LISTS) ? SOME_MEMBERS
+                                                                   : ALL_MEMBERS;
 }
 
-static bool tells_of(const struct member *k, bool fleet, enum members which)
+static bool includes_member(const struct member *k, bool fleet,
+                            enum members members)
 {
     if (!k->id[0] || !k->domain[0])
         return false;
     if (rk_mesh_is_near(k))
         return true;
-    return fleet && (k->bridge || which == ALL_MEMBERS);
+    return fleet && (k->bridge || members == ALL_MEMBERS);
 }
 
-static void fill_members(struct making *p, const struct rk_mesh *m, bool fleet,
-                         enum members which)
+static void fill_members(struct digest_builder *p, const struct rk_mesh *m,
+                         bool fleet, enum members members)
 {
     int64_t now_ms = rk_mono_ms();
     size_t len = rk_mesh_count(m);
     p->members = rk_alloc(len + 1, sizeof(*p->members));
     p->member_ptrs = rk_alloc(len + 1, sizeof(*p->member_ptrs));
     for (struct member *k = m->members; k; k = k->next) {
-        if (!tells_of(k, fleet, which))
+        if (!includes_member(k, fleet, members))
             continue;
         Rillknot__NodeRow *row = &p->members[p->digest.n_members];
         rillknot__node_row__init(row);
@@ -241,7 +253,7 @@
         row->addr = k->addr;
         row->domain = k->domain;
         row->capacity = k->capacity;
-        row->heard = is_told_of(k, now_ms);
+        row->heard = is_reported_reachable(k, now_ms);
         row->leaving = k->leaving;
         row->slow = k->slow;
         row->hears_store = k->hears_store;
@@ -250,12 +262,13 @@
     p->digest.members = p->member_ptrs;
 }
 
-/* brief: a heartbeat; what runs where and what was used is as it was. */
-static void fill(struct making *p, struct rk_mesh *m, bool fleet, bool brief,
-                 enum members members)
+/* Fills in a digest. brief: it is only a heartbeat, without loads, usage and
+ * members. */
+static void fill(struct digest_builder *p, struct rk_mesh *m, bool fleet,
+                 bool brief, enum members members)
 {
     struct rk_node *n = m->n;
-    *p = (struct making){0};
+    *p = (struct digest_builder){0};
     rillknot__digest__init(&p->digest);
     rillknot__lease_row__init(&p->lease);
     p->digest.id = n->file.id;
@@ -282,7 +295,7 @@
     if (brief)
         return;
     sum_loads(p);
-    if (tells_vms(m, p->loads_len))
+    if (is_vms_round(m, p->loads_len))
         fill_vms(p);
     fill_uses(p, m, fleet, members != NO_MEMBERS);
     fill_services(p, m, fleet);
@@ -290,12 +303,12 @@
         fill_members(p, m, fleet, members);
 }
 
-static void free_making(struct making *p)
+static void free_builder(struct digest_builder *p)
 {
     free(p->loads);
-    rk_tally_free(&p->in_hand);
+    rk_tally_free(&p->in_flight);
     rk_tally_free(&p->begun);
-    rk_tally_free(&p->asking);
+    rk_tally_free(&p->demand);
     free(p->vms);
     free(p->vm_ptrs);
     free(p->uses);
@@ -308,159 +321,168 @@
     free(p->member_ptrs);
 }
 
-/* ---- telling one ---- */
+/* ---- sending ---- */
 
-/* Add to a bridge's counters what this node used and read since the last time. */
+/* Adds what this node used and read since the last call to a bridge's counters. */
 static void add_own(struct rk_mesh *m)
 {
     const struct rk_relay_report *r = m->n->report;
     for (size_t i = 0; r && i < r->uses_len; i++) {
         const char *org = r->uses[i].org;
-        double rise = rk_tally_rise(&m->own_uses, org, r->uses[i].units);
-        *rk_tally_at(&m->domain_uses, org) += rise;
-        *rk_tally_at(&m->fleet_uses, org) += rise;
+        double increase = rk_tally_rise(&m->included_uses, org, r->uses[i].units);
+        *rk_tally_at(&m->domain_uses, org) += increase;
+        *rk_tally_at(&m->fleet_uses, org) += increase;
     }
     for (size_t i = 0; r && i < r->services_len; i++) {
         const char *service = r->services[i].service;
-        double rise =
-            rk_tally_rise(&m->own_reads, service, r->services[i].read_tokens);
-        *rk_tally_at(&m->domain_reads, service) += rise;
-        *rk_tally_at(&m->fleet_reads, service) += rise;
+        double increase =
+            rk_tally_rise(&m->included_reads, service, r->services[i].read_tokens);
+        *rk_tally_at(&m->domain_reads, service) += increase;
+        *rk_tally_at(&m->fleet_reads, service) += increase;
     }
 }
 
-void rk_digest_begin(struct rk_mesh *m)
+void rk_digest_start_counting(struct rk_mesh *m)
 {
     const struct rk_relay_report *r = m->n->report;
     for (size_t i = 0; r && i < r->uses_len; i++)
-        rk_tally_rise(&m->own_uses, r->uses[i].org, r->uses[i].units);
+        rk_tally_rise(&m->included_uses, r->uses[i].org, r->uses[i].units);
     for (size_t i = 0; r && i < r->services_len; i++)
-        rk_tally_rise(&m->own_reads, r->services[i].service,
+        rk_tally_rise(&m->included_reads, r->services[i].service,
                       r->services[i].read_tokens);
     for (struct member *k = m->contacts; k; k = k->next_contact) {
-        k->incarnation = 0; /* its next report is where counting begins */
+        k->incarnation = 0; /* its next report becomes the baseline */
         k->uses_based = false;
-        k->digest.based = false;
+        k->digest.has_baseline = false;
     }
 }
 
-/* The sum of the fleet. */
-static struct rk_packed_frame pack(struct rk_mesh *m, bool brief,
-                                   enum members members)
+/* Packs a digest of the fleet. The caller frees it. */
+static struct rk_packed_frame pack_fleet(struct rk_mesh *m, bool brief,
+                                         enum members members)
 {
-    struct making p;
+    struct digest_builder p;
     fill(&p, m, true, brief, members);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_DIGEST;
     frame.digest = &p.digest;
     struct rk_packed_frame packed = rk_frame_pack(&frame);
-    free_making(&p);
+    free_builder(&p);
     return packed;
 }
 
-static bool wants_domain(const struct member *k, const void *ctx)
+static bool wants_domain_digest(const struct member *k, const void *ctx)
 {
     (void)ctx;
     return !rk_mesh_is_near(k) && k->bridge;
 }
 
-/* The sum of this domain, to the bridges of the others. */
-static void tell_bridges(struct rk_mesh *m, enum members members)
+/* Sends a digest of this domain to the bridges of the others. */
+static void send_to_bridges(struct rk_mesh *m, enum members members)
 {
-    struct making p;
+    struct digest_builder p;
     fill(&p, m, false, false, members);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_DIGEST;
     frame.digest = &p.digest;
-    rk_mesh_send(m, &frame, wants_domain, NULL);
-    free_making(&p);
+    rk_mesh_send(m, &frame, wants_domain_digest, NULL);
+    free_builder(&p);
 }
 
-/* Who was told a whole digest longest ago comes first, and who takes no other. */
-static int by_digest(const void *a, const void *b)
+/* Sorts nodes that accept only full digests first, then by the age of the last full
+ * digest that they got, the oldest first. */
+static int by_digest_round(const void *a, const void *b)
 {
     const struct member *x = *(struct member *const *)a,
                         *y = *(struct member *const *)b;
     if (x->takes_brief != y->takes_brief)
         return x->takes_brief - y->takes_brief;
-    return (x->told.digest > y->told.digest) - (x->told.digest < y->told.digest);
+    return (x->told.digest_round > y->told.digest_round) -
+           (x->told.digest_round < y->told.digest_round);
 }
 
-/* The nodes of this domain that are told the fleet's sum. */
-static size_t list_told(const struct rk_mesh *m, struct member **told)
+/* Collects the nodes of this domain to which the digest of the fleet is sent. */
+static size_t collect_receivers(const struct rk_mesh *m, struct member **nodes)
 {
     size_t len = 0;
     for (struct member *k = m->contacts; k; k = k->next_contact)
         if (rk_mesh_is_near(k) && !k->bridge && rk_mesh_takes(k->link))
-            told[len++] = k;
-    qsort(told, len, sizeof(*told), by_digest);
+            nodes[len++] = k;
+    qsort(nodes, len, sizeof(*nodes), by_digest_round);
     return len;
 }
 
-/* Tell whole digests to the first of them, as many as may be; returns how many. */
-static size_t tell_whole(struct rk_mesh *m, struct member **told, size_t len,
-                         size_t most, enum members members)
+/* Sends full digests to the first nodes of the list, up to about max_bytes, and
+ * returns the number of nodes. Nodes that accept only full digests get one in any
+ * case. */
+static size_t send_full(struct rk_mesh *m, struct member **nodes, size_t len,
+                        size_t max_bytes, enum members members)
 {
     size_t at = 0, sent = 0;
-    if (!len || (!most && told[0]->takes_brief))
+    if (!len || (!max_bytes && nodes[0]->takes_brief))
         return 0;
-    /* Where each is told now and then only, it is told who there is each time. */
-    if (m->whole.narrow && members == NO_MEMBERS)
+    /* On a narrow link each node gets full digests only now and then, so that each
+     * of them has the member list. */
+    if (m->full_digest_budget.narrow && members == NO_MEMBERS)
         members = SOME_MEMBERS;
-    struct rk_packed_frame frame = pack(m, false, members);
+    struct rk_packed_frame frame = pack_fleet(m, false, members);
     for (; at < len; at++) {
-        struct member *k = told[at];
-        if (k->takes_brief && sent + frame.len > most)
+        struct member *k = nodes[at];
+        if (k->takes_brief && sent + frame.len > max_bytes)
             break;
         rk_link_send_packed(k->link, &frame);
-        k->told.digest = m->digests;
+        k->told.digest_round = m->digest_rounds;
         sent += frame.len;
     }
-    rk_send_budget_note(&m->whole, sent);
+    rk_send_budget_note(&m->full_digest_budget, sent);
     rk_packed_frame_free(&frame);
     return at;
 }
 
-/* The sum of the fleet, to the nodes of this domain: as many as the link carries in
- * time are told all, in turn, and the others that this node is there. */
-static void tell_domain(struct rk_mesh *m, enum members members)
+/* Sends digests of the fleet to the nodes of this domain. As many nodes as the link
+ * can serve in time get full ones, in turn; the others get a heartbeat. */
+static void send_to_domain(struct rk_mesh *m, enum members members)
 {
-    struct member **told = rk_alloc(rk_mesh_count(m) + 1, sizeof(struct member *));
-    size_t len = list_told(m, told);
-    bool second = m->preceded && m->digests % SECOND_EACH;
-    size_t most = second ? 0 : rk_send_budget_begin(&m->whole, rk_mesh_waiting(m));
-    size_t at = tell_whole(m, told, len, most, members);
+    struct member **nodes = rk_alloc(rk_mesh_count(m) + 1, sizeof(struct member *));
+    size_t len = collect_receivers(m, nodes);
+    bool heartbeats_only = m->rank && m->digest_rounds % SECOND_BRIDGE_ROUNDS;
+    size_t max_bytes = heartbeats_only
+                           ? 0
+                           : rk_send_budget_begin(&m->full_digest_budget,
+                                                  rk_mesh_waiting_bytes(m));
+    size_t at = send_full(m, nodes, len, max_bytes, members);
     struct rk_packed_frame frame = {0};
     if (at < len)
-        frame = pack(m, true, NO_MEMBERS);
+        frame = pack_fleet(m, true, NO_MEMBERS);
     for (; at < len; at++)
-        rk_link_send_packed(told[at]->link, &frame);
+        rk_link_send_packed(nodes[at]->link, &frame);
     rk_packed_frame_free(&frame);
-    free(told);
+    free(nodes);
 }
 
-void rk_digest_tell(struct rk_mesh *m)
+void rk_digest_send(struct rk_mesh *m)
 {
     int64_t now_ms = rk_mono_ms();
-    if (!m->bridge || now_ms - m->digest_ms < DIGEST_MS)
+    if (!m->bridge || now_ms - m->digest_sent_ms < DIGEST_MS)
         return;
-    enum members members = members_due(m);
-    m->digest_ms = now_ms;
+    enum members members = members_of_round(m);
+    m->digest_sent_ms = now_ms;
     add_own(m);
-    tell_bridges(m, members);
-    tell_domain(m, members);
-    m->digests++;
+    send_to_bridges(m, members);
+    send_to_domain(m, members);
+    m->digest_rounds++;
 }
 
-void rk_digest_answer(struct rk_mesh *m, struct rk_link *link,
-                      struct link_told *told)
+void rk_digest_send_members(struct rk_mesh *m, struct rk_link *link,
+                            struct link_state *state)
 {
     int64_t now_ms = rk_mono_ms();
-    bool answered = told->members_ms && now_ms - told->members_ms < ANSWER_AGAIN_MS;
-    if (answered || !rk_mesh_takes(link))
+    bool sent_recently = state->members_sent_ms &&
+                         now_ms - state->members_sent_ms < MEMBERS_RETRY_MS;
+    if (sent_recently || !rk_mesh_takes(link))
         return;
-    told->members_ms = now_ms;
-    struct rk_packed_frame frame = pack(m, false, ALL_MEMBERS);
+    state->members_sent_ms = now_ms;
+    struct rk_packed_frame frame = pack_fleet(m, false, ALL_MEMBERS);
     rk_link_send_packed(link, &frame);
     rk_packed_frame_free(&frame);
 }
--- a/node/follow.c
+++ b/node/follow.c
@@ -3,25 +3,30 @@
 #include "common/eventlog.h"
 #include "core/following.h"
 
-#define WATCH_LOST_MS  200 /* its end tells soon that the store is back */
+#define WATCH_LOST_MS                                                              \
+    200 /* short, so that its end soon shows that the store is back */
 #define RETRY_FIRST_MS 100
-#define RETRY_MAX_MS   500 /* with WATCH_LOST_MS: back within 2 s, as entries are */
-#define BURST_MS       200 /* before a list, when changes come faster than answers */
+/* Together with WATCH_LOST_MS it bounds the time until a recovered store is noticed
+ * to 2 s, as at the entries. */
+#define RETRY_MAX_MS 500
+#define BURST_MS     200 /* delay before a list, if changes outrun the answers */
 
-static void next(struct rk_follow *f);
+static void call_store(struct rk_follow *f);
 
-/* When what an answer tells was the newest: it may take seconds to arrive. */
-static int64_t known_at_ms(const struct rk_follow *f)
+/* Returns the time at which the current answer was up to date. Receiving it may
+ * take seconds: a watch's answer counts from its first byte, a list from its
+ * request. */
+static int64_t answer_time_ms(const struct rk_follow *f)
 {
-    int64_t began_ms = f->n->store->began_ms;
-    return began_ms && !f->listing ? began_ms : f->began_ms;
+    int64_t first_byte_ms = f->n->store->began_ms;
+    return first_byte_ms && !f->listing ? first_byte_ms : f->call_started_ms;
 }
 
-static void note_store(struct rk_follow *f, enum rk_status st)
+static void note_answer(struct rk_follow *f, enum rk_status st)
 {
     bool lost = st != RK_OK && st != RK_EGONE;
     if (!lost) {
-        f->heard_ms = known_at_ms(f);
+        f->heard_ms = answer_time_ms(f);
         f->heard(f->ctx);
     }
     if (lost == f->lost)
@@ -34,13 +39,14 @@
 static void retry_later(struct rk_follow *f)
 {
     int64_t jitter = rk_rng_below(&f->n->rng, (uint32_t)f->retry_ms + 1);
-    rk_timer_start(f->n->loop, &f->again, f->retry_ms / 2 + jitter);
+    rk_timer_start(f->n->loop, &f->timer, f->retry_ms / 2 + jitter);
     f->retry_ms = f->retry_ms * 2 < RETRY_MAX_MS ? f->retry_ms * 2 : RETRY_MAX_MS;
 }
 
-/* A watch that missed changes is told each of them, again after each try that took
- * too long: 25 versions of settings with 1,400 routes are 8 MB, which a node with a
- * link of 10 Mbit/s did not get until the store forgot its history, 20 s later. */
+/* Makes the next call a list, if that is cheaper than catching up by a watch. A
+ * watch sends every missed change, and all of them again after a time-out: 25
+ * versions of settings with 1,400 routes are 8 MB, which a node with a link of 10
+ * Mbit/s did not receive until the store dropped that history, 20 s later. */
 static void list_next(struct rk_follow *f)
 {
     if (f->list_when_behind)
@@ -52,22 +58,21 @@
 {
     struct rk_follow *f = ctx;
     f->busy = false;
-    note_store(f, st);
+    note_answer(f, st);
     if (st == RK_EGONE) {
         RK_EVENT("store.history_gone", RK_S("kind", f->kind), RK_N("at", f->at));
         f->at = 0;
-        next(f);
+        call_store(f);
         return;
     }
     if (st != RK_OK) {
         if (st == RK_EUNKNOWN && f->n->store->began_ms)
-            list_next(
-                f); /* cut off: what it missed takes longer than it may last */
+            list_next(f); /* cut off midway: the answer is too long for the link */
         retry_later(f);
         return;
     }
     f->retry_ms = RETRY_FIRST_MS;
-    /* A peer may have told more meanwhile. */
+    /* Peers may have sent newer changes in the meantime. */
     if (at >= f->at) {
         f->apply(f->ctx, objects, len, f->listing, at);
         f->at = at;
@@ -77,9 +82,9 @@
         list_next(f);
     int64_t pace_ms = burst && f->pace_ms < BURST_MS ? BURST_MS : f->pace_ms;
     if (len && pace_ms)
-        rk_timer_start(f->n->loop, &f->again, pace_ms);
+        rk_timer_start(f->n->loop, &f->timer, pace_ms);
     else
-        next(f);
+        call_store(f);
 }
 
 static int64_t watch_ms(const struct rk_follow *f)
@@ -87,30 +92,30 @@
     return f->lost ? WATCH_LOST_MS : RK_FOLLOWING_WATCH_MS;
 }
 
-static void next(struct rk_follow *f)
+static void call_store(struct rk_follow *f)
 {
     struct rk_store *store = f->n->store;
     if (f->busy || !f->on)
         return;
-    rk_timer_stop(f->n->loop, &f->again);
+    rk_timer_stop(f->n->loop, &f->timer);
     f->busy = true;
     f->listing = !f->at;
-    f->began_ms = rk_mono_ms();
+    f->call_started_ms = rk_mono_ms();
     if (f->listing)
         store->ops->list(store, f->kind, false, on_answer, f);
     else
         store->ops->watch(store, f->kind, f->at, watch_ms(f), on_answer, f);
 }
 
-static void on_again(void *ctx)
+static void on_timer(void *ctx)
 {
-    next(ctx);
+    call_store(ctx);
 }
 
 void rk_follow_init(struct rk_follow *f)
 {
     f->retry_ms = RETRY_FIRST_MS;
-    f->again = (struct rk_timer){.fn = on_again, .ctx = f};
+    f->timer = (struct rk_timer){.fn = on_timer, .ctx = f};
 }
 
 void rk_follow_set(struct rk_follow *f, bool on)
@@ -119,9 +124,9 @@
         return;
     f->on = on;
     if (on)
-        next(f);
+        call_store(f);
     else
-        rk_timer_stop(f->n->loop, &f->again);
+        rk_timer_stop(f->n->loop, &f->timer);
 }
 
 void rk_follow_skip(struct rk_follow *f, int64_t at)
@@ -138,5 +143,5 @@
 
 void rk_follow_destroy(struct rk_follow *f)
 {
-    rk_timer_stop(f->n->loop, &f->again);
+    rk_timer_stop(f->n->loop, &f->timer);
 }
--- a/node/follow.h
+++ b/node/follow.h
@@ -1,6 +1,7 @@
-/* One kind of the store's objects, followed by a list and waiting watches, while it
- * is asked to. A watch that was cut, hangs past its wait or lost its history is
- * begun again. Control thread only. */
+/* Watches the objects of one kind in the platform's store: a list first, then long
+ * polls ("watches") for changes since its revision. A watch that is cut off,
+ * doesn't return in time or has lost its history is started again. Control thread
+ * only. */
 #ifndef RK_NODE_FOLLOW_H
 #define RK_NODE_FOLLOW_H
 
@@ -9,35 +10,41 @@
 #include "objects/store.h"
 
 struct rk_follow {
+    /* Set by the caller. */
     struct rk_node *n;
     const char *kind;
-    /* What the store told. all: it is the whole list. */
+    /* Applies objects from the store, valid during the call. all: they are the
+     * whole list, else changes. at: the store's revision that they lead up to. */
     void (*apply)(void *ctx, const struct rk_store_object *objects, size_t len,
                   bool all, int64_t at);
-    void (*heard)(void *ctx); /* the store answered; before apply */
+    void (*heard)(void *ctx); /* the store answered; called before apply */
     void *ctx;
-    /* Its objects are few and large: to list them, the newest of each, costs less
-     * than to be told of all their changes. */
+    /* Few but large objects: listing the newest of each costs less than receiving
+     * all their changes. */
     bool list_when_behind;
-    int64_t pace_ms;  /* between watches, so that changes come together */
+    int64_t pace_ms; /* delay after changes arrived, to collect more; 0: none */
+    /* Read by the caller. */
     int64_t at;       /* the store's revision that is known; 0: none yet */
-    int64_t heard_ms; /* when the store answered last; 0: never */
-    bool lost;        /* it doesn't answer */
-    bool on;
-    bool busy, listing;
-    int64_t began_ms; /* the call under way */
-    int64_t retry_ms;
-    struct rk_timer again;
+    int64_t heard_ms; /* the last answer was up to date then; 0: never */
+    bool lost;        /* the store's last answer was an error or a time-out */
+    bool on;          /* watching, by rk_follow_set() */
+    /* Private. */
+    bool busy, listing;      /* a call is in progress; it is a list */
+    int64_t call_started_ms; /* when that call was made */
+    int64_t retry_ms;        /* next delay after an error */
+    struct rk_timer timer;   /* for the next call */
 };
 
-/* n, kind, apply and ctx are set; the rest is zero. */
+/* The caller has set its members before; all others are zero. */
 void rk_follow_init(struct rk_follow *f);
-/* Off: the watch under way is let end and not renewed. */
+/* Starts or stops watching. A call in progress is not interrupted. */
 void rk_follow_set(struct rk_follow *f, bool on);
-/* A peer told of the kind up to a revision of the store. */
+/* Skips changes up to a revision of the store, as a peer sent them. */
 void rk_follow_skip(struct rk_follow *f, int64_t at);
-/* Peers know, or told, more of the kind, up to which revision isn't known. */
+/* Makes the next call a list, for a kind with list_when_behind and unless a call is
+ * in progress: peers have newer objects, of a revision that isn't known here. */
 void rk_follow_forget(struct rk_follow *f);
+/* Stops the timer. A call to the store may still be in progress. */
 void rk_follow_destroy(struct rk_follow *f);
 
 #endif
--- a/node/loads.c
+++ b/node/loads.c
@@ -1,6 +1,6 @@
-/* What the other nodes have in hand, and are asked for, as far as this one is told:
- * by each of them, or by a bridge in one sum that holds this node's own part, too.
- */
+/* Calls in flight, VMs' health and demand at the other nodes. They come from the
+ * reports of each of them, or from a bridge's digest of the fleet, which includes
+ * this node's own share. */
 #include <math.h>
 #include <string.h>
 
@@ -20,30 +20,30 @@
     out->life = load->life;
 }
 
-static struct rk_pace read_pace(const Rillknot__VmUse *told)
+static struct rk_pace decode_health(const Rillknot__VmUse *from)
 {
-    const struct rk_pace pace = {.log_sum = told->pace_log_sum,
-                                 .failed = told->pace_failed,
-                                 .calls = told->pace_calls,
-                                 .refused = told->pace_refused};
+    const struct rk_pace pace = {.log_sum = from->pace_log_sum,
+                                 .failed = from->pace_failed,
+                                 .calls = from->pace_calls,
+                                 .refused = from->pace_refused};
     if (rk_pace_is_sound(&pace))
         return pace;
-    RK_WARN("pace.rejected", RK_S("vm", told->id));
+    RK_WARN("pace.rejected", RK_S("vm", from->id));
     return (struct rk_pace){0};
 }
 
-void rk_loads_take(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **told,
-                   size_t told_len)
+void rk_loads_take(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **from,
+                   size_t from_len)
 {
-    *loads = rk_realloc(*loads, (told_len + 1) * sizeof(**loads));
-    *len = told_len;
-    for (size_t i = 0; i < told_len; i++) {
+    *loads = rk_realloc(*loads, (from_len + 1) * sizeof(**loads));
+    *len = from_len;
+    for (size_t i = 0; i < from_len; i++) {
         struct rk_vm_load *load = &(*loads)[i];
-        *load = (struct rk_vm_load){.life = told[i]->life,
-                                    .running = told[i]->running,
-                                    .waiting_tokens = told[i]->waiting_tokens,
-                                    .pace = read_pace(told[i])};
-        rk_strcpy(load->id, sizeof(load->id), told[i]->id);
+        *load = (struct rk_vm_load){.life = from[i]->life,
+                                    .running = from[i]->running,
+                                    .waiting_tokens = from[i]->waiting_tokens,
+                                    .pace = decode_health(from[i])};
+        rk_strcpy(load->id, sizeof(load->id), from[i]->id);
     }
 }
 
@@ -54,8 +54,8 @@
     rk_pace_sum(&sum->pace, &more->pace);
 }
 
-static void add(struct rk_relay_peers *p, const struct rk_vm_load *loads,
-                size_t len)
+static void append_loads(struct rk_relay_peers *p, const struct rk_vm_load *loads,
+                         size_t len)
 {
     p->loads = rk_realloc(p->loads, (p->loads_len + len + 1) * sizeof(*p->loads));
     if (len)
@@ -63,8 +63,9 @@
     p->loads_len += len;
 }
 
-/* What was told may be older than what is taken out of it. */
-static void take_out(struct rk_vm_load *sum, const struct rk_vm_load *own)
+/* Subtracts this node's share from a sum, down to 0: the sum may be older than the
+ * share. */
+static void subtract(struct rk_vm_load *sum, const struct rk_vm_load *own)
 {
     sum->running -= own->running < sum->running ? own->running : sum->running;
     sum->waiting_tokens = fmax(0, sum->waiting_tokens - own->waiting_tokens);
@@ -75,8 +76,7 @@
         sum->pace.calls > 0 ? sum->pace.log_sum - own->pace.log_sum : 0;
 }
 
-/* Take this node's own part out of a sum. */
-static void take_out_own(const struct rk_mesh *m, struct rk_relay_peers *p)
+static void subtract_own(const struct rk_mesh *m, struct rk_relay_peers *p)
 {
     const struct rk_relay_report *r = m->n->report;
     for (size_t i = 0; r && i < r->loads_len; i++) {
@@ -85,13 +85,13 @@
             struct rk_vm_load *sum = &p->loads[j];
             if (strcmp(sum->id, own->id) != 0)
                 continue;
-            take_out(sum, own);
+            subtract(sum, own);
         }
     }
 }
 
-/* Does a member's own report count here? */
-static bool counts(const struct member *k, int64_t now_ms)
+/* Returns whether a member's own report is counted. */
+static bool is_report_counted(const struct member *k, int64_t now_ms)
 {
     return rk_mesh_is_heard(k, now_ms) && (k->m->direct || rk_mesh_is_near(k));
 }
@@ -101,63 +101,64 @@
 {
     const struct member *source = rk_digest_of_fleet(m, now_ms);
     if (source) {
-        add(p, source->digest.loads, source->digest.loads_len);
-        take_out_own(m, p);
+        append_loads(p, source->digest.loads, source->digest.loads_len);
+        subtract_own(m, p);
         return;
     }
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
-        if (counts(k, now_ms))
-            add(p, k->loads, k->loads_len);
+        if (is_report_counted(k, now_ms))
+            append_loads(p, k->loads, k->loads_len);
         else if (!m->direct && rk_digest_counts(k, now_ms))
-            add(p, k->digest.loads, k->digest.loads_len);
+            append_loads(p, k->digest.loads, k->digest.loads_len);
     }
 }
 
-static struct rk_in_hand in_hand(const struct rk_service_use *services, size_t len,
-                                 const char *service)
+static struct rk_in_flight in_flight_of(const struct rk_service_use *services,
+                                        size_t len, const char *service)
 {
     const struct rk_service_use *use = rk_service_use_find(services, len, service);
-    return use ? (struct rk_in_hand){use->running, use->begun}
-               : (struct rk_in_hand){0};
+    return use ? (struct rk_in_flight){use->running, use->begun}
+               : (struct rk_in_flight){0};
 }
 
-static void add_in_hand(struct rk_in_hand *sum, struct rk_in_hand more)
+static void add_in_flight(struct rk_in_flight *sum, struct rk_in_flight more)
 {
     sum->running += more.running;
     sum->begun += more.begun;
 }
 
-static uint32_t less(uint32_t all, uint32_t own)
+static uint32_t difference(uint32_t all, uint32_t own)
 {
     return all > own ? all - own : 0;
 }
 
-struct rk_in_hand rk_loads_in_hand(const struct rk_mesh *m, const char *service,
-                                   int64_t now_ms)
+struct rk_in_flight rk_loads_in_flight(const struct rk_mesh *m, const char *service,
+                                       int64_t now_ms)
 {
     const struct rk_relay_report *r = m->n->report;
     const struct member *source = rk_digest_of_fleet(m, now_ms);
-    struct rk_in_hand sum = {0};
+    struct rk_in_flight sum = {0};
     if (source) {
-        struct rk_in_hand own = {0};
-        sum =
-            in_hand(source->digest.services, source->digest.services_len, service);
+        struct rk_in_flight own = {0};
+        sum = in_flight_of(source->digest.services, source->digest.services_len,
+                           service);
         if (r)
-            own = in_hand(r->services, r->services_len, service);
-        return (struct rk_in_hand){less(sum.running, own.running),
-                                   less(sum.begun, own.begun)};
+            own = in_flight_of(r->services, r->services_len, service);
+        return (struct rk_in_flight){difference(sum.running, own.running),
+                                     difference(sum.begun, own.begun)};
     }
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
-        if (counts(k, now_ms))
-            add_in_hand(&sum, in_hand(k->services, k->services_len, service));
+        if (is_report_counted(k, now_ms))
+            add_in_flight(&sum,
+                          in_flight_of(k->services, k->services_len, service));
         else if (!m->direct && rk_digest_counts(k, now_ms))
-            add_in_hand(
-                &sum, in_hand(k->digest.services, k->digest.services_len, service));
+            add_in_flight(&sum, in_flight_of(k->digest.services,
+                                             k->digest.services_len, service));
     }
     return sum;
 }
 
-static void add_asking(struct rk_tally *sum, const struct rk_org_use *uses,
+static void add_demand(struct rk_tally *sum, const struct rk_org_use *uses,
                        size_t len, double sign)
 {
     for (size_t i = 0; i < len; i++)
@@ -165,14 +166,14 @@
             *rk_tally_at(sum, uses[i].org) += sign * uses[i].asking;
 }
 
-void rk_loads_add_asking(const struct rk_mesh *m, bool fleet, struct rk_tally *sum,
+void rk_loads_add_demand(const struct rk_mesh *m, bool fleet, struct rk_tally *sum,
                          int64_t now_ms)
 {
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
-        if (counts(k, now_ms))
-            add_asking(sum, k->uses.rows, k->uses.len, 1);
+        if (is_report_counted(k, now_ms))
+            add_demand(sum, k->uses.rows, k->uses.len, 1);
         else if (fleet && !m->direct && rk_digest_counts(k, now_ms))
-            add_asking(sum, k->digest.uses.rows, k->digest.uses.len, 1);
+            add_demand(sum, k->digest.uses.rows, k->digest.uses.len, 1);
     }
 }
 
@@ -182,15 +183,15 @@
     const struct rk_relay_report *r = m->n->report;
     const struct member *source = rk_digest_of_fleet(m, now_ms);
     if (!source) {
-        rk_loads_add_asking(m, true, sum, now_ms);
+        rk_loads_add_demand(m, true, sum, now_ms);
         return;
     }
-    add_asking(sum, source->digest.uses.rows, source->digest.uses.len, 1);
+    add_demand(sum, source->digest.uses.rows, source->digest.uses.len, 1);
     if (r)
-        add_asking(sum, r->uses, r->uses_len, -1);
+        add_demand(sum, r->uses, r->uses_len, -1);
     for (size_t i = 0; i < sum->len; i++)
         if (sum->rows[i].total < 0)
-            sum->rows[i].total = 0; /* asked here since that was told */
+            sum->rows[i].total = 0; /* own demand rose since that digest */
 }
 
 void rk_mesh_add_asking(const struct rk_mesh *m, struct rk_tally *sum)
@@ -198,5 +199,5 @@
     const struct rk_relay_report *r = m->n->report;
     rk_loads_peers_asking(m, sum, rk_mono_ms());
     if (r)
-        add_asking(sum, r->uses, r->uses_len, 1);
+        add_demand(sum, r->uses, r->uses_len, 1);
 }
--- a/node/members.c
+++ b/node/members.c
@@ -1,6 +1,6 @@
-/* The nodes that are known, who of them is heard, and who bridges each failure
- * domain: the nodes with the most processor time, by a hash among equals; one that
- * runs late gives way to an equal. */
+/* The known nodes, their reachability, and the election of each failure domain's
+ * bridges. The nodes with the largest processor share are elected, and among equals
+ * those with the lowest hash of their id. A slow node yields to equal ones. */
 #include <json-c/linkhash.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,16 +10,17 @@
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define FIRST_IDS 64
-#define HEARD_MS  900  /* a node silent for longer is not heard */
-#define TOLD_MS   2500 /* a bridge's word that it hears a node, the same */
-#define FAR_MS                                                                     \
-    6500 /* the same, of other domains: told to those who bridge none              \
-          */
-#define NEW_MS    1500 /* a node that was just learnt of is taken to live */
-#define FORGET_MS 15000
-#define MILLI     1000.0
-#define SLOW_PART 4
+#define INDEX_SIZE     64  /* initial size of the index by id */
+#define UNREACHABLE_MS 900 /* silence after which a node is unreachable */
+/* Age at which a bridge's report that it reaches a node expires: for a node of this
+ * domain, and for one of another domain, as those are reported more seldom to nodes
+ * that aren't bridges. */
+#define NEAR_REPORT_MS 2500
+#define FAR_REPORT_MS  6500
+#define GRACE_MS       1500  /* time for which a newly added node counts as alive */
+#define REMOVE_MS      15000 /* silence after which a member is removed */
+#define MILLI          1000.0
+#define SLOW_DIVISOR   4 /* divides the capacity of a slow node */
 
 size_t rk_mesh_count(const struct rk_mesh *m)
 {
@@ -28,22 +29,25 @@
 
 bool rk_mesh_is_heard(const struct member *k, int64_t now_ms)
 {
-    return k->heard_ms && now_ms - k->heard_ms < HEARD_MS;
+    return k->heard_ms && now_ms - k->heard_ms < UNREACHABLE_MS;
 }
 
-/* What a bridge told counts if it is younger than what was heard here. While no
- * bridge tells anything, its last word stands. */
+/* A bridge's report is used if it is more recent than this node's own observation.
+ * At a node that isn't a bridge its age is measured against the last member list,
+ * so that it doesn't expire while no bridge sends one. */
 bool rk_mesh_is_alive(const struct member *k, int64_t now_ms)
 {
     if (rk_mesh_is_heard(k, now_ms))
         return true;
-    if (!k->heard_ms && !k->told_ms)
-        return now_ms - k->known_ms < NEW_MS;
-    if (k->told_ms <= k->heard_ms + HEARD_MS)
+    if (!k->heard_ms && !k->reported_ms)
+        return now_ms - k->added_ms < GRACE_MS;
+    if (k->reported_ms <= k->heard_ms + UNREACHABLE_MS)
         return false;
     if (k->m->bridge)
-        return k->told_ms > now_ms - TOLD_MS;
-    return k->told_ms > k->m->fleet_ms - (rk_mesh_is_near(k) ? TOLD_MS : FAR_MS);
+        return k->reported_ms > now_ms - NEAR_REPORT_MS;
+    return k->reported_ms >
+           k->m->fleet_members_ms -
+               (rk_mesh_is_near(k) ? NEAR_REPORT_MS : FAR_REPORT_MS);
 }
 
 bool rk_mesh_is_near(const struct member *k)
@@ -58,7 +62,7 @@
     return k;
 }
 
-static void forget_id(struct member *k)
+static void clear_id(struct member *k)
 {
     if (k->id[0])
         lh_table_delete(k->m->by_id, k->id);
@@ -69,7 +73,7 @@
 {
     if (!id[0] || !strcmp(k->id, id))
         return;
-    forget_id(k);
+    clear_id(k);
     rk_strcpy(k->id, sizeof(k->id), id);
     k->hash = rk_hash_str(0, id);
     lh_table_insert(k->m->by_id, k->id, k);
@@ -88,7 +92,7 @@
 {
     struct member *k = rk_alloc(1, sizeof(*k));
     k->m = m;
-    k->known_ms = rk_mono_ms();
+    k->added_ms = rk_mono_ms();
     set_id(k, id);
     rk_strcpy(k->addr, sizeof(k->addr), addr);
     k->next = m->members;
@@ -99,15 +103,16 @@
 
 bool rk_mesh_hears_life(struct member *k, uint64_t incarnation)
 {
-    size_t kept = k->ended_len < ENDED_LIVES ? k->ended_len : ENDED_LIVES;
-    if (k->life == incarnation)
+    size_t len = k->past_len < PAST_INCARNATIONS ? k->past_len : PAST_INCARNATIONS;
+    if (k->last_incarnation == incarnation)
         return true;
-    for (size_t i = 0; i < kept; i++)
-        if (k->ended[i] == incarnation)
+    for (size_t i = 0; i < len; i++)
+        if (k->past_incarnations[i] == incarnation)
             return false;
-    if (k->life)
-        k->ended[k->ended_len++ % ENDED_LIVES] = k->life;
-    k->life = incarnation;
+    if (k->last_incarnation)
+        k->past_incarnations[k->past_len++ % PAST_INCARNATIONS] =
+            k->last_incarnation;
+    k->last_incarnation = incarnation;
     return true;
 }
 
@@ -120,7 +125,7 @@
     k->m->contacts = k;
 }
 
-static void drop_contact(struct member *k)
+static void remove_contact(struct member *k)
 {
     struct member **at = &k->m->contacts;
     while (*at && *at != k)
@@ -131,23 +136,23 @@
 
 static void free_member(struct member *k)
 {
-    if (k->m->catch_up == k)
-        k->m->catch_up = NULL;
-    drop_contact(k);
+    if (k->m->catch_up_source == k)
+        k->m->catch_up_source = NULL;
+    remove_contact(k);
     k->m->members_len--;
-    forget_id(k);
+    clear_id(k);
     rk_link_destroy(k->link);
     free(k->loads);
     rk_org_uses_free(&k->uses);
     free(k->services);
-    free(k->trials);
+    free(k->canary_stats);
     rk_digest_free(&k->digest);
     free(k);
 }
 
 void rk_mesh_init_members(struct rk_mesh *m)
 {
-    m->by_id = lh_kchar_table_new(FIRST_IDS, NULL);
+    m->by_id = lh_kchar_table_new(INDEX_SIZE, NULL);
 }
 
 void rk_mesh_free_members(struct rk_mesh *m)
@@ -172,7 +177,7 @@
         rk_strcpy(k->addr, sizeof(k->addr), addr);
         rk_link_destroy(k->link);
         k->link = NULL;
-        k->told = (struct link_told){0};
+        k->told = (struct link_state){0};
     }
     return k;
 }
@@ -182,7 +187,7 @@
     return !strcmp(id, m->n->file.id) || !strcmp(addr, rk_mesh_addr(m));
 }
 
-static int count_heard(const struct rk_mesh *m, int64_t now_ms)
+static int count_reachable(const struct rk_mesh *m, int64_t now_ms)
 {
     int count = 1;
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
@@ -198,10 +203,11 @@
 {
     int64_t now_ms = rk_mono_ms();
     const struct member *source = rk_digest_of_fleet(m, now_ms);
-    return source ? source->digest.nodes_heard : count_heard(m, now_ms);
+    return source ? source->digest.nodes_heard : count_reachable(m, now_ms);
 }
 
-/* A node that said that it leaves is gone once it is silent. */
+/* Returns whether a member counts as a node of the fleet. One in a planned stop
+ * counts until it is unreachable. */
 static bool is_of_fleet(const struct member *k, int64_t now_ms)
 {
     return k->id[0] && !k->unproven && (!k->leaving || rk_mesh_is_alive(k, now_ms));
@@ -215,7 +221,7 @@
     return count;
 }
 
-int rk_mesh_told_total(const struct rk_mesh *m)
+int rk_mesh_reported_total(const struct rk_mesh *m)
 {
     const struct member *source = rk_digest_of_fleet(m, rk_mono_ms());
     return source ? source->digest.nodes_total : 0;
@@ -240,36 +246,38 @@
     return m->listed || count > RK_UNKNOWN_NODES ? count : RK_UNKNOWN_NODES;
 }
 
-/* Does this node hear a member itself, where all is well? Of the others it hears by
- * bridges, whose logs tell who came and went. */
-static bool is_own_peer(const struct member *k)
+/* Returns whether this node normally gets messages from the member itself. The
+ * changes of other members are logged by bridges. */
+static bool is_direct_peer(const struct member *k)
 {
     const struct rk_mesh *m = k->m;
-    if (rk_mesh_count(m) < RK_MESH_DIRECT) /* also before the first election */
+    if (rk_mesh_count(m) < RK_MESH_DIRECT) /* m->direct may not be elected yet */
         return true;
     return rk_mesh_is_near(k) ? m->bridge || k->bridge : m->bridge && k->bridge;
 }
 
 static void log_peer(const struct member *k, const char *event)
 {
-    if (is_own_peer(k))
+    if (is_direct_peer(k))
         RK_EVENT(event, RK_S("peer", k->id), RK_S("addr", k->addr),
                  RK_S("domain", k->domain), RK_N("leaving", k->leaving));
 }
 
-void rk_mesh_review(struct rk_mesh *m, int64_t now_ms)
+void rk_mesh_expire_members(struct rk_mesh *m, int64_t now_ms)
 {
     for (struct member **at = &m->members; *at;) {
         struct member *k = *at;
-        bool heard = (k->heard_ms || k->told_ms) && rk_mesh_is_alive(k, now_ms);
-        if (heard != k->heard) {
-            k->heard = heard;
-            log_peer(k, heard ? "peer.heard" : "peer.silent");
+        bool reachable =
+            (k->heard_ms || k->reported_ms) && rk_mesh_is_alive(k, now_ms);
+        if (reachable != k->was_reachable) {
+            k->was_reachable = reachable;
+            log_peer(k, reachable ? "peer.heard" : "peer.silent");
         }
-        int64_t since = k->heard_ms > k->told_ms ? k->heard_ms : k->told_ms;
-        if (k->known_ms > since)
-            since = k->known_ms;
-        if (now_ms - since < FORGET_MS) {
+        int64_t last_ms =
+            k->heard_ms > k->reported_ms ? k->heard_ms : k->reported_ms;
+        if (k->added_ms > last_ms)
+            last_ms = k->added_ms;
+        if (now_ms - last_ms < REMOVE_MS) {
             at = &k->next;
             continue;
         }
@@ -280,25 +288,25 @@
     }
 }
 
-/* ---- who bridges a domain ---- */
+/* ---- election of bridges ---- */
 
 struct candidate {
     int64_t capacity;
     uint64_t hash;
 };
 
-/* The first nodes of a domain. */
-struct first {
+/* The bridges of a domain, in order of precedence. */
+struct bridges {
     char domain[RK_ID_MAX];
     struct candidate nodes[RK_MESH_BRIDGES];
     size_t len;
 };
 
-/* One that runs late counts for a part of its machine, and not for less: where the
- * large machines of a domain run late, small ones would only do worse. */
-static struct candidate candidate(int64_t capacity, bool slow, uint64_t hash)
+/* A slow node counts with a part of its capacity, but not with none: if the large
+ * machines of a domain are slow, much smaller ones would only do worse. */
+static struct candidate candidate_of(int64_t capacity, bool slow, uint64_t hash)
 {
-    return (struct candidate){.capacity = slow ? capacity / SLOW_PART : capacity,
+    return (struct candidate){.capacity = slow ? capacity / SLOW_DIVISOR : capacity,
                               .hash = hash};
 }
 
@@ -309,39 +317,40 @@
     return a.hash < b.hash;
 }
 
-static void offer(struct first *f, struct candidate c)
+static void insert_candidate(struct bridges *b, struct candidate c)
 {
-    size_t at = f->len;
-    while (at > 0 && precedes(c, f->nodes[at - 1]))
+    size_t at = b->len;
+    while (at > 0 && precedes(c, b->nodes[at - 1]))
         at--;
     if (at == RK_MESH_BRIDGES)
         return;
-    if (f->len < RK_MESH_BRIDGES)
-        f->len++;
-    memmove(&f->nodes[at + 1], &f->nodes[at],
-            (f->len - 1 - at) * sizeof(f->nodes[0]));
-    f->nodes[at] = c;
+    if (b->len < RK_MESH_BRIDGES)
+        b->len++;
+    memmove(&b->nodes[at + 1], &b->nodes[at],
+            (b->len - 1 - at) * sizeof(b->nodes[0]));
+    b->nodes[at] = c;
 }
 
-static bool is_first(const struct first *f, uint64_t hash)
+static bool is_elected(const struct bridges *b, uint64_t hash)
 {
-    for (size_t i = 0; i < f->len; i++)
-        if (f->nodes[i].hash == hash)
+    for (size_t i = 0; i < b->len; i++)
+        if (b->nodes[i].hash == hash)
             return true;
     return false;
 }
 
-static struct first *first_of(struct first *all, size_t *len, const char *domain)
+static struct bridges *bridges_of(struct bridges *all, size_t *len,
+                                  const char *domain)
 {
     for (size_t i = 0; i < *len; i++)
         if (!strcmp(all[i].domain, domain))
             return &all[i];
     if (*len == RK_DOMAIN_PRICES)
         return NULL;
-    struct first *f = &all[(*len)++];
-    *f = (struct first){0};
-    rk_strcpy(f->domain, sizeof(f->domain), domain);
-    return f;
+    struct bridges *b = &all[(*len)++];
+    *b = (struct bridges){0};
+    rk_strcpy(b->domain, sizeof(b->domain), domain);
+    return b;
 }
 
 static bool may_bridge(const struct member *k, int64_t now_ms)
@@ -357,48 +366,48 @@
 void rk_mesh_elect(struct rk_mesh *m, int64_t now_ms)
 {
     const struct candidate self =
-        candidate(rk_mesh_capacity(m), m->slow, rk_hash_str(0, m->n->file.id));
-    struct first all[RK_DOMAIN_PRICES];
+        candidate_of(rk_mesh_capacity(m), m->slow, rk_hash_str(0, m->n->file.id));
+    struct bridges all[RK_DOMAIN_PRICES];
     size_t len = 0;
-    struct first *f = first_of(all, &len, m->n->file.failure_domain);
+    struct bridges *b = bridges_of(all, &len, m->n->file.failure_domain);
     bool was_direct = m->direct;
     m->direct = rk_mesh_count(m) < RK_MESH_DIRECT;
     m->total = count_total(m, now_ms);
-    m->preceded = 0;
-    m->served = false;
+    m->rank = 0;
+    m->has_store_watch = false;
     if (!m->n->leaving)
-        offer(f, self);
+        insert_candidate(b, self);
     for (struct member *k = m->members; k; k = k->next) {
-        const struct candidate c = candidate(k->capacity, k->slow, k->hash);
+        const struct candidate c = candidate_of(k->capacity, k->slow, k->hash);
         if (!may_bridge(k, now_ms))
             continue;
-        if ((f = first_of(all, &len, k->domain)))
-            offer(f, c);
+        if ((b = bridges_of(all, &len, k->domain)))
+            insert_candidate(b, c);
         if (!rk_mesh_is_near(k) || !precedes(c, self))
             continue;
-        m->preceded++;
-        m->served = m->served || k->hears_store;
+        m->rank++;
+        m->has_store_watch = m->has_store_watch || k->hears_store;
     }
     for (struct member *k = m->members; k; k = k->next) {
-        f = may_bridge(k, now_ms) ? first_of(all, &len, k->domain) : NULL;
-        k->bridge = !m->direct && f && is_first(f, k->hash);
+        b = may_bridge(k, now_ms) ? bridges_of(all, &len, k->domain) : NULL;
+        k->bridge = !m->direct && b && is_elected(b, k->hash);
     }
-    bool bridge = !m->direct && is_first(&all[0], self.hash);
+    bool bridge = !m->direct && is_elected(&all[0], self.hash);
     if ((bridge && !m->bridge) || (m->direct && !was_direct))
-        rk_digest_begin(m);
+        rk_digest_start_counting(m);
     if (bridge != m->bridge)
-        RK_EVENT("mesh.bridge", RK_N("on", bridge), RK_N("preceded", m->preceded));
+        RK_EVENT("mesh.bridge", RK_N("on", bridge), RK_N("preceded", m->rank));
     m->bridge = bridge;
 }
 
 int rk_mesh_rank(const struct rk_mesh *m)
 {
-    return m->direct || (m->bridge && !m->preceded) ? -1 : m->preceded;
+    return m->direct || (m->bridge && !m->rank) ? -1 : m->rank;
 }
 
 bool rk_mesh_is_served(const struct rk_mesh *m)
 {
-    return m->served;
+    return m->has_store_watch;
 }
 
 bool rk_mesh_is_listed(const struct rk_mesh *m)
@@ -424,7 +433,8 @@
 bool rk_mesh_hears(const struct rk_mesh *m, const char *id)
 {
     const struct member *k = id[0] ? rk_mesh_find(m, id) : NULL;
-    return k && (k->heard_ms || k->told_ms) && rk_mesh_is_alive(k, rk_mono_ms());
+    return k && (k->heard_ms || k->reported_ms) &&
+           rk_mesh_is_alive(k, rk_mono_ms());
 }
 
 bool rk_mesh_is_first(const struct rk_mesh *m)
--- a/node/mesh.c
+++ b/node/mesh.c
@@ -1,8 +1,8 @@
-/* Links to the other nodes and who is told what. Each node tells a report a few
- * times a second: its heartbeat, what it has in hand, what it used of quotas, what
- * it knows of the store. In a small fleet each tells each; in a larger one each
- * tells the bridges of its failure domain, who tell digests on. Whoever knows less
- * of the store asks for it. */
+/* Links to the other nodes, and the dispatch of messages. Each node sends a report
+ * a few times a second: a heartbeat with its calls in flight, its quota usage, and
+ * its versions of the store's data. In a small fleet each node reports to each. In
+ * a larger one each reports to the bridges of its failure domain, and these
+ * exchange digests. A node with older data requests the newer from the sender. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,26 +12,35 @@
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define REPORT_MS      250
-#define BRIDGED_LAG_MS 450 /* age of what bridges tell of other nodes */
-#define RELAY_SOON_MS  20  /* after a peer's report: for those that come together */
-#define RELAY_PACE_MS  100 /* the same at a bridge: reports come each few ms */
-#define REPORT_SOON_MS 5   /* after news of the store */
-#define DIAL_MS        500 /* between tries to reach a node */
-#define CONNECT_MS     1000
-#define UNWANTED_MS    5000 /* a link that nobody needs is kept for so long */
-#define ASK_AGAIN_MS   300
-#define LATE_SHARE     0.4 /* weight of a tick: slow after half a second of it */
-/* Ticks come a few ms late; a node that runs at a fifth of its speed is behind by
- * all it does in between. Digests that are so much later are half as old again. */
-#define LATE_MS      100.0
-#define LATE_OVER_MS 30.0 /* it isn't slow any more */
-
-/* ---- reports out ---- */
+#define REPORT_MS 250 /* between reports, and between ticks */
+#define BRIDGED_LAG_MS                                                             \
+    450 /* mean age of other nodes' data that comes by bridges                     \
+         */
+/* Delay of the relay's update after a peer's report, to combine reports that arrive
+ * together. It is longer at a bridge, which gets a report every few ms. */
+#define RELAY_DELAY_MS        20
+#define BRIDGE_RELAY_DELAY_MS 100
+#define REPORT_DELAY_MS       5   /* after newer data came from the store */
+#define RECONNECT_MS          500 /* between attempts to connect to a node */
+#define CONNECT_TIMEOUT_MS    1000
+#define IDLE_LINK_MS          5000 /* for which an unneeded link is kept */
+#define LIST_REQUEST_RETRY_MS 300
+/* Weight of a tick in the smoothed delay: a node is slow after half a second of
+ * late ticks. */
+#define LATENESS_WEIGHT 0.4
+/* Delays of ticks above which a node becomes slow, and below which it stops being
+ * so. Usually ticks are a few ms late; at a node that runs at a fifth of its speed,
+ * they are late by all its work between two ticks. A delay of 100 ms makes digests
+ * half as old again. */
+#define SLOW_ABOVE_MS 100.0
+#define SLOW_BELOW_MS 30.0
+
+/* ---- sending ---- */
 
 bool rk_mesh_takes(const struct rk_link *link)
 {
-    return link && rk_link_was_up(link) && rk_link_unsent(link) < RK_MESH_BEHIND;
+    return link && rk_link_was_up(link) &&
+           rk_link_unsent(link) < RK_MESH_UNSENT_MAX;
 }
 
 bool rk_mesh_is_told(const struct member *k)
@@ -55,7 +64,7 @@
     rk_packed_frame_free(&packed);
 }
 
-bool rk_mesh_passes_on(const struct member *k, const void *ctx)
+bool rk_mesh_forwards_to(const struct member *k, const void *ctx)
 {
     const struct rk_mesh *m = k->m;
     (void)ctx;
@@ -70,10 +79,10 @@
     return rk_mesh_is_told(k);
 }
 
-static void tell(struct rk_mesh *m)
+static void send_report(struct rk_mesh *m)
 {
     struct rk_report p;
-    m->told_ms = rk_mono_ms();
+    m->report_sent_ms = rk_mono_ms();
     rk_report_fill(&p, m);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_NODE_REPORT;
@@ -83,20 +92,20 @@
     rk_report_free(&p);
 }
 
-static void on_soon(void *ctx)
+static void on_report_timer(void *ctx)
 {
-    tell(ctx);
+    send_report(ctx);
 }
 
 void rk_mesh_report(struct rk_mesh *m)
 {
-    if (!m->soon.slot)
-        rk_timer_start(m->n->loop, &m->soon, REPORT_SOON_MS);
+    if (!m->report_timer.slot)
+        rk_timer_start(m->n->loop, &m->report_timer, REPORT_DELAY_MS);
 }
 
-/* ---- changes of the list ---- */
+/* ---- VM list changes and requests ---- */
 
-static bool wants_change(const struct member *k, const void *ctx)
+static bool wants_list_change(const struct member *k, const void *ctx)
 {
     const bool *from_store = ctx;
     return rk_mesh_is_near(k) || (*from_store && k->bridge);
@@ -110,54 +119,55 @@
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_STORE_TEXT;
     frame.store_text = (Rillknot__StoreText *)text;
-    rk_mesh_send(m, &frame, wants_change, &from_store);
+    rk_mesh_send(m, &frame, wants_list_change, &from_store);
 }
 
-void rk_mesh_ask_if_behind(struct rk_mesh *m, struct rk_link *link,
-                           const struct link_told *told, int64_t settings_version,
-                           int64_t list_revision)
+void rk_mesh_request_if_behind(struct rk_mesh *m, struct rk_link *link,
+                               const struct link_state *state,
+                               int64_t settings_version, int64_t list_revision)
 {
-    Rillknot__StoreWanted w = RILLKNOT__STORE_WANTED__INIT;
+    Rillknot__StoreWanted request = RILLKNOT__STORE_WANTED__INIT;
     int64_t now_ms = rk_mono_ms();
-    w.settings = rk_tell_should_ask(m, told, settings_version, now_ms);
-    w.list = list_revision > rk_sync_list_revision(m->n->sync) &&
-             now_ms - m->asked_ms >= ASK_AGAIN_MS;
-    w.list_since = rk_sync_list_revision(m->n->sync);
-    if (!w.settings && !w.list)
+    request.settings =
+        rk_transfer_should_request(m, state, settings_version, now_ms);
+    request.list = list_revision > rk_sync_list_revision(m->n->sync) &&
+                   now_ms - m->list_requested_ms >= LIST_REQUEST_RETRY_MS;
+    request.list_since = rk_sync_list_revision(m->n->sync);
+    if (!request.settings && !request.list)
         return;
-    if (w.list)
-        m->asked_ms = now_ms;
+    if (request.list)
+        m->list_requested_ms = now_ms;
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_STORE_WANTED;
-    frame.store_wanted = &w;
+    frame.store_wanted = &request;
     rk_link_send(link, &frame);
 }
 
-static void answer_wanted(struct rk_mesh *m, struct rk_link *link,
-                          struct link_told *told,
-                          const Rillknot__StoreWanted *wanted)
+static void handle_request(struct rk_mesh *m, struct rk_link *link,
+                           struct link_state *state,
+                           const Rillknot__StoreWanted *request)
 {
-    if (wanted->settings)
-        rk_tell_wanted(m, told);
-    if (wanted->uses) {
+    if (request->settings)
+        rk_transfer_on_settings_request(m, state);
+    if (request->uses) {
         m->uses_wanted = true;
-        m->known_wanted = m->known_wanted || wanted->known;
+        m->known_wanted = m->known_wanted || request->known;
         rk_mesh_report(m);
     }
-    if (wanted->list)
-        rk_tell_list_wanted(m, link, told, wanted->list_since);
+    if (request->list)
+        rk_transfer_on_list_request(m, link, state, request->list_since);
 }
 
-/* ---- frames in ---- */
+/* ---- receiving ---- */
 
-static void relay_soon(struct rk_mesh *m)
+static void schedule_relay_update(struct rk_mesh *m)
 {
-    if (!m->relay_soon.slot)
-        rk_timer_start(m->n->loop, &m->relay_soon,
-                       m->bridge ? RELAY_PACE_MS : RELAY_SOON_MS);
+    if (!m->relay_timer.slot)
+        rk_timer_start(m->n->loop, &m->relay_timer,
+                       m->bridge ? BRIDGE_RELAY_DELAY_MS : RELAY_DELAY_MS);
 }
 
-static void take_lease(struct rk_mesh *m, const Rillknot__LeaseRow *lease)
+static void receive_lease(struct rk_mesh *m, const Rillknot__LeaseRow *lease)
 {
     if (lease)
         rk_duty_keeper_seen(m->n->duty_keeper, lease->version, lease->value);
@@ -165,17 +175,17 @@
 
 void rk_mesh_want_uses(struct rk_link *link, bool known)
 {
-    Rillknot__StoreWanted w = RILLKNOT__STORE_WANTED__INIT;
+    Rillknot__StoreWanted request = RILLKNOT__STORE_WANTED__INIT;
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
-    w.uses = true;
-    w.known = known;
+    request.uses = true;
+    request.known = known;
     frame.body_case = RILLKNOT__FRAME__BODY_STORE_WANTED;
-    frame.store_wanted = &w;
+    frame.store_wanted = &request;
     rk_link_send(link, &frame);
 }
 
-static void take_report(struct rk_mesh *m, struct rk_link *link,
-                        struct link_told *told, const Rillknot__NodeReport *r)
+static void receive_report(struct rk_mesh *m, struct rk_link *link,
+                           struct link_state *state, const Rillknot__NodeReport *r)
 {
     if (rk_mesh_is_self(m, r->id, r->addr))
         return;
@@ -184,25 +194,27 @@
         return;
     k->settings_version = r->settings_version;
     if (r->settings_version < rk_sync_version(m->n->sync))
-        rk_tell_soon(m);
+        rk_transfer_schedule(m);
     rk_sync_confirm(m->n->sync, r->store_age_ms, r->settings_version,
                     r->list_revision);
     if (rk_report_counts(k))
-        relay_soon(m);
-    take_lease(m, r->lease);
+        schedule_relay_update(m);
+    receive_lease(m, r->lease);
     for (size_t i = 0; i < r->n_peers; i++)
         if (!rk_mesh_is_self(m, "", r->peers[i]) &&
             !rk_mesh_find_addr(m, r->peers[i]))
             rk_mesh_learn(m, "", r->peers[i]);
     if (!m->direct && !r->settings_version)
-        rk_digest_answer(m, link, told);
+        rk_digest_send_members(m, link, state);
     if (rk_report_lacks_uses(k, rk_mono_ms()))
         rk_mesh_want_uses(link, false);
-    rk_mesh_ask_if_behind(m, link, told, r->settings_version, r->list_revision);
+    rk_mesh_request_if_behind(m, link, state, r->settings_version,
+                              r->list_revision);
 }
 
-static void take_digest(struct rk_mesh *m, struct rk_link *link,
-                        const struct link_told *told, const Rillknot__Digest *d)
+static void receive_digest(struct rk_mesh *m, struct rk_link *link,
+                           const struct link_state *state,
+                           const Rillknot__Digest *d)
 {
     if (rk_mesh_is_self(m, d->id, d->addr))
         return;
@@ -210,46 +222,47 @@
     if (!rk_mesh_hears_life(k, d->incarnation))
         return;
     if (rk_digest_take(k, d))
-        relay_soon(m);
+        schedule_relay_update(m);
     rk_sync_confirm(m->n->sync, d->store_age_ms, d->settings_version,
                     d->list_revision);
-    take_lease(m, d->lease);
-    rk_mesh_ask_if_behind(m, link, told, d->settings_version, d->list_revision);
+    receive_lease(m, d->lease);
+    rk_mesh_request_if_behind(m, link, state, d->settings_version,
+                              d->list_revision);
 }
 
-static void take_frame(struct rk_mesh *m, struct rk_link *link,
-                       struct link_told *told, const Rillknot__Frame *frame)
+static void receive_frame(struct rk_mesh *m, struct rk_link *link,
+                          struct link_state *state, const Rillknot__Frame *frame)
 {
     switch (frame->body_case) {
     case RILLKNOT__FRAME__BODY_NODE_REPORT:
-        take_report(m, link, told, frame->node_report);
+        receive_report(m, link, state, frame->node_report);
         return;
     case RILLKNOT__FRAME__BODY_DIGEST:
-        take_digest(m, link, told, frame->digest);
+        receive_digest(m, link, state, frame->digest);
         return;
     case RILLKNOT__FRAME__BODY_USAGE_COUNTS:
         rk_usage_take(m->n, frame->usage_counts->rows, frame->usage_counts->n_rows);
         return;
     case RILLKNOT__FRAME__BODY_ROLLOUT_WORD:
-        rk_rollout_tell_take_word(m, frame->rollout_word);
+        rk_rollout_receive_announcement(m, frame->rollout_word);
         return;
     case RILLKNOT__FRAME__BODY_ROLLOUT_SEEN:
-        rk_rollout_tell_take_seen(m, frame->rollout_seen);
+        rk_rollout_receive_stats(m, frame->rollout_seen);
         return;
     case RILLKNOT__FRAME__BODY_QUARANTINE:
-        rk_quarantine_take(m, frame->quarantine);
+        rk_quarantine_receive(m, frame->quarantine);
         return;
     case RILLKNOT__FRAME__BODY_VM_SIGNALS:
-        rk_signal_take(m, frame->vm_signals);
+        rk_signal_receive(m, frame->vm_signals);
         return;
     case RILLKNOT__FRAME__BODY_STORE_WANTED:
-        answer_wanted(m, link, told, frame->store_wanted);
+        handle_request(m, link, state, frame->store_wanted);
         return;
     case RILLKNOT__FRAME__BODY_STORE_TEXT:
         rk_sync_take(m->n->sync, frame->store_text);
         return;
     default:
-        return; /* of another kind of deployment */
+        return; /* used only by another kind of deployment */
     }
 }
 
@@ -259,7 +272,7 @@
                             const Rillknot__Frame *frame)
 {
     struct member *k = ctx;
-    take_frame(k->m, link, &k->told, frame);
+    receive_frame(k->m, link, &k->told, frame);
 }
 
 static void on_member_down(void *ctx, struct rk_link *link)
@@ -267,7 +280,7 @@
     struct member *k = ctx;
     rk_link_destroy(link);
     k->link = NULL;
-    k->told = (struct link_told){0};
+    k->told = (struct link_state){0};
 }
 
 static void on_member_up(void *ctx, struct rk_link *link)
@@ -280,37 +293,37 @@
 static const struct rk_link_ops member_ops = {
     .on_frame = on_member_frame, .on_up = on_member_up, .on_down = on_member_down};
 
-static void on_guest_frame(void *ctx, struct rk_link *link,
-                           const Rillknot__Frame *frame)
+static void on_inbound_frame(void *ctx, struct rk_link *link,
+                             const Rillknot__Frame *frame)
 {
-    struct guest *g = ctx;
-    take_frame(g->m, link, &g->told, frame);
+    struct inbound_link *in = ctx;
+    receive_frame(in->m, link, &in->state, frame);
 }
 
-static void on_guest_down(void *ctx, struct rk_link *link)
+static void on_inbound_down(void *ctx, struct rk_link *link)
 {
-    struct guest *g = ctx;
-    struct guest **at = &g->m->guests;
-    while (*at != g)
+    struct inbound_link *in = ctx;
+    struct inbound_link **at = &in->m->inbound;
+    while (*at != in)
         at = &(*at)->next;
-    *at = g->next;
+    *at = in->next;
     rk_link_destroy(link);
-    free(g);
+    free(in);
 }
 
-static const struct rk_link_ops guest_ops = {.on_frame = on_guest_frame,
-                                             .on_down = on_guest_down};
+static const struct rk_link_ops inbound_ops = {.on_frame = on_inbound_frame,
+                                               .on_down = on_inbound_down};
 
 static void on_accept(void *ctx, struct rk_link *link)
 {
     struct rk_mesh *m = ctx;
-    struct guest *g = rk_alloc(1, sizeof(*g));
-    *g = (struct guest){.m = m, .link = link, .next = m->guests};
-    m->guests = g;
-    rk_link_set_ctx(link, g);
+    struct inbound_link *in = rk_alloc(1, sizeof(*in));
+    *in = (struct inbound_link){.m = m, .link = link, .next = m->inbound};
+    m->inbound = in;
+    rk_link_set_ctx(link, in);
 }
 
-/* Does this node have to reach a member? */
+/* Returns whether this node needs a link to a member. */
 static bool is_needed(const struct member *k)
 {
     const struct rk_mesh *m = k->m;
@@ -319,43 +332,43 @@
     return m->bridge && (rk_mesh_is_near(k) || k->bridge || !k->domain[0]);
 }
 
-static void hang_up(struct member *k)
+static void close_link(struct member *k)
 {
     rk_link_destroy(k->link);
     k->link = NULL;
-    k->told = (struct link_told){0};
+    k->told = (struct link_state){0};
 }
 
-/* Keep a link to each member that has to be reached. */
 void rk_mesh_dial(struct rk_mesh *m, int64_t now_ms)
 {
     for (struct member *k = m->members; k; k = k->next) {
         if (is_needed(k))
-            k->wanted_ms = now_ms;
-        bool wanted = k->wanted_ms && now_ms - k->wanted_ms < UNWANTED_MS;
-        bool stuck = k->link && !rk_link_was_up(k->link) &&
-                     now_ms - k->dialled_ms > CONNECT_MS;
-        if (k->link && (stuck || !wanted))
-            hang_up(k);
-        if (k->link || !wanted ||
-            (k->dialled_ms && now_ms - k->dialled_ms < DIAL_MS))
+            k->needed_ms = now_ms;
+        bool needed = k->needed_ms && now_ms - k->needed_ms < IDLE_LINK_MS;
+        bool timed_out = k->link && !rk_link_was_up(k->link) &&
+                         now_ms - k->connect_started_ms > CONNECT_TIMEOUT_MS;
+        if (k->link && (timed_out || !needed))
+            close_link(k);
+        if (k->link || !needed ||
+            (k->connect_started_ms &&
+             now_ms - k->connect_started_ms < RECONNECT_MS))
             continue;
-        k->dialled_ms = now_ms;
+        k->connect_started_ms = now_ms;
         rk_mesh_meet(k);
         k->link = rk_link_connect(m->n->loop, k->addr, &member_ops, k);
     }
 }
 
-/* ---- the relay's view of the peers ---- */
+/* ---- updates of the relay ---- */
 
 void rk_mesh_add_news(struct rk_mesh *m, const char *org, double units)
 {
     if (units == 0)
         return;
     m->news = rk_realloc(m->news, (m->news_len + 1) * sizeof(*m->news));
-    struct rk_org_use *news = &m->news[m->news_len++];
-    *news = (struct rk_org_use){.units = units};
-    rk_strcpy(news->org, sizeof(news->org), org);
+    struct rk_org_use *use = &m->news[m->news_len++];
+    *use = (struct rk_org_use){.units = units};
+    rk_strcpy(use->org, sizeof(use->org), org);
 }
 
 struct rk_service_use rk_mesh_service_use(const struct rk_mesh *m,
@@ -365,17 +378,19 @@
     struct rk_service_use sum = {.read_tokens =
                                      rk_tally_total(&m->peer_reads, service)};
     rk_strcpy(sum.service, sizeof(sum.service), service);
-    struct rk_in_hand peers = rk_loads_in_hand(m, service, now_ms);
+    struct rk_in_flight peers = rk_loads_in_flight(m, service, now_ms);
     sum.running = peers.running;
     sum.begun = peers.begun;
     sum.engine = rk_engines_of(m, service, true);
     return sum;
 }
 
-/* What the peer with the longest memory knows of quotas. */
-static void fill_known(struct rk_mesh *m, struct rk_relay_peers *p, int64_t now_ms)
+/* Fills in the longest quota history of a peer. After a time without a counted
+ * digest that of the new source is taken, whatever its length. */
+static void fill_quota_history(struct rk_mesh *m, struct rk_relay_peers *p,
+                               int64_t now_ms)
 {
-    p->catch_up = m->catch_up != NULL;
+    p->catch_up = m->catch_up_source != NULL;
     const struct rk_org_use *uses = NULL;
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
         if (!k->knows || !rk_mesh_is_heard(k, now_ms) ||
@@ -386,21 +401,22 @@
         uses = k->uses.rows;
     }
     const struct member *source =
-        m->catch_up ? m->catch_up : rk_digest_of_fleet(m, now_ms);
-    if (source &&
-        (m->catch_up || !uses || source->digest.remembers_ms > p->remembers_ms)) {
+        m->catch_up_source ? m->catch_up_source : rk_digest_of_fleet(m, now_ms);
+    if (source && (m->catch_up_source || !uses ||
+                   source->digest.remembers_ms > p->remembers_ms)) {
         p->remembers_ms = source->digest.remembers_ms;
         p->known_len = source->digest.uses.len;
         uses = source->digest.uses.rows;
     }
     p->known = rk_alloc(p->known_len + 1, sizeof(*p->known));
-    m->catch_up = NULL;
+    m->catch_up_source = NULL;
     if (uses && p->known_len)
         memcpy(p->known, uses, p->known_len * sizeof(*p->known));
 }
 
-/* Since a peer told something; -1: none did ever. */
-static int64_t silent_ms(const struct rk_mesh *m, int64_t now_ms)
+/* Returns the time in ms since the last report or digest of any peer; -1: there was
+ * none. */
+static int64_t since_received_ms(const struct rk_mesh *m, int64_t now_ms)
 {
     int64_t last_ms = 0;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
@@ -409,11 +425,11 @@
     return last_ms ? now_ms - last_ms : -1;
 }
 
-static void tell_relay(struct rk_mesh *m, int64_t now_ms)
+static void update_relay(struct rk_mesh *m, int64_t now_ms)
 {
     struct rk_relay_peers *p = rk_alloc(1, sizeof(*p));
     rk_loads_fill(m, p, now_ms);
-    fill_known(m, p, now_ms);
+    fill_quota_history(m, p, now_ms);
     rk_loads_peers_asking(m, &p->asking, now_ms);
     rk_engines_fill(m, p);
     p->uses = m->news;
@@ -423,18 +439,18 @@
     p->nodes_heard = rk_mesh_heard(m);
     p->nodes_total = rk_mesh_total(m);
     p->lag_ms = m->direct ? REPORT_MS : BRIDGED_LAG_MS;
-    p->silent_ms = silent_ms(m, now_ms);
+    p->silent_ms = since_received_ms(m, now_ms);
     rk_relay_set_peers(m->n->relay, p);
 }
 
-/* A node that gets little of its processor hears, sums and tells others late: it is
- * no bridge while others can be. */
-static void note_lateness(struct rk_mesh *m, int64_t now_ms)
+/* Updates whether this node is slow. A node that gets too little processor time
+ * receives, sums and sends late; others are preferred to it as bridges. */
+static void update_lateness(struct rk_mesh *m, int64_t now_ms)
 {
-    double late_ms = m->due_ms ? (double)(now_ms - m->due_ms) : 0;
-    m->due_ms = now_ms + REPORT_MS;
-    m->late_ms += LATE_SHARE * (late_ms - m->late_ms);
-    bool slow = m->late_ms > (m->slow ? LATE_OVER_MS : LATE_MS);
+    double late_ms = m->next_tick_ms ? (double)(now_ms - m->next_tick_ms) : 0;
+    m->next_tick_ms = now_ms + REPORT_MS;
+    m->late_ms += LATENESS_WEIGHT * (late_ms - m->late_ms);
+    bool slow = m->late_ms > (m->slow ? SLOW_BELOW_MS : SLOW_ABOVE_MS);
     if (slow != m->slow)
         RK_EVENT("node.slow", RK_N("on", slow),
                  RK_N("late_ms", (int64_t)m->late_ms));
@@ -446,30 +462,31 @@
     struct rk_mesh *m = ctx;
     int64_t now_ms = rk_mono_ms();
     rk_timer_start(m->n->loop, &m->tick, REPORT_MS);
-    note_lateness(m, now_ms);
+    update_lateness(m, now_ms);
     rk_log_flush();
-    rk_mesh_review(m, now_ms);
+    rk_mesh_expire_members(m, now_ms);
     rk_mesh_elect(m, now_ms);
     rk_mesh_dial(m, now_ms);
-    if (now_ms - m->told_ms >= REPORT_MS)
-        tell(m); /* else the relay's reports set the pace */
-    rk_digest_tell(m);
+    if (now_ms - m->report_sent_ms >= REPORT_MS)
+        send_report(
+            m); /* otherwise the relay's reports trigger them often enough */
+    rk_digest_send(m);
     rk_report_ask_known(m, now_ms);
-    rk_usage_tell_holder(m, now_ms);
-    rk_rollout_tell_seen(m, now_ms);
+    rk_usage_send_to_leader(m, now_ms);
+    rk_rollout_send_stats(m, now_ms);
     rk_quarantines_tick(m->n->quarantines);
-    rk_quarantine_tell(m, now_ms);
+    rk_quarantine_send(m, now_ms);
     rk_signals_tick(m->n->signals);
-    rk_signal_tell(m, now_ms);
-    tell_relay(m, now_ms);
+    rk_signal_send(m, now_ms);
+    update_relay(m, now_ms);
 }
 
-static void on_relay_soon(void *ctx)
+static void on_relay_timer(void *ctx)
 {
-    tell_relay(ctx, rk_mono_ms());
+    update_relay(ctx, rk_mono_ms());
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 struct rk_mesh *rk_mesh_create(struct rk_node *n)
 {
@@ -477,13 +494,13 @@
     m->n = n;
     m->direct = true;
     m->tick = (struct rk_timer){.fn = on_tick, .ctx = m};
-    m->relay_soon = (struct rk_timer){.fn = on_relay_soon, .ctx = m};
-    m->soon = (struct rk_timer){.fn = on_soon, .ctx = m};
+    m->relay_timer = (struct rk_timer){.fn = on_relay_timer, .ctx = m};
+    m->report_timer = (struct rk_timer){.fn = on_report_timer, .ctx = m};
     rk_mesh_init_members(m);
     rk_enrol_init(m);
-    rk_tell_init(m);
+    rk_transfer_init(m);
     m->listener = rk_listener_create(n->loop, n->file.control_listen, false,
-                                     &guest_ops, on_accept, m);
+                                     &inbound_ops, on_accept, m);
     if (m->listener)
         return m;
     rk_mesh_free_members(m);
@@ -516,24 +533,25 @@
 void rk_mesh_destroy(struct rk_mesh *m)
 {
     rk_timer_stop(m->n->loop, &m->tick);
-    rk_timer_stop(m->n->loop, &m->soon);
-    rk_timer_stop(m->n->loop, &m->relay_soon);
+    rk_timer_stop(m->n->loop, &m->report_timer);
+    rk_timer_stop(m->n->loop, &m->relay_timer);
     rk_timer_stop(m->n->loop, &m->enrol);
-    rk_timer_stop(m->n->loop, &m->tell);
+    rk_timer_stop(m->n->loop, &m->transfer_timer);
     rk_mesh_free_members(m);
-    while (m->guests) {
-        struct guest *g = m->guests;
-        m->guests = g->next;
-        rk_link_destroy(g->link);
-        free(g);
+    while (m->inbound) {
+        struct inbound_link *in = m->inbound;
+        m->inbound = in->next;
+        rk_link_destroy(in->link);
+        free(in);
     }
     rk_listener_destroy(m->listener);
-    struct rk_tally *const tallies[] = {
-        &m->peer_reads,  &m->domain_uses, &m->fleet_uses, &m->domain_reads,
-        &m->fleet_reads, &m->own_uses,    &m->own_reads,  &m->based_uses,
-        &m->based_reads, &m->uses_told};
-    for (size_t i = 0; i < RK_ARRAY_LEN(tallies); i++)
-        rk_tally_free(tallies[i]);
+    struct rk_tally *const all[] = {&m->peer_reads,     &m->domain_uses,
+                                    &m->fleet_uses,     &m->domain_reads,
+                                    &m->fleet_reads,    &m->included_uses,
+                                    &m->included_reads, &m->baseline_uses,
+                                    &m->baseline_reads, &m->uses_told};
+    for (size_t i = 0; i < RK_ARRAY_LEN(all); i++)
+        rk_tally_free(all[i]);
     free(m->news);
     free(m);
 }
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -1,8 +1,10 @@
-/* State of the mesh, shared by its files: members.c (the nodes that are known, who
- * bridges), mesh.c (links, who is told what), report.c and report_uses.c
- * (what nodes tell of themselves), tell.c (settings to those who lack them),
- * digest.c and digest_tell.c (what bridges tell of several nodes), loads.c (what
- * runs where) and enrol.c (the list of nodes in the store). Not for others. */
+/* Private state of the mesh, the links between this node and the other nodes, and
+ * the functions that its files share:
+ * members.c (known nodes, reachability, election of bridges), mesh.c (links and
+ * dispatch of messages), report.c and report_uses.c (each node's periodic report),
+ * digest.c and digest_tell.c (aggregates that bridges exchange), loads.c (load by
+ * VM), tell.c (transfer of settings and of the VM list), enrol.c (the store's list
+ * of nodes). No other files include it. */
 #ifndef RK_NODE_MESH_IMPL_H
 #define RK_NODE_MESH_IMPL_H
 
@@ -10,108 +12,119 @@
 #include "core/tally.h"
 #include "node/state.h"
 
-/* In a fleet of up to so many nodes each tells each; in a larger one the first
- * nodes of each failure domain are its bridges. */
+/* Up to this many nodes form a full mesh ("direct"): each reports to each. In a
+ * larger fleet each failure domain elects RK_MESH_BRIDGES of its nodes as bridges.
+ * A bridge collects the reports of its domain and exchanges digests of them with
+ * the bridges of the other domains. */
 #define RK_MESH_DIRECT  12
 #define RK_MESH_BRIDGES 2
 
-/* A peer that is so far behind is told no more for now: news come again, and what
- * it misses of the store it asks for. */
-#define RK_MESH_BEHIND (256 * 1024)
+/* In these files a node's quota history is what it knows of the use of quotas at
+ * all nodes within the quotas' window, by window slices. Quota usage is what one
+ * node itself, or a sum of nodes, used since its start. */
 
-/* Lives of a node that are remembered after it started again. */
-#define ENDED_LIVES 8
+/* A link with this many unsent bytes gets no further messages for now. Nothing is
+ * lost by that: reports repeat, and the peer requests what it misses of the store's
+ * data. */
+#define RK_MESH_UNSENT_MAX (256 * 1024)
+
+/* Number of a node's past incarnations that are kept. */
+#define PAST_INCARNATIONS 8
 
 struct lh_table;
 struct rk_link;
 struct rk_listener;
 
-/* The last digest of a node. */
+/* The last digest received from a node. */
 struct digest {
-    int64_t heard_ms; /* 0: none */
+    int64_t received_ms; /* 0: none was received */
     uint64_t incarnation;
-    bool is_told; /* more than that it is there */
-    bool fleet;
-    int nodes_heard, nodes_total;
-    int64_t remembers_ms;
+    bool has_content; /* at least one was more than a heartbeat */
+    bool fleet;       /* covers the whole fleet, not only the sender's domain */
+    int nodes_heard, nodes_total; /* reachable nodes; all nodes of the fleet */
+    int64_t remembers_ms;         /* length of the sender's quota history */
     struct rk_vm_load *loads;
     size_t loads_len;
-    struct rk_org_uses uses; /* known[] is told now and then */
+    struct rk_org_uses
+        uses; /* the quota history comes with some of the digests only */
     struct rk_service_use *services;
     size_t services_len;
-    /* Its counters when a digest of its kind was counted last. */
-    bool based;
-    bool catch_up; /* what was used before that is not counted here */
-    struct rk_tally base_uses, base_reads;
+    /* The sender's counters at the last time when a digest with the same coverage
+     * was counted. */
+    bool has_baseline;
+    /* Usage from before the baseline was not counted here and has to be taken from
+     * the sender's quota history. */
+    bool needs_catch_up;
+    struct rk_tally baseline_uses, baseline_reads;
 };
 
-/* What a link was told. */
-struct link_told {
-    bool wanted;          /* the peer asked and was not answered yet */
-    bool list_wanted;     /* the same, for the whole list of vms */
-    bool list_sent;       /* it was told that once */
-    int64_t sent_version; /* 0: none */
-    int64_t members_ms;   /* it was told who the members are, unasked; 0: never */
-    bool has_uses;        /* it was told all rows of uses */
-    unsigned digest;      /* the last that it was told whole; 0: none */
+/* What was sent, and has been requested, over one link. */
+struct link_state {
+    bool settings_requested; /* by the peer, not sent yet */
+    bool list_requested;     /* the whole VM list, not sent yet */
+    bool list_sent;          /* the whole VM list, at least once */
+    int64_t settings_sent;   /* version of the settings sent last; 0: none */
+    int64_t members_sent_ms; /* the member list, unrequested, last; 0: never */
+    bool has_uses;           /* all rows of quota usage were sent */
+    unsigned digest_round;   /* of the last full digest sent; 0: none */
 };
 
 struct member {
     struct rk_mesh *m;
     struct member *next, *next_contact;
     bool is_contact;
-    char id[RK_ID_MAX]; /* "": a seed that has not told its name */
+    char id[RK_ID_MAX]; /* "": a seed address whose node is not known yet */
     char addr[RK_ADDR_MAX];
     char domain[RK_ID_MAX]; /* "": not known yet */
-    int64_t capacity;       /* thousandths of a core */
+    int64_t capacity;       /* processor share in thousandths of a core */
     uint64_t hash;          /* of its id */
-    bool bridge;            /* of its domain, as elected last */
-    bool unproven;          /* listed again after it was forgotten, not heard */
+    bool bridge;            /* of its domain, by the last election */
+    bool unproven;          /* listed again after removal, but not reachable yet */
     uint64_t incarnation;
-    uint64_t life;               /* the incarnation that spoke last; 0: none did */
-    uint64_t ended[ENDED_LIVES]; /* those before it, in a ring */
-    size_t ended_len;
-    struct rk_link *link;     /* that this node opened */
-    struct link_told told;    /* of that link */
-    int64_t settings_version; /* as it told itself */
-    int64_t dialled_ms;
-    int64_t wanted_ms; /* when the link was needed last */
-    int64_t heard_ms;  /* itself */
-    int64_t told_ms;   /* when a bridge told that it hears it */
-    int64_t known_ms;  /* since when it is a member */
-    bool heard;        /* as logged last */
-    bool leaving;
-    bool slow;        /* as it told itself */
-    bool hears_store; /* the same */
-    int64_t remembers_ms;
+    uint64_t last_incarnation; /* that a message came from; 0: none */
+    uint64_t past_incarnations[PAST_INCARNATIONS]; /* before that, a ring */
+    size_t past_len;
+    struct rk_link *link;       /* opened by this node */
+    struct link_state told;     /* of that link */
+    int64_t settings_version;   /* as it reported */
+    int64_t connect_started_ms; /* 0: never */
+    int64_t needed_ms;          /* when the link was needed last */
+    int64_t heard_ms;           /* its last message; 0: none */
+    int64_t reported_ms;        /* a bridge last reported it reachable; 0: never */
+    int64_t added_ms;           /* when it became a member */
+    bool was_reachable;         /* as logged last */
+    bool leaving;               /* in a planned stop */
+    bool slow;        /* as it reported: it runs too late to be a good bridge */
+    bool hears_store; /* as it reported: it watches the store and gets answers */
+    int64_t remembers_ms; /* length of its quota history */
     struct rk_vm_load *loads;
     size_t loads_len;
-    struct rk_org_uses uses; /* since its start, as told last */
-    bool uses_based;         /* uses has all its rows: changes add to them */
-    bool knows;              /* uses[].known was told */
-    bool takes_changes;      /* it may be told only the rows that changed */
-    bool takes_brief;        /* digests */
-    int64_t uses_asked_ms;   /* it was asked for all its rows, last */
-    struct rk_service_use *services; /* the same */
+    struct rk_org_uses uses; /* since its start, by its last reports */
+    bool uses_based;         /* uses has all its rows: changes can be applied */
+    bool knows;              /* its quota history was received */
+    bool takes_changes;      /* it accepts reports of only the rows that changed */
+    bool takes_brief;        /* it accepts digests that are only heartbeats */
+    int64_t uses_asked_ms;   /* all its rows were requested last */
+    struct rk_service_use *services; /* since its start */
     size_t services_len;
-    struct rk_rollout_seen *trials; /* the same; sum: of its whole domain */
-    size_t trials_len;
-    bool trials_sum;
-    int64_t trials_ms; /* when it told them */
+    struct rk_rollout_seen *canary_stats; /* since its start */
+    size_t canary_stats_len;
+    bool canary_stats_of_domain; /* a sum over its whole domain */
+    int64_t canary_stats_ms;     /* when it sent them */
     struct digest digest;
 };
 
-/* A link that a peer opened. */
-struct guest {
+/* A link that a peer opened to this node. */
+struct inbound_link {
     struct rk_mesh *m;
     struct rk_link *link;
-    struct link_told told;
-    struct guest *next;
+    struct link_state state;
+    struct inbound_link *next;
 };
 
-/* When counts of calls were told last: those of windows that still fill, all. */
-struct rk_usage_told {
-    int64_t new_ms, all_ms;
+/* When counts of calls were sent last: of current windows, and of all windows. */
+struct rk_usage_sent {
+    int64_t current_ms, all_ms;
 };
 
 struct rk_mesh {
@@ -119,58 +132,63 @@
     struct rk_listener *listener;
     struct member *members;
     size_t members_len;
-    /* Of these, the ones that were heard or dialled themselves. In a large fleet
-     * they are few at most nodes, and what is done with each message goes over
-     * these. */
+    /* Members that this node got a message from or connected to. In a large fleet
+     * these are few at most nodes, so per-message work goes over this list only. */
     struct member *contacts;
-    struct lh_table *by_id; /* of members that told their names */
-    struct guest *guests;
-    struct rk_timer tick, soon, relay_soon, enrol, tell;
-    int64_t due_ms;              /* when the tick is next */
-    double late_ms;              /* how late ticks come, smoothed */
-    bool slow;                   /* too late to do more than it has to */
-    int64_t told_ms;             /* the peers, last */
-    int64_t digest_ms;           /* the same, a digest */
-    unsigned digests;            /* made so far */
-    struct rk_send_budget whole; /* of digests that aren't brief */
-    struct rk_usage_told own_told, counts_told;
-    struct rk_tally uses_told;      /* own units by organisation, as told last */
-    bool uses_wanted, known_wanted; /* the next report tells all rows, with that */
-    int64_t known_asked_ms;         /* a node was asked what it knows, last */
-    char counts_to[RK_ID_MAX]; /* the holder of the duties that got counts last */
-    int64_t word_ms;           /* the word on roll-outs told, last */
-    int64_t trials_ms;         /* what calls showed of them, last */
-    int64_t quarantine_ms; /* requests that VMs end under, those that stay, last */
-    int64_t limits_ms;     /* limits of VMs that stay, last */
-    size_t limits_from;    /* how many of these were told before */
+    struct lh_table *by_id; /* members whose ids are known */
+    struct inbound_link *inbound;
+    struct rk_timer tick, report_timer, relay_timer, enrol, transfer_timer;
+    int64_t next_tick_ms; /* when the next tick is due */
+    double late_ms;       /* delay of ticks, exponentially smoothed */
+    bool slow;            /* ticks come too late for this node to be a bridge */
+    int64_t report_sent_ms;
+    int64_t digest_sent_ms;
+    unsigned digest_rounds;                   /* completed so far */
+    struct rk_send_budget full_digest_budget; /* for digests with content */
+    struct rk_usage_sent own_usage_sent, domain_usage_sent;
+    struct rk_tally uses_told; /* own units by organisation, as reported last */
+    /* The next report has all rows of quota usage; and also the quota history. */
+    bool uses_wanted, known_wanted;
+    int64_t known_asked_ms;       /* a node's quota history was requested last */
+    char usage_leader[RK_ID_MAX]; /* the leader that got the last counts */
+    int64_t announcement_sent_ms; /* of rollouts, by this node as leader */
+    int64_t canary_stats_sent_ms;
+    int64_t
+        quarantine_sent_ms; /* rows that are repeated for as long as they hold */
+    int64_t limits_sent_ms; /* VMs' limits, repeated for as long as they hold */
+    size_t limits_offset;   /* limits sent by the rounds before this one */
     int64_t enrol_ms;
-    int lists_left;       /* how often the store's list of nodes is read again */
-    int64_t forgotten_ms; /* a member was forgotten last; 0: never */
-    bool enrolled, listed;
-    int64_t asked_ms;                   /* for changes of the list, last */
-    const struct link_told *asked_last; /* compared only */
-    int64_t wanted_ms;                  /* settings were asked for, last */
-    int64_t fleet_ms; /* when the members of the fleet were told last */
-    /* As elected last. */
-    bool direct;  /* each node tells each */
-    int total;    /* nodes of the fleet, this one included */
-    bool bridge;  /* this node bridges its domain */
-    int preceded; /* nodes of this domain that come before this one */
-    bool served;  /* one of them hears the store */
-    const struct member *catch_up; /* whose knowledge the relay is to take over */
-    /* Used by peers since the relay was told. */
+    int lists_left;            /* further reads of the store's list of nodes */
+    int64_t forgotten_ms;      /* when a member was removed last; 0: never */
+    bool enrolled;             /* this node is in the store's list of nodes */
+    bool listed;               /* this node knows who is in that list */
+    int64_t list_requested_ms; /* changes of the VM list, last */
+    /* The link over which settings were requested last; compared, never read. */
+    const struct link_state *settings_source;
+    int64_t settings_requested_ms; /* 0: never, or newer ones arrived since */
+    int64_t fleet_members_ms;      /* a digest listed the fleet's members last */
+    /* Results of the last election. */
+    bool direct;          /* a small fleet: each node reports to each */
+    int total;            /* nodes of the fleet, this one included */
+    bool bridge;          /* this node is a bridge of its domain */
+    int rank;             /* nodes of this domain that precede this one */
+    bool has_store_watch; /* one of those watches the store and gets answers */
+    /* The member whose quota history the relay takes over with its next update;
+     * NULL: none. */
+    const struct member *catch_up_source;
+    /* Units used by peers since the relay's last update. */
     struct rk_org_use *news;
     size_t news_len;
     struct rk_tally peer_reads; /* tokens read for the peers, by service */
-    /* Of a bridge: what its domain, and the fleet, used and read since its start,
-     * and how much of this node's own is in that. */
+    /* At a bridge: what its domain and the fleet used and read since its start, and
+     * how much of this node's own counters is included. */
     struct rk_tally domain_uses, fleet_uses, domain_reads, fleet_reads;
-    struct rk_tally own_uses, own_reads;
-    /* Own counters as counted with the last digest of a bridge. */
-    struct rk_tally based_uses, based_reads;
+    struct rk_tally included_uses, included_reads;
+    /* At other nodes: own counters at the last fleet digest that was counted. */
+    struct rk_tally baseline_uses, baseline_reads;
 };
 
-/* A report in the making. */
+/* A report being built. */
 struct rk_report {
     Rillknot__NodeReport report;
     Rillknot__LeaseRow lease;
@@ -183,165 +201,207 @@
     char **peers;
 };
 
-/* members.c */
-size_t rk_mesh_count(const struct rk_mesh *m); /* members, this node not counted */
-bool rk_mesh_is_heard(const struct member *k, int64_t now_ms); /* itself */
-/* Heard itself or by a bridge, or too new to say. */
+/* ---- members.c ---- */
+
+/* Returns the number of members, not counting this node. */
+size_t rk_mesh_count(const struct rk_mesh *m);
+/* Returns whether this node itself got a message from the member recently. */
+bool rk_mesh_is_heard(const struct member *k, int64_t now_ms);
+/* Returns whether the member is reachable from this node or by a bridge's report,
+ * or was added too recently to tell. */
 bool rk_mesh_is_alive(const struct member *k, int64_t now_ms);
 bool rk_mesh_is_self(const struct rk_mesh *m, const char *id, const char *addr);
-bool rk_mesh_is_near(const struct member *k); /* in this node's domain */
+/* Returns whether the member is in this node's failure domain. */
+bool rk_mesh_is_near(const struct member *k);
+/* Both return NULL if there is no such member. */
 struct member *rk_mesh_find(const struct rk_mesh *m, const char *id);
 struct member *rk_mesh_find_addr(const struct rk_mesh *m, const char *addr);
-/* A node at an address; it may be known by that address only. */
+/* Returns the member with an id or else with an address, adding it if it is new.
+ * id: "" if only the address is known. The mesh owns the member. */
 struct member *rk_mesh_learn(struct rk_mesh *m, const char *id, const char *addr);
-/* Does what was said by an incarnation still count? What a node sent before it
- * started again may arrive after its new life has spoken. */
+/* Returns whether a message from an incarnation is still valid. A message that a
+ * node sent before its restart may arrive after one from its new incarnation. */
 bool rk_mesh_hears_life(struct member *k, uint64_t incarnation);
-/* Words are exchanged with it from now on. */
+/* Adds the member to the contacts. */
 void rk_mesh_meet(struct member *k);
 void rk_mesh_init_members(struct rk_mesh *m);
 void rk_mesh_free_members(struct rk_mesh *m);
-/* Forget who was silent for long, and log who came and went. */
-void rk_mesh_review(struct rk_mesh *m, int64_t now_ms);
-/* Say who bridges which domain. */
+/* Removes members that have been unreachable for long, and logs members that became
+ * reachable or unreachable. */
+void rk_mesh_expire_members(struct rk_mesh *m, int64_t now_ms);
+/* Elects the bridges of each failure domain. All nodes that know the same members
+ * elect the same bridges. */
 void rk_mesh_elect(struct rk_mesh *m, int64_t now_ms);
 
-/* mesh.c */
-/* Does this node tell a member its report? */
+/* ---- mesh.c ---- */
+
+/* Returns whether this node sends its reports to the member. */
 bool rk_mesh_is_told(const struct member *k);
-/* Is there a link that takes a message now? */
+/* Returns whether a link can take a message now; link may be NULL. */
 bool rk_mesh_takes(const struct rk_link *link);
-/* Send to each member that wants it, where there is a link that takes it. */
+/* Sends a frame to each contact that wants() selects and whose link can take it. */
 void rk_mesh_send(struct rk_mesh *m, const Rillknot__Frame *frame,
                   bool (*wants)(const struct member *k, const void *ctx),
                   const void *ctx);
+/* Opens links to members that need one, and closes links not needed any more. */
 void rk_mesh_dial(struct rk_mesh *m, int64_t now_ms);
-/* For rk_mesh_send(): is a member told what all nodes are to know of, by those who
- * saw it and by bridges? */
-bool rk_mesh_passes_on(const struct member *k, const void *ctx);
-/* Ask a peer for all its rows of uses, known: with what it knows of all. */
+/* For rk_mesh_send(): selects the next hops of data that has to reach all nodes,
+ * sent by the nodes that observed it and forwarded by bridges. */
+bool rk_mesh_forwards_to(const struct member *k, const void *ctx);
+/* Requests all rows of quota usage from a peer; known: with its quota history, too.
+ */
 void rk_mesh_want_uses(struct rk_link *link, bool known);
-/* Ask a peer that knows more of the store. */
-void rk_mesh_ask_if_behind(struct rk_mesh *m, struct rk_link *link,
-                           const struct link_told *told, int64_t settings_version,
-                           int64_t list_revision);
-/* Peers used units of an organisation, or gave some back: told to the relay. */
+/* Requests settings or VM list changes from a peer that has newer ones. */
+void rk_mesh_request_if_behind(struct rk_mesh *m, struct rk_link *link,
+                               const struct link_state *state,
+                               int64_t settings_version, int64_t list_revision);
+/* Adds units that peers used of an organisation's quota to the relay's next update;
+ * negative: takes them off. */
 void rk_mesh_add_news(struct rk_mesh *m, const char *org, double units);
 
-/* report.c: make a report of this node; take in what a member told. */
+/* ---- report.c ---- */
+
+/* Builds this node's report. It refers to m and its node; free it with
+ * rk_report_free() before either changes. */
 void rk_report_fill(struct rk_report *p, struct rk_mesh *m);
 void rk_report_free(struct rk_report *p);
-/* False: it is of a life that has ended. */
+/* Applies a member's report. Returns false if it is from a past incarnation. */
 bool rk_report_take(struct member *k, const Rillknot__NodeReport *r);
 
-/* report_uses.c: the use of quotas, in reports. */
+/* ---- report_uses.c: quota usage in reports ---- */
+
 void rk_report_fill_uses(struct rk_report *p, struct rk_mesh *m,
                          const struct rk_relay_report *r);
-/* After a report was sent: who could not take it has to be told all. */
+/* To be called after a report was sent: notes which members could not take it, as
+ * they need all rows next time. */
 void rk_report_note_uses(struct rk_mesh *m, const struct rk_report *p);
+/* first: it is the first report received from the member. */
 void rk_report_take_uses(struct member *k, const Rillknot__NodeReport *r,
                          bool first);
-/* Does a bridge lack rows of a member? It asks for them then. */
+/* Returns whether all rows of a member are missing here and should be requested
+ * now; the caller then requests them. */
 bool rk_report_lacks_uses(struct member *k, int64_t now_ms);
-/* A bridge that remembers less than a node of its domain asks one. */
+/* At a bridge with a shorter quota history than a node of its domain: requests that
+ * node's. */
 void rk_report_ask_known(struct rk_mesh *m, int64_t now_ms);
-/* Units a second that callers ask for, as told; 0 for what can't be. */
+/* Returns the demand in a received row, in units/s; 0 if the value is invalid. */
 double rk_report_asking(const Rillknot__OrgUse *told);
-/* Does what a member tells of itself count here? In a larger fleet the bridges of
- * its domain count it, and the others hear of it by their digests. */
+/* Returns whether a member's own report is counted here. In a larger fleet only the
+ * bridges of its domain count it; the other nodes count their digests. */
 bool rk_report_counts(const struct member *k);
 
-/* usage_tell.c: counts of calls by window, if they are due. */
+/* ---- usage_tell.c: counts of calls by window ---- */
+
+/* Adds this node's counts to its report if they are due. */
 void rk_usage_fill_report(struct rk_report *p, struct rk_mesh *m);
 void rk_usage_take(struct rk_node *n, Rillknot__UsageRow *const *rows, size_t len);
-/* A bridge tells the holder of the duties what its domain counted. */
-void rk_usage_tell_holder(struct rk_mesh *m, int64_t now_ms);
-
-/* tell.c: settings and whole lists of vms, to one peer after the other. */
-/* Bytes that wait on this machine, on all links. */
-size_t rk_mesh_waiting(const struct rk_mesh *m);
-void rk_tell_init(struct rk_mesh *m);
-/* A peer told of a version: is it time to ask it for the settings? */
-bool rk_tell_should_ask(struct rk_mesh *m, const struct link_told *from,
-                        int64_t version, int64_t now_ms);
-/* Look who lacks the settings. */
-void rk_tell_soon(struct rk_mesh *m);
-/* A peer asked over a link. */
-void rk_tell_wanted(struct rk_mesh *m, struct link_told *told);
-/* The same, for the list of vms as it changed since a revision; 0: all of it. */
-void rk_tell_list_wanted(struct rk_mesh *m, struct rk_link *link,
-                         struct link_told *told, int64_t since);
-
-/* loads.c: what the peers have in hand, and how vms serve them. */
+/* At a bridge: sends the counts of its domain to the leader if they are due. */
+void rk_usage_send_to_leader(struct rk_mesh *m, int64_t now_ms);
+
+/* ---- tell.c: settings and whole VM lists, sent to one peer at a time ---- */
+
+/* Returns the bytes that wait on this machine, on all links. */
+size_t rk_mesh_waiting_bytes(const struct rk_mesh *m);
+void rk_transfer_init(struct rk_mesh *m);
+/* Returns whether to request the settings now from a peer that has `version`; if
+ * so, notes the request. from: identifies the peer's link. */
+bool rk_transfer_should_request(struct rk_mesh *m, const struct link_state *from,
+                                int64_t version, int64_t now_ms);
+/* Schedules a pass over the peers that lack settings or the VM list. */
+void rk_transfer_schedule(struct rk_mesh *m);
+/* Handles a peer's request for the settings. */
+void rk_transfer_on_settings_request(struct rk_mesh *m, struct link_state *state);
+/* Handles a peer's request for the changes of the VM list since a revision; 0: for
+ * the whole list. */
+void rk_transfer_on_list_request(struct rk_mesh *m, struct rk_link *link,
+                                 struct link_state *state, int64_t since);
+
+/* ---- loads.c: calls in flight, VMs' health and demand at the peers ---- */
+
+/* Encodes a load. out refers to load. */
 void rk_loads_put(Rillknot__VmUse *out, struct rk_vm_load *load);
-/* What a peer told; *loads is made anew. */
-void rk_loads_take(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **told,
-                   size_t told_len);
+/* Decodes received loads into *loads, which is reallocated. */
+void rk_loads_take(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **from,
+                   size_t from_len);
 void rk_loads_sum(struct rk_vm_load *sum, const struct rk_vm_load *more);
+/* Fills in the loads of all peers for the relay. */
 void rk_loads_fill(const struct rk_mesh *m, struct rk_relay_peers *p,
                    int64_t now_ms);
-/* Calls of a service that the peers have in hand. */
-struct rk_in_hand {
+/* Calls of a service in flight at the peers. */
+struct rk_in_flight {
     uint32_t running;
-    uint32_t begun; /* of these, the ones whose answers have begun */
+    uint32_t begun; /* of these, calls whose answers have begun */
 };
-struct rk_in_hand rk_loads_in_hand(const struct rk_mesh *m, const char *service,
-                                   int64_t now_ms);
-/* Add what callers ask for, in units of quotas a second: at the nodes that report
- * to this one, and if fleet, of the other domains by their digests. */
-void rk_loads_add_asking(const struct rk_mesh *m, bool fleet, struct rk_tally *sum,
+struct rk_in_flight rk_loads_in_flight(const struct rk_mesh *m, const char *service,
+                                       int64_t now_ms);
+/* Adds the demand, in quota units/s by organisation, of the members whose reports
+ * are counted here and, if fleet, of the other domains by their digests. */
+void rk_loads_add_demand(const struct rk_mesh *m, bool fleet, struct rk_tally *sum,
                          int64_t now_ms);
-/* The same of all peers, by the best source there is. */
+/* Adds the demand of all peers, by the best source available. */
 void rk_loads_peers_asking(const struct rk_mesh *m, struct rk_tally *sum,
                            int64_t now_ms);
 
-/* engines.c: what the nodes learnt of engines' speed. */
+/* ---- engines.c: the nodes' estimates of engine speed ---- */
+
 void rk_engines_put(Rillknot__EngineEstimate *out,
                     const struct rk_engine_estimate *e);
 struct rk_engine_estimate rk_engines_get(const Rillknot__EngineEstimate *told);
-/* The mean of this domain's nodes, or of the whole fleet's; this one's included. */
+/* Returns the mean estimate over the nodes of this domain or, if fleet, of the
+ * whole fleet; this node is included. */
 struct rk_engine_estimate rk_engines_of(const struct rk_mesh *m,
                                         const char *service, bool fleet);
 void rk_engines_fill(const struct rk_mesh *m, struct rk_relay_peers *p);
 
-/* digest.c: what bridges tell. */
-/* True: it is the one of its kind that counts, and the relay has to hear of it. */
+/* ---- digest.c: received digests ---- */
+
+/* Stores a digest of k. Returns true if it was counted, so that the relay needs an
+ * update. */
 bool rk_digest_take(struct member *k, const Rillknot__Digest *d);
+/* Frees what the digest holds, not d itself. */
 void rk_digest_free(struct digest *d);
-/* The node whose digest of the fleet counts here; NULL: none is fresh enough. */
+/* Returns the member whose fleet digest is counted here; NULL if none is recent, or
+ * if this node is a bridge. */
 const struct member *rk_digest_of_fleet(const struct rk_mesh *m, int64_t now_ms);
-/* The node whose digest of another domain counts here. */
-const struct member *rk_digest_of_domain(const struct rk_mesh *m,
-                                         const char *domain, int64_t now_ms);
-/* Does a member's digest count now? */
+/* Returns the member whose digest of a domain is counted here; NULL if none is
+ * recent. */
+const struct member *rk_digest_domain_source(const struct rk_mesh *m,
+                                             const char *domain, int64_t now_ms);
+/* Returns whether the member's digest of its domain is counted here; never true for
+ * this node's own domain. */
 bool rk_digest_counts(const struct member *k, int64_t now_ms);
 
-/* digest_tell.c */
-/* Tell a digest to those who need it, if this node is a bridge. */
-void rk_digest_tell(struct rk_mesh *m);
-/* Tell who the members are to a node that just knows this one's address. */
-void rk_digest_answer(struct rk_mesh *m, struct rk_link *link,
-                      struct link_told *told);
-/* Begin to count as a bridge. */
-void rk_digest_begin(struct rk_mesh *m);
-
-/* rollout_tell.c: the holder's word on roll-outs, and what calls showed. */
-void rk_rollout_tell_take_word(struct rk_mesh *m,
-                               const Rillknot__RolloutWord *word);
-void rk_rollout_tell_take_seen(struct rk_mesh *m,
-                               const Rillknot__RolloutSeen *seen);
-/* Tell what calls showed to those who sum it. */
-void rk_rollout_tell_seen(struct rk_mesh *m, int64_t now_ms);
-
-/* quarantine_tell.c: requests under which VMs ended. */
-void rk_quarantine_tell(struct rk_mesh *m, int64_t now_ms);
-void rk_quarantine_take(struct rk_mesh *m, const Rillknot__Quarantine *told);
-
-/* signal_tell.c: what VMs say of themselves. */
-void rk_signal_tell(struct rk_mesh *m, int64_t now_ms);
-void rk_signal_take(struct rk_mesh *m, const Rillknot__VmSignals *told);
-
-/* enrol.c: write this node to the list, read who is there. */
+/* ---- digest_tell.c: sent digests ---- */
+
+/* At a bridge: sends a round of digests if it is due. */
+void rk_digest_send(struct rk_mesh *m);
+/* Sends the member list over a link to a node that knows only this one's address.
+ */
+void rk_digest_send_members(struct rk_mesh *m, struct rk_link *link,
+                            struct link_state *state);
+/* Starts counting as a bridge: sets all baselines to what has been used so far. */
+void rk_digest_start_counting(struct rk_mesh *m);
+
+/* ---- rollout_tell.c: rollout announcements and canary statistics ---- */
+
+void rk_rollout_receive_announcement(struct rk_mesh *m,
+                                     const Rillknot__RolloutWord *msg);
+void rk_rollout_receive_stats(struct rk_mesh *m, const Rillknot__RolloutSeen *msg);
+/* Sends canary statistics, if due, to the nodes that sum them. */
+void rk_rollout_send_stats(struct rk_mesh *m, int64_t now_ms);
+
+/* ---- quarantine_tell.c: requests under which VMs ended ---- */
+
+void rk_quarantine_send(struct rk_mesh *m, int64_t now_ms);
+void rk_quarantine_receive(struct rk_mesh *m, const Rillknot__Quarantine *msg);
+
+/* ---- signal_tell.c: signals that VMs advertise in their answers ---- */
+
+void rk_signal_send(struct rk_mesh *m, int64_t now_ms);
+void rk_signal_receive(struct rk_mesh *m, const Rillknot__VmSignals *msg);
+
+/* ---- enrol.c: registers this node in the store's node list and reads the list */
+
 void rk_enrol_init(struct rk_mesh *m);
 void rk_enrol_start(struct rk_mesh *m);
 
--- a/node/quarantine_tell.c
+++ b/node/quarantine_tell.c
@@ -1,30 +1,34 @@
-/* Requests under which VMs ended, told to peers: what was just learnt at once and a
- * few times; those that are near being stopped, or are, once a second for good, so
- * that who was cut off or starts again learns of them. A row is 40 to 90 bytes;
- * most of the time there is none. */
+/* Messages about requests under which VMs ended. A row that just changed is sent at
+ * once and a few times. Rows of requests that are stopped, or close to it, are sent
+ * once a second for as long as they hold, so that nodes that were cut off or
+ * restarted get them. A row has 40 to 90 bytes; most of the time there is none. */
 #include <stdlib.h>
 
 #include "common/eventlog.h"
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define FRESH_MS  1100 /* four times, as a link may be down */
-#define STAYS_MS  1000
-#define FRESH_MAX 64 /* rows a message: under 6 KB, four times after a VM's end */
-#define STAYS_MAX 16
+/* Time for which a changed row is sent with each round: four times, as a link may
+ * be down. */
+#define CHANGED_FOR_MS     1100
+#define REPEAT_INTERVAL_MS 1000 /* for rows that are near being stopped, or are */
+/* Rows per message, by kind: a message has less than 6 KB, and is sent four times
+ * after the end of a VM. */
+#define CHANGED_ROWS_MAX 64
+#define REPEAT_ROWS_MAX  16
 
-/* A message in the making. */
-struct making {
-    Rillknot__Quarantine told;
-    Rillknot__QuarantineRow rows[FRESH_MAX + STAYS_MAX],
-        *row_ptrs[FRESH_MAX + STAYS_MAX];
-    uint32_t just_begun[FRESH_MAX + STAYS_MAX][RK_QUARANTINE_ENDS];
-    uint32_t may_have_begun[FRESH_MAX + STAYS_MAX][RK_QUARANTINE_ENDS];
+/* A message being built. */
+struct message {
+    Rillknot__Quarantine msg;
+    Rillknot__QuarantineRow rows[CHANGED_ROWS_MAX + REPEAT_ROWS_MAX],
+        *row_ptrs[CHANGED_ROWS_MAX + REPEAT_ROWS_MAX];
+    uint32_t just_begun[CHANGED_ROWS_MAX + REPEAT_ROWS_MAX][RK_QUARANTINE_ENDS];
+    uint32_t may_have_begun[CHANGED_ROWS_MAX + REPEAT_ROWS_MAX][RK_QUARANTINE_ENDS];
 };
 
-static void put_row(struct making *p, const struct rk_quarantine_row *row)
+static void encode_row(struct message *p, const struct rk_quarantine_row *row)
 {
-    size_t at = p->told.n_rows++;
+    size_t at = p->msg.n_rows++;
     Rillknot__QuarantineRow *out = p->row_ptrs[at] = &p->rows[at];
     rillknot__quarantine_row__init(out);
     out->request = row->request;
@@ -43,71 +47,73 @@
     }
 }
 
-/* Bridges pass on what they hear; others tell what they saw. */
-static bool is_fresh(const struct rk_mesh *m, const struct rk_quarantine_row *row,
-                     int64_t now_ms)
+/* Returns whether to send a row as just changed. Bridges forward all rows; other
+ * nodes send those that they observed themselves. */
+static bool is_changed(const struct rk_mesh *m, const struct rk_quarantine_row *row,
+                       int64_t now_ms)
 {
-    return now_ms - row->changed_ms < FRESH_MS && (row->own || m->bridge);
+    return now_ms - row->changed_ms < CHANGED_FOR_MS && (row->own || m->bridge);
 }
 
-static void fill(struct making *p, const struct rk_mesh *m, bool stays,
+static void fill(struct message *p, const struct rk_mesh *m, bool repeat,
                  int64_t now_ms)
 {
     const struct rk_quarantine *q = rk_quarantines_table(m->n->quarantines);
-    size_t fresh_left = FRESH_MAX, stays_left = stays ? STAYS_MAX : 0;
-    rillknot__quarantine__init(&p->told);
-    p->told.rows = p->row_ptrs;
+    size_t changed_left = CHANGED_ROWS_MAX,
+           repeat_left = repeat ? REPEAT_ROWS_MAX : 0;
+    rillknot__quarantine__init(&p->msg);
+    p->msg.rows = p->row_ptrs;
     for (size_t i = q->len; i-- > 0;) {
         const struct rk_quarantine_row *row = &q->rows[i];
-        bool near = rk_quarantine_is_near(row);
-        if (near && stays_left) {
-            stays_left--;
-            put_row(p, row);
-        } else if (is_fresh(m, row, now_ms) && fresh_left) {
-            fresh_left--;
-            put_row(p, row);
+        bool is_near = rk_quarantine_is_near(row);
+        if (is_near && repeat_left) {
+            repeat_left--;
+            encode_row(p, row);
+        } else if (is_changed(m, row, now_ms) && changed_left) {
+            changed_left--;
+            encode_row(p, row);
         }
     }
 }
 
-void rk_quarantine_tell(struct rk_mesh *m, int64_t now_ms)
+void rk_quarantine_send(struct rk_mesh *m, int64_t now_ms)
 {
     if (!rk_quarantines_table(m->n->quarantines)->len)
         return;
-    bool stays = now_ms - m->quarantine_ms >= STAYS_MS;
-    if (stays)
-        m->quarantine_ms = now_ms;
-    struct making *p = rk_alloc(1, sizeof(*p));
-    fill(p, m, stays, now_ms);
+    bool repeat = now_ms - m->quarantine_sent_ms >= REPEAT_INTERVAL_MS;
+    if (repeat)
+        m->quarantine_sent_ms = now_ms;
+    struct message *p = rk_alloc(1, sizeof(*p));
+    fill(p, m, repeat, now_ms);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_QUARANTINE;
-    frame.quarantine = &p->told;
-    if (p->told.n_rows)
-        rk_mesh_send(m, &frame, rk_mesh_passes_on, NULL);
+    frame.quarantine = &p->msg;
+    if (p->msg.n_rows)
+        rk_mesh_send(m, &frame, rk_mesh_forwards_to, NULL);
     free(p);
 }
 
-static void read_ends(struct rk_quarantine_row *row, const uint32_t *vms,
-                      size_t len, enum rk_suspicion suspicion)
+static void decode_ends(struct rk_quarantine_row *row, const uint32_t *vms,
+                        size_t len, enum rk_suspicion suspicion)
 {
     for (size_t i = 0; i < len && row->ends_len < RK_QUARANTINE_ENDS; i++)
         row->ends[row->ends_len++] =
             (struct rk_vm_end){.vm = vms[i], .suspicion = suspicion};
 }
 
-void rk_quarantine_take(struct rk_mesh *m, const Rillknot__Quarantine *told)
+void rk_quarantine_receive(struct rk_mesh *m, const Rillknot__Quarantine *msg)
 {
-    for (size_t i = 0; i < told->n_rows; i++) {
-        const Rillknot__QuarantineRow *from = told->rows[i];
+    for (size_t i = 0; i < msg->n_rows; i++) {
+        const Rillknot__QuarantineRow *from = msg->rows[i];
         struct rk_quarantine_row row = {.request = from->request,
                                         .cleared = from->cleared,
                                         .stopped = from->stopped,
                                         .stored = from->stored};
         rk_strcpy(row.org, sizeof(row.org), from->org);
         rk_strcpy(row.route, sizeof(row.route), from->route);
-        read_ends(&row, from->just_begun, from->n_just_begun, RK_HAD_JUST_BEGUN);
-        read_ends(&row, from->may_have_begun, from->n_may_have_begun,
-                  RK_MAY_HAVE_BEGUN);
+        decode_ends(&row, from->just_begun, from->n_just_begun, RK_HAD_JUST_BEGUN);
+        decode_ends(&row, from->may_have_begun, from->n_may_have_begun,
+                    RK_MAY_HAVE_BEGUN);
         rk_quarantines_take(m->n->quarantines, &row, 1, false);
     }
 }
--- a/node/quarantines.c
+++ b/node/quarantines.c
@@ -1,7 +1,7 @@
-/* Requests under which VMs ended, as all nodes know them: what this node's relay
- * saw and what peers told, told on to the relay. Those that are stopped are written
- * to the platform's store, an object each, as all nodes may be killed at once; an
- * operator lets one through again by removing its object. */
+/* Requests under which VMs ended, merged from this node's relay, peers and the
+ * store, and sent on to the relay. Each stopped request is also written to the
+ * platform's store as an object, as all nodes may be killed at once. An operator
+ * lets a request through again by removing its object. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,32 +12,35 @@
 #include "node/state.h"
 #include "objects/store.h"
 
-#define KIND           "rillknot-quarantine"
-#define READ_WITHIN_MS 600 /* of the start: nodes start together */
-/* Tries to read, doubled: all nodes may have started while the store is away, and
- * peers tell what is stopped, too. */
-#define READ_AGAIN_MS  500
-#define READ_SELDOM_MS 8000
-#define WRITE_AGAIN_MS 1000 /* after the store took none */
-/* Who stopped it writes; if that ends first, others do after this and a random
- * time, so that one of them does for all. */
-#define OTHERS_WRITE_MS 2000
-#define LOOK_MS         10000 /* between looks whether an operator removed one */
-/* Lists that cost the store little are this old at the most. */
-#define LIST_OLD_MS 20000
+#define KIND "rillknot-quarantine"
+#define FIRST_READ_MAX_MS                                                          \
+    600 /* after the start, at random, as nodes start together */
+/* First and largest delay between attempts to read, doubled each time: all nodes
+ * may have started while the store doesn't answer, and peers send stopped requests,
+ * too.
+ */
+#define READ_RETRY_MIN_MS 500
+#define READ_RETRY_MAX_MS 8000
+#define WRITE_RETRY_MS    1000 /* after a write failed */
+/* The node that stopped a request writes it. If that node ends before, others do so
+ * after this delay plus a random one, so that usually only one of them writes. */
+#define OTHERS_WRITE_DELAY_MS 2000
+#define CHECK_INTERVAL_MS     10000 /* for objects that operators removed */
+/* Maximum age of the lists that the store may answer from a cache. */
+#define LIST_MAX_AGE_MS 20000
 
 struct rk_quarantines {
     struct rk_node *n;
     struct rk_quarantine table;
     struct rk_timer read;
-    int64_t read_again_ms; /* the wait after the next try that fails */
-    bool busy;             /* an object is being written or removed */
-    uint64_t in_hand;      /* whose object that is */
-    bool removes;          /* it is being removed */
-    int64_t again_ms;      /* not before that is another written */
-    int64_t others_ms;     /* this node's wait for who stopped one */
-    bool looks;            /* a list is asked for */
-    int64_t looked_ms;
+    int64_t read_retry_ms;   /* delay after the next failed attempt to read */
+    bool busy;               /* an object is being written or removed */
+    uint64_t busy_request;   /* the request of that object */
+    bool removing;           /* the object is being removed */
+    int64_t next_write_ms;   /* earliest time of the next write or removal */
+    int64_t others_delay_ms; /* delay before writing rows of other nodes */
+    bool checking;           /* a list for the check is in progress */
+    int64_t checked_ms;      /* when it was requested last */
 };
 
 const struct rk_quarantine *rk_quarantines_table(const struct rk_quarantines *q)
@@ -53,10 +56,10 @@
     return n;
 }
 
-/* ---- what is learnt ---- */
+/* ---- merging ---- */
 
-static void tell_relay(struct rk_quarantines *q,
-                       const struct rk_quarantine_row *row)
+static void send_to_relay(struct rk_quarantines *q,
+                          const struct rk_quarantine_row *row)
 {
     struct rk_quarantine_row *copy = rk_alloc(1, sizeof(*copy));
     *copy = *row;
@@ -87,27 +90,27 @@
         if (row->stopped != stopped)
             log_change(row);
         if (!own || row->stopped != rows[i].stopped)
-            tell_relay(q, row);
+            send_to_relay(q, row);
     }
 }
 
 /* ---- the store ---- */
 
-static void on_changed(void *ctx, enum rk_status st,
+static void on_written(void *ctx, enum rk_status st,
                        const struct rk_store_object *o)
 {
     (void)o;
     struct rk_quarantines *q = ctx;
-    struct rk_quarantine_row *row = rk_quarantine_find(&q->table, q->in_hand);
-    /* In conflict: another node wrote it. Not found: another removed it. */
+    struct rk_quarantine_row *row = rk_quarantine_find(&q->table, q->busy_request);
+    /* A conflict: another node wrote it. Not found: another node removed it. */
     bool done = st == RK_OK || st == RK_ECONFLICT || st == RK_ENOTFOUND;
     q->busy = false;
     if (!done)
-        q->again_ms = rk_mono_ms() + WRITE_AGAIN_MS;
+        q->next_write_ms = rk_mono_ms() + WRITE_RETRY_MS;
     if (!row || !done)
         return;
-    row->stored = !q->removes;
-    row->changed_ms = rk_mono_ms(); /* peers are told */
+    row->stored = !q->removing;
+    row->changed_ms = rk_mono_ms(); /* so that it is sent to peers */
     row->own = true;
 }
 
@@ -126,7 +129,7 @@
         row->ends_len, row->cleared, rk_wall_ms());
     rk_buf_json_str(&b, q->n->file.id);
     rk_buf_addstr(&b, "}");
-    store->ops->create(store, KIND, name, b.data, on_changed, q);
+    store->ops->create(store, KIND, name, b.data, on_written, q);
     rk_buf_free(&b);
 }
 
@@ -136,32 +139,33 @@
     struct rk_store *store = q->n->store;
     char name[RK_QUARANTINE_NAME];
     rk_quarantine_name(row->request, name);
-    store->ops->remove(store, KIND, name, on_changed, q);
+    store->ops->remove(store, KIND, name, on_written, q);
 }
 
-/* Is it this node's to write what the store should have of a row? */
+/* Returns whether this node should write or remove a row's object now. */
 static bool is_due(const struct rk_quarantines *q,
                    const struct rk_quarantine_row *row, int64_t now_ms)
 {
-    bool over = rk_quarantine_is_over(row, now_ms);
-    bool wanted = row->stopped && !over;
-    if (wanted == row->stored)
+    bool expired = rk_quarantine_is_over(row, now_ms);
+    bool should_store = row->stopped && !expired;
+    if (should_store == row->stored)
         return false;
-    return row->own ||
-           (rk_mesh_stands(q->n->mesh) && now_ms - row->changed_ms > q->others_ms);
+    return row->own || (rk_mesh_stands(q->n->mesh) &&
+                        now_ms - row->changed_ms > q->others_delay_ms);
 }
 
 void rk_quarantines_tick(struct rk_quarantines *q)
 {
     int64_t now_ms = rk_mono_ms();
-    for (size_t i = 0; i < q->table.len && !q->busy && now_ms >= q->again_ms; i++) {
+    for (size_t i = 0; i < q->table.len && !q->busy && now_ms >= q->next_write_ms;
+         i++) {
         const struct rk_quarantine_row *row = &q->table.rows[i];
         if (!is_due(q, row, now_ms))
             continue;
         q->busy = true;
-        q->in_hand = row->request;
-        q->removes = row->stored;
-        if (q->removes)
+        q->busy_request = row->request;
+        q->removing = row->stored;
+        if (q->removing)
             remove_row(q, row);
         else
             write_row(q, row);
@@ -180,13 +184,13 @@
     return row;
 }
 
-static void read_later(struct rk_quarantines *q)
+static void retry_read(struct rk_quarantines *q)
 {
-    int64_t wait_ms = q->read_again_ms;
+    int64_t wait_ms = q->read_retry_ms;
     int64_t jitter_ms = rk_rng_below(&q->n->rng, (uint32_t)wait_ms);
     rk_timer_start(q->n->loop, &q->read, wait_ms + jitter_ms);
-    if (wait_ms < READ_SELDOM_MS)
-        q->read_again_ms = wait_ms * 2;
+    if (wait_ms < READ_RETRY_MAX_MS)
+        q->read_retry_ms = wait_ms * 2;
 }
 
 static void on_read(void *ctx, enum rk_status st,
@@ -195,7 +199,7 @@
     (void)at;
     struct rk_quarantines *q = ctx;
     if (st != RK_OK) {
-        read_later(q);
+        retry_read(q);
         return;
     }
     for (size_t i = 0; i < len; i++) {
@@ -207,7 +211,7 @@
     }
 }
 
-static void read_now(void *ctx)
+static void read_store(void *ctx)
 {
     struct rk_quarantines *q = ctx;
     q->n->store->ops->list(q->n->store, KIND, false, on_read, q);
@@ -217,10 +221,10 @@
 {
     if (!q->n->file.first_start)
         rk_timer_start(q->n->loop, &q->read,
-                       rk_rng_below(&q->n->rng, READ_WITHIN_MS));
+                       rk_rng_below(&q->n->rng, FIRST_READ_MAX_MS));
 }
 
-/* ---- what operators let through ---- */
+/* ---- requests that operators let through ---- */
 
 static bool is_listed(uint64_t request, const struct rk_store_object *objects,
                       size_t len)
@@ -238,21 +242,21 @@
     row->stored = false;
     rk_quarantine_clear(&q->table, row->request, rk_mono_ms());
     log_change(row);
-    tell_relay(q, row);
+    send_to_relay(q, row);
 }
 
-static void on_looked(void *ctx, enum rk_status st,
-                      const struct rk_store_object *objects, size_t len, int64_t at)
+static void on_check(void *ctx, enum rk_status st,
+                     const struct rk_store_object *objects, size_t len, int64_t at)
 {
     (void)at;
     struct rk_quarantines *q = ctx;
     int64_t now_ms = rk_mono_ms();
-    q->looks = false;
+    q->checking = false;
     for (size_t i = 0; st == RK_OK && i < q->table.len; i++) {
         struct rk_quarantine_row *row = &q->table.rows[i];
-        bool known =
-            row->stopped && row->stored && now_ms - row->changed_ms > LIST_OLD_MS;
-        if (known && !is_listed(row->request, objects, len))
+        bool settled = row->stopped && row->stored &&
+                       now_ms - row->changed_ms > LIST_MAX_AGE_MS;
+        if (settled && !is_listed(row->request, objects, len))
             let_through(q, row);
     }
 }
@@ -260,22 +264,24 @@
 void rk_quarantines_hold(struct rk_quarantines *q)
 {
     int64_t now_ms = rk_mono_ms();
-    if (q->looks || !rk_quarantines_stopped(q) || now_ms - q->looked_ms < LOOK_MS)
+    if (q->checking || !rk_quarantines_stopped(q) ||
+        now_ms - q->checked_ms < CHECK_INTERVAL_MS)
         return;
-    q->looks = true;
-    q->looked_ms = now_ms;
-    q->n->store->ops->list(q->n->store, KIND, true, on_looked, q);
+    q->checking = true;
+    q->checked_ms = now_ms;
+    q->n->store->ops->list(q->n->store, KIND, true, on_check, q);
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 struct rk_quarantines *rk_quarantines_create(struct rk_node *n)
 {
     struct rk_quarantines *q = rk_alloc(1, sizeof(*q));
     q->n = n;
-    q->read = (struct rk_timer){.fn = read_now, .ctx = q};
-    q->read_again_ms = READ_AGAIN_MS;
-    q->others_ms = OTHERS_WRITE_MS + rk_rng_below(&n->rng, OTHERS_WRITE_MS);
+    q->read = (struct rk_timer){.fn = read_store, .ctx = q};
+    q->read_retry_ms = READ_RETRY_MIN_MS;
+    q->others_delay_ms =
+        OTHERS_WRITE_DELAY_MS + rk_rng_below(&n->rng, OTHERS_WRITE_DELAY_MS);
     return q;
 }
 
--- a/node/returning.c
+++ b/node/returning.c
@@ -1,18 +1,18 @@
-/* A node that comes back: until when it leaves the long lists of the store to
- * others, and whether they told it all meanwhile. */
+/* The read delay of a restarted node: how long it leaves reading the store's long
+ * lists to other nodes, and whether those have meanwhile sent it what it needs. */
 #include "common/eventlog.h"
 #include "common/json.h"
 #include "node/state.h"
 
-/* A store that doesn't tell the fleet's size in time is asked for everything: it
- * may be slow, and the fleet small. */
-#define SIZE_MS 1000
-#define DRAWS   4096
+/* If the store doesn't return the fleet's size within this time, the node reads
+ * everything: the store may be slow and the fleet small. */
+#define FLEET_SIZE_TIMEOUT_MS 1000
+#define DRAW_STEPS            4096 /* resolution of the random draw */
 
 void rk_returning_start(struct rk_node *n)
 {
     if (!n->file.first_start)
-        n->returning.until_ms = rk_mono_ms() + SIZE_MS;
+        n->read_delay.ends_ms = rk_mono_ms() + FLEET_SIZE_TIMEOUT_MS;
 }
 
 void rk_returning_know(struct rk_node *n, struct json_object *spec)
@@ -22,10 +22,10 @@
         .largest = (int)rk_json_int(spec, "largest", 0),
         .capacity = rk_json_int(spec, "capacity", 0)};
     int64_t capacity = rk_mesh_capacity(n->mesh);
-    double draw = rk_rng_below(&n->rng, DRAWS) / (double)DRAWS;
+    double draw = rk_rng_below(&n->rng, DRAW_STEPS) / (double)DRAW_STEPS;
     int64_t wait_ms = rk_returning_wait_ms(&size, capacity, draw);
-    n->returning.nodes = size.nodes;
-    n->returning.until_ms = rk_mono_ms() + wait_ms;
+    n->read_delay.nodes = size.nodes;
+    n->read_delay.ends_ms = rk_mono_ms() + wait_ms;
     if (wait_ms)
         RK_EVENT("store.awaiting_turn", RK_N("nodes", size.nodes),
                  RK_N("wait_ms", wait_ms));
@@ -35,12 +35,12 @@
 
 int64_t rk_returning_wait_left_ms(const struct rk_node *n)
 {
-    int64_t left_ms = n->returning.until_ms - rk_mono_ms();
+    int64_t left_ms = n->read_delay.ends_ms - rk_mono_ms();
     return left_ms > 0 ? left_ms : 0;
 }
 
 bool rk_returning_is_told(const struct rk_node *n)
 {
-    return n->returning.nodes > 0 &&
-           2 * rk_mesh_told_total(n->mesh) > n->returning.nodes;
+    return n->read_delay.nodes > 0 &&
+           2 * rk_mesh_reported_total(n->mesh) > n->read_delay.nodes;
 }
--- a/node/rollout_tell.c
+++ b/node/rollout_tell.c
@@ -1,5 +1,6 @@
-/* What nodes tell each other of roll-outs: the holder's word, which bridges pass
- * on, and what calls to both versions showed, which they sum for the holder. */
+/* Messages about rollouts: the leader's announcement, which bridges forward, and
+ * the canary statistics of calls to the old and the new version, which bridges sum
+ * for the leader. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,14 +8,15 @@
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define WORD_MS      250  /* between words while versions are tried */
-#define WORD_IDLE_MS 1000 /* else: only which orders are known is told */
-#define SEEN_MS      250
-#define SEEN_KEPT_MS 3000 /* what a silent domain told counts for so long */
+#define ANNOUNCE_INTERVAL_MS      250  /* while there are rules */
+#define ANNOUNCE_IDLE_INTERVAL_MS 1000 /* while there are none */
+#define STATS_INTERVAL_MS         250
+#define STATS_MAX_AGE_MS                                                           \
+    3000 /* age up to which another domain's statistics count */
 
-/* ---- the word ---- */
+/* ---- announcements ---- */
 
-static void put_rule(Rillknot__RolloutRule *out, struct rk_rollout_rule *rule)
+static void encode_rule(Rillknot__RolloutRule *out, struct rk_rollout_rule *rule)
 {
     rillknot__rollout_rule__init(out);
     out->service = rule->service;
@@ -26,16 +28,19 @@
     out->revision = rule->revision;
 }
 
-/* Who passes a word on: the holder to all it reaches, a bridge to the nodes of its
- * domain, and a word of its own domain to the other bridges, too. */
-struct word_from {
-    bool own, near; /* said by this node, by one of its domain */
+/* The origin of an announcement, which decides who gets it. In a direct mesh the
+ * leader sends it to all nodes. Otherwise it goes to the bridges of the leader's
+ * domain, from there to all other bridges, and from each bridge to the nodes of its
+ * domain. */
+struct announcement_origin {
+    bool own;  /* made by this node */
+    bool near; /* made by a node of this domain */
 };
 
-static bool wants_word(const struct member *k, const void *ctx)
+static bool wants_announcement(const struct member *k, const void *ctx)
 {
     const struct rk_mesh *m = k->m;
-    const struct word_from *from = ctx;
+    const struct announcement_origin *from = ctx;
     if (m->direct)
         return from->own;
     if (!m->bridge)
@@ -43,117 +48,123 @@
     return rk_mesh_is_near(k) || (k->bridge && (from->own || from->near));
 }
 
-static void tell_word(struct rk_mesh *m, const char *domain, bool own)
+static void send_announcement(struct rk_mesh *m, const char *domain, bool own)
 {
     const struct rk_rollout_word *w = rk_rollouts_word(m->n->rollouts);
     struct rk_rollout_word copy = *w;
-    Rillknot__RolloutWord word = RILLKNOT__ROLLOUT_WORD__INIT;
+    Rillknot__RolloutWord msg = RILLKNOT__ROLLOUT_WORD__INIT;
     Rillknot__RolloutRule rules[RK_ROLLOUTS], *ptrs[RK_ROLLOUTS];
-    word.domain = (char *)domain;
-    word.epoch = copy.epoch;
-    word.number = copy.number;
-    word.age_ms = rk_mono_ms() - copy.said_ms;
-    word.known_at = copy.known_at;
-    word.n_rules = copy.len;
-    word.rules = ptrs;
+    msg.domain = (char *)domain;
+    msg.epoch = copy.epoch;
+    msg.number = copy.number;
+    msg.age_ms = rk_mono_ms() - copy.said_ms;
+    msg.known_at = copy.known_at;
+    msg.n_rules = copy.len;
+    msg.rules = ptrs;
     for (size_t i = 0; i < copy.len; i++) {
-        put_rule(&rules[i], &copy.rules[i]);
+        encode_rule(&rules[i], &copy.rules[i]);
         ptrs[i] = &rules[i];
     }
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_ROLLOUT_WORD;
-    frame.rollout_word = &word;
-    const struct word_from from = {
+    frame.rollout_word = &msg;
+    const struct announcement_origin from = {
         .own = own, .near = !strcmp(domain, m->n->file.failure_domain)};
-    rk_mesh_send(m, &frame, wants_word, &from);
+    rk_mesh_send(m, &frame, wants_announcement, &from);
 }
 
 void rk_mesh_tell_rollouts(struct rk_mesh *m)
 {
     const struct rk_rollout_word *w = rk_rollouts_word(m->n->rollouts);
     int64_t now_ms = rk_mono_ms();
-    if (!w || now_ms - m->word_ms < (w->len ? WORD_MS : WORD_IDLE_MS))
+    if (!w || now_ms - m->announcement_sent_ms <
+                  (w->len ? ANNOUNCE_INTERVAL_MS : ANNOUNCE_IDLE_INTERVAL_MS))
         return;
-    m->word_ms = now_ms;
-    tell_word(m, m->n->file.failure_domain, true);
+    m->announcement_sent_ms = now_ms;
+    send_announcement(m, m->n->file.failure_domain, true);
 }
 
-static bool read_rule(const Rillknot__RolloutRule *told,
-                      struct rk_rollout_rule *out)
+static bool decode_rule(const Rillknot__RolloutRule *from,
+                        struct rk_rollout_rule *out)
 {
-    *out = (struct rk_rollout_rule){.phase = told->phase,
-                                    .share = told->share,
-                                    .vms = told->vms,
-                                    .turn = told->turn,
-                                    .revision = told->revision};
-    return told->phase <= RK_ROLLOUT_GIVEN_BACK && told->share <= RK_ROLLOUT_ALL &&
-           told->service[0] &&
-           rk_strcpy(out->service, sizeof(out->service), told->service) &&
-           rk_strcpy(out->version, sizeof(out->version), told->version);
+    *out = (struct rk_rollout_rule){.phase = from->phase,
+                                    .share = from->share,
+                                    .vms = from->vms,
+                                    .turn = from->turn,
+                                    .revision = from->revision};
+    return from->phase <= RK_ROLLOUT_GIVEN_BACK && from->share <= RK_ROLLOUT_ALL &&
+           from->service[0] &&
+           rk_strcpy(out->service, sizeof(out->service), from->service) &&
+           rk_strcpy(out->version, sizeof(out->version), from->version);
 }
 
-void rk_rollout_tell_take_word(struct rk_mesh *m, const Rillknot__RolloutWord *told)
+void rk_rollout_receive_announcement(struct rk_mesh *m,
+                                     const Rillknot__RolloutWord *msg)
 {
-    struct rk_rollout_word word = {.epoch = told->epoch,
-                                   .number = told->number,
-                                   .said_ms = rk_mono_ms() - told->age_ms,
-                                   .known_at = told->known_at};
-    for (size_t i = 0; i < told->n_rules && word.len < RK_ROLLOUTS; i++) {
-        if (read_rule(told->rules[i], &word.rules[word.len])) {
-            word.len++;
+    struct rk_rollout_word announcement = {.epoch = msg->epoch,
+                                           .number = msg->number,
+                                           .said_ms = rk_mono_ms() - msg->age_ms,
+                                           .known_at = msg->known_at};
+    for (size_t i = 0; i < msg->n_rules && announcement.len < RK_ROLLOUTS; i++) {
+        if (decode_rule(msg->rules[i], &announcement.rules[announcement.len])) {
+            announcement.len++;
             continue;
         }
-        RK_WARN("rollout.rule_rejected", RK_S("service", told->rules[i]->service));
+        RK_WARN("rollout.rule_rejected", RK_S("service", msg->rules[i]->service));
         return;
     }
-    if (told->number > 0 && told->age_ms >= 0 &&
-        rk_rollouts_take(m->n->rollouts, &word) && m->bridge)
-        tell_word(m, told->domain, false);
+    if (msg->number > 0 && msg->age_ms >= 0 &&
+        rk_rollouts_take(m->n->rollouts, &announcement) && m->bridge)
+        send_announcement(m, msg->domain, false);
 }
 
-/* ---- what calls showed ---- */
+/* ---- canary statistics ---- */
 
-/* The trials of one, added to a list of several. */
-static void add(struct rk_rollout_seen **sum, size_t *len,
-                const struct rk_rollout_seen *trials, size_t trials_len)
+/* Adds the statistics of one node or domain to a sum by service and version. */
+static void add_stats(struct rk_rollout_seen **sum, size_t *len,
+                      const struct rk_rollout_seen *stats, size_t stats_len)
 {
-    for (size_t i = 0; i < trials_len; i++) {
+    for (size_t i = 0; i < stats_len; i++) {
         struct rk_rollout_seen *to =
-            rk_rollout_seen_of(*sum, *len, trials[i].service, trials[i].version);
+            rk_rollout_seen_of(*sum, *len, stats[i].service, stats[i].version);
         if (!to && *len < RK_ROLLOUTS) {
             *sum = rk_realloc(*sum, (*len + 1) * sizeof(**sum));
             to = &(*sum)[(*len)++];
             *to = (struct rk_rollout_seen){0};
-            rk_strcpy(to->service, sizeof(to->service), trials[i].service);
-            rk_strcpy(to->version, sizeof(to->version), trials[i].version);
+            rk_strcpy(to->service, sizeof(to->service), stats[i].service);
+            rk_strcpy(to->version, sizeof(to->version), stats[i].version);
         }
         if (to)
-            rk_rollout_add(&to->rows, &trials[i].rows);
+            rk_rollout_add(&to->rows, &stats[i].rows);
     }
 }
 
-/* This node's, and those of the nodes that it sums. */
+/* Sums the statistics of this node and of the nodes that send theirs to it. Returns
+ * the length of *sum, which the caller frees. */
 static size_t sum_near(const struct rk_mesh *m, struct rk_rollout_seen **sum)
 {
     const struct rk_relay_report *r = m->n->report;
     size_t len = 0;
     *sum = NULL;
     if (r)
-        add(sum, &len, r->trials, r->trials_len);
+        add_stats(sum, &len, r->trials, r->trials_len);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (!k->trials_sum && (m->direct || (m->bridge && rk_mesh_is_near(k))))
-            add(sum, &len, k->trials, k->trials_len);
+        if (!k->canary_stats_of_domain &&
+            (m->direct || (m->bridge && rk_mesh_is_near(k))))
+            add_stats(sum, &len, k->canary_stats, k->canary_stats_len);
     return len;
 }
 
-/* The newest sum of each other domain: its bridges tell the same calls. */
+/* Returns whether a member's sum is the newest of its domain. Only that one counts,
+ * as the bridges of a domain send statistics of the same calls. */
 static bool is_newest(const struct member *k, int64_t now_ms)
 {
-    if (!k->trials_sum || now_ms - k->trials_ms > SEEN_KEPT_MS)
+    if (!k->canary_stats_of_domain ||
+        now_ms - k->canary_stats_ms > STATS_MAX_AGE_MS)
         return false;
     for (const struct member *o = k->m->contacts; o; o = o->next_contact)
-        if (o != k && o->trials_sum && !strcmp(o->domain, k->domain) &&
-            o->trials_ms > k->trials_ms)
+        if (o != k && o->canary_stats_of_domain && !strcmp(o->domain, k->domain) &&
+            o->canary_stats_ms > k->canary_stats_ms)
             return false;
     return true;
 }
@@ -165,22 +176,22 @@
     size_t len = sum_near(m, &all);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if (!m->direct && !rk_mesh_is_near(k) && is_newest(k, now_ms))
-            add(&all, &len, k->trials, k->trials_len);
+            add_stats(&all, &len, k->canary_stats, k->canary_stats_len);
     found = rk_rollout_seen_of(all, len, sum->service, sum->version);
     if (found)
         sum->rows = found->rows;
     free(all);
 }
 
-/* A message in the making. */
-struct making {
+/* A message being built. */
+struct message {
     Rillknot__RolloutSeen seen;
     Rillknot__TrialSeen trials[RK_ROLLOUTS], *trial_ptrs[RK_ROLLOUTS];
     Rillknot__TrialRow rows[RK_ROLLOUTS][RK_TRIAL_ROWS];
     Rillknot__TrialRow *row_ptrs[RK_ROLLOUTS][RK_TRIAL_ROWS];
 };
 
-static void put_row(Rillknot__TrialRow *out, struct rk_trial_row *row)
+static void encode_row(Rillknot__TrialRow *out, struct rk_trial_row *row)
 {
     rillknot__trial_row__init(out);
     out->route = row->route;
@@ -193,16 +204,17 @@
     out->log_sq = (float)row->seen.log_sq;
 }
 
-static void put_trials(struct making *p, struct rk_rollout_seen *trials, size_t len)
+static void encode_stats(struct message *p, struct rk_rollout_seen *stats,
+                         size_t len)
 {
     for (size_t i = 0; i < len && i < RK_ROLLOUTS; i++) {
         Rillknot__TrialSeen *to = &p->trials[i];
         rillknot__trial_seen__init(to);
-        to->service = trials[i].service;
-        to->version = trials[i].version;
+        to->service = stats[i].service;
+        to->version = stats[i].version;
         to->rows = p->row_ptrs[i];
-        for (size_t j = 0; j < trials[i].rows.len; j++) {
-            put_row(&p->rows[i][j], &trials[i].rows.rows[j]);
+        for (size_t j = 0; j < stats[i].rows.len; j++) {
+            encode_row(&p->rows[i][j], &stats[i].rows.rows[j]);
             p->row_ptrs[i][to->n_rows++] = &p->rows[i][j];
         }
         p->trial_ptrs[p->seen.n_trials++] = to;
@@ -210,42 +222,44 @@
     p->seen.trials = p->trial_ptrs;
 }
 
-/* Nodes tell those who sum; the first bridge of a domain tells the sum to the
- * holder, who is a bridge, too. */
-static bool wants_seen(const struct member *k, const char *holder)
+/* Nodes send their statistics to the bridges of their domain, or in a direct mesh
+ * to the leader. The first bridge of a domain sends the sum to the leader, which is
+ * a bridge, too. */
+static bool wants_stats(const struct member *k, const char *leader)
 {
     const struct rk_mesh *m = k->m;
     if (m->direct)
-        return !strcmp(k->id, holder);
+        return !strcmp(k->id, leader);
     if (rk_mesh_is_near(k))
         return k->bridge;
-    return m->bridge && !m->preceded && !strcmp(k->id, holder);
+    return m->bridge && !m->rank && !strcmp(k->id, leader);
 }
 
-void rk_rollout_tell_seen(struct rk_mesh *m, int64_t now_ms)
+void rk_rollout_send_stats(struct rk_mesh *m, int64_t now_ms)
 {
-    char holder[RK_ID_MAX];
-    const struct rk_rollout_word *word = rk_rollouts_word(m->n->rollouts);
+    char leader[RK_ID_MAX];
+    const struct rk_rollout_word *announcement = rk_rollouts_word(m->n->rollouts);
     const struct rk_relay_report *r = m->n->report;
-    if (!word || !word->len || !r || now_ms - m->trials_ms < SEEN_MS)
+    if (!announcement || !announcement->len || !r ||
+        now_ms - m->canary_stats_sent_ms < STATS_INTERVAL_MS)
         return;
-    m->trials_ms = now_ms;
-    rk_duty_keeper_holder(m->n->duty_keeper, holder);
+    m->canary_stats_sent_ms = now_ms;
+    rk_duty_keeper_holder(m->n->duty_keeper, leader);
     struct rk_rollout_seen *sum;
     size_t sum_len = sum_near(m, &sum);
-    struct making *own = rk_alloc(1, sizeof(*own)),
-                  *all = rk_alloc(1, sizeof(*all));
+    struct message *own = rk_alloc(1, sizeof(*own)),
+                   *all = rk_alloc(1, sizeof(*all));
     rillknot__rollout_seen__init(&own->seen);
     rillknot__rollout_seen__init(&all->seen);
     own->seen.id = all->seen.id = m->n->file.id;
     own->seen.domain = all->seen.domain = m->n->file.failure_domain;
     all->seen.sum = true;
-    put_trials(own, r->trials, r->trials_len);
-    put_trials(all, sum, sum_len);
+    encode_stats(own, r->trials, r->trials_len);
+    encode_stats(all, sum, sum_len);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_ROLLOUT_SEEN;
     for (struct member *k = m->contacts; k; k = k->next_contact) {
-        if (!wants_seen(k, holder) || !rk_mesh_takes(k->link))
+        if (!wants_stats(k, leader) || !rk_mesh_takes(k->link))
             continue;
         bool far = !m->direct && !rk_mesh_is_near(k);
         frame.rollout_seen = far ? &all->seen : &own->seen;
@@ -256,13 +270,14 @@
     free(sum);
 }
 
-static void read_rows(const Rillknot__TrialSeen *told, struct rk_rollout_seen *out)
+static void decode_rows(const Rillknot__TrialSeen *from,
+                        struct rk_rollout_seen *out)
 {
     *out = (struct rk_rollout_seen){0};
-    rk_strcpy(out->service, sizeof(out->service), told->service);
-    rk_strcpy(out->version, sizeof(out->version), told->version);
-    for (size_t i = 0; i < told->n_rows; i++) {
-        const Rillknot__TrialRow *row = told->rows[i];
+    rk_strcpy(out->service, sizeof(out->service), from->service);
+    rk_strcpy(out->version, sizeof(out->version), from->version);
+    for (size_t i = 0; i < from->n_rows; i++) {
+        const Rillknot__TrialRow *row = from->rows[i];
         struct rk_trial_row *to =
             rk_trial_row_at(&out->rows, row->route, row->domain, row->tried);
         if (to)
@@ -274,18 +289,19 @@
     }
 }
 
-void rk_rollout_tell_take_seen(struct rk_mesh *m, const Rillknot__RolloutSeen *seen)
+void rk_rollout_receive_stats(struct rk_mesh *m, const Rillknot__RolloutSeen *msg)
 {
-    struct member *k = rk_mesh_find(m, seen->id);
-    size_t len = seen->n_trials < RK_ROLLOUTS ? seen->n_trials : RK_ROLLOUTS;
+    struct member *k = rk_mesh_find(m, msg->id);
+    size_t len = msg->n_trials < RK_ROLLOUTS ? msg->n_trials : RK_ROLLOUTS;
     if (!k)
         return;
     rk_mesh_meet(k);
-    k->trials = rk_realloc(k->trials, (len + 1) * sizeof(*k->trials));
-    k->trials_len = len;
-    k->trials_sum = seen->sum;
-    k->trials_ms = rk_mono_ms();
-    rk_strcpy(k->domain, sizeof(k->domain), seen->domain);
+    k->canary_stats =
+        rk_realloc(k->canary_stats, (len + 1) * sizeof(*k->canary_stats));
+    k->canary_stats_len = len;
+    k->canary_stats_of_domain = msg->sum;
+    k->canary_stats_ms = rk_mono_ms();
+    rk_strcpy(k->domain, sizeof(k->domain), msg->domain);
     for (size_t i = 0; i < len; i++)
-        read_rows(seen->trials[i], &k->trials[i]);
+        decode_rows(msg->trials[i], &k->canary_stats[i]);
 }
--- a/node/signals.c
+++ b/node/signals.c
@@ -1,21 +1,21 @@
-/* What VMs say of themselves, as this node and its peers heard it, and which nodes
- * share the limit of a VM: those of the VM's failure domain, by rendezvous hashing.
- * Callers there meet it first, and these nodes hear each other themselves, so that
- * they agree soon on who is there. All nodes take the place of a domain that has
- * none. */
+/* Signals that VMs advertise, merged from this node's relay and its peers, and the
+ * choice of the nodes that share a VM's limit: nodes of the VM's failure domain, by
+ * rendezvous hashing. Callers in that domain use the VM first, and its nodes get
+ * each other's messages themselves, so that they soon agree on which of them are
+ * reachable. If the domain has no nodes, all nodes are considered. */
 #include <json-c/linkhash.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "node/mesh_impl.h"
 
-#define FORGET_EVERY_MS 10000
+#define EXPIRE_INTERVAL_MS 10000
 
 struct rk_signals {
     struct rk_node *n;
     struct rk_vm_signals table;
-    uint64_t nodes; /* others.hash when parts were worked out last */
-    int64_t forgot_ms;
+    uint64_t candidates_hash; /* candidates.hash when shares were computed last */
+    int64_t expired_ms;
 };
 
 const struct rk_vm_signals *rk_signals_table(const struct rk_signals *s)
@@ -67,13 +67,13 @@
     }
 }
 
-/* ---- who shares a limit ---- */
+/* ---- shares of limits ---- */
 
-/* Other nodes that may: of this failure domain, and of all. */
-struct others {
-    uint64_t *near, *all;
+/* Hashes of the other nodes that may share a limit. */
+struct candidates {
+    uint64_t *near, *all; /* nodes of this failure domain; of all domains */
     size_t near_len, all_len;
-    uint64_t hash; /* of these and of whether this node may */
+    uint64_t hash; /* of all these, and of whether this node may share one */
 };
 
 static bool may_send(const struct member *k, int64_t now_ms)
@@ -81,26 +81,26 @@
     return k->id[0] && !k->leaving && rk_mesh_is_alive(k, now_ms);
 }
 
-static struct others find_others(const struct rk_mesh *m, int64_t now_ms)
+static struct candidates find_candidates(const struct rk_mesh *m, int64_t now_ms)
 {
-    struct others o = {.hash = (uint64_t)m->listed << 1 | m->n->leaving};
-    o.near = rk_alloc(rk_mesh_count(m) + 1, sizeof(*o.near));
-    o.all = rk_alloc(rk_mesh_count(m) + 1, sizeof(*o.all));
+    struct candidates c = {.hash = (uint64_t)m->listed << 1 | m->n->leaving};
+    c.near = rk_alloc(rk_mesh_count(m) + 1, sizeof(*c.near));
+    c.all = rk_alloc(rk_mesh_count(m) + 1, sizeof(*c.all));
     for (const struct member *k = m->members; k; k = k->next) {
         if (!may_send(k, now_ms))
             continue;
-        o.all[o.all_len++] = k->hash;
-        o.hash += rk_hash_str(k->hash, k->domain);
+        c.all[c.all_len++] = k->hash;
+        c.hash += rk_hash_str(k->hash, k->domain);
         if (rk_mesh_is_near(k))
-            o.near[o.near_len++] = k->hash;
+            c.near[c.near_len++] = k->hash;
     }
-    return o;
+    return c;
 }
 
-static void free_others(struct others *o)
+static void free_candidates(struct candidates *c)
 {
-    free(o->near);
-    free(o->all);
+    free(c->near);
+    free(c->all);
 }
 
 static bool has_nodes(const struct rk_mesh *m, const char *domain)
@@ -111,45 +111,46 @@
     return k != NULL;
 }
 
-/* This node's part, as rk_vm_limit_part(). */
-static int part(const struct rk_mesh *m, const struct rk_vm_signal *v,
-                const struct others *o)
+/* Returns the number of nodes that share the VM's limit, this one included; 0: this
+ * node has no share. */
+static int count_senders(const struct rk_mesh *m, const struct rk_vm_signal *v,
+                         const struct candidates *c)
 {
     uint64_t own = rk_hash_str(0, m->n->file.id);
     if (!v->limited || !m->listed || m->n->leaving)
         return 0;
     if (!strcmp(m->n->file.failure_domain, v->domain))
-        return rk_vm_limit_part(v, own, o->near, o->near_len);
+        return rk_vm_limit_part(v, own, c->near, c->near_len);
     if (has_nodes(m, v->domain))
         return 0;
-    return rk_vm_limit_part(v, own, o->all, o->all_len);
+    return rk_vm_limit_part(v, own, c->all, c->all_len);
 }
 
-/* ---- the relay ---- */
+/* ---- updates of the relay ---- */
 
-/* Rows whose limit, or whose part of it here, isn't what the relay was told. */
+/* Collects the rows whose limit or share differs from what the relay has. */
 static size_t collect(struct rk_signals *s, struct rk_vm_signal *out,
-                      const struct others *o)
+                      const struct candidates *c)
 {
     struct lh_entry *e;
     size_t len = 0;
-    bool all = o->hash != s->nodes;
-    s->nodes = o->hash;
+    bool all = c->hash != s->candidates_hash;
+    s->candidates_hash = c->hash;
     lh_foreach (s->table.by_life, e) {
         struct rk_vm_signal *v = lh_entry_v(e);
         if (v->senders != RK_SENDERS_UNKNOWN && !all)
             continue;
-        int now = part(s->n->mesh, v, o);
-        if (now == v->senders)
+        int senders = count_senders(s->n->mesh, v, c);
+        if (senders == v->senders)
             continue;
-        v->senders = now;
+        v->senders = senders;
         out[len++] = *v;
     }
     return len;
 }
 
-/* What the relay is told may be lost: it is told anew. */
-static void tell_again(struct rk_signals *s)
+/* Makes the next tick send all rows again, as the relay's queue was full. */
+static void reset_senders(struct rk_signals *s)
 {
     struct lh_entry *e;
     lh_foreach (s->table.by_life, e)
@@ -162,21 +163,21 @@
     size_t len = rk_vm_signals_len(&s->table);
     if (!len)
         return;
-    struct others others = find_others(s->n->mesh, now_ms);
+    struct candidates candidates = find_candidates(s->n->mesh, now_ms);
     struct rk_vm_signal *rows = rk_alloc(len, sizeof(*rows));
-    len = collect(s, rows, &others);
-    free_others(&others);
+    len = collect(s, rows, &candidates);
+    free_candidates(&candidates);
     if (!len)
         free(rows);
     else if (!rk_relay_set_signals(s->n->relay, rows, len))
-        tell_again(s);
-    if (now_ms - s->forgot_ms < FORGET_EVERY_MS)
+        reset_senders(s);
+    if (now_ms - s->expired_ms < EXPIRE_INTERVAL_MS)
         return;
-    s->forgot_ms = now_ms;
+    s->expired_ms = now_ms;
     rk_vm_signals_forget(&s->table, now_ms);
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 struct rk_signals *rk_signals_create(struct rk_node *n)
 {
--- a/node/state.h
+++ b/node/state.h
@@ -1,4 +1,5 @@
-/* State of a node's control thread, shared by the files of node/. */
+/* State of a node's control thread, shared by the files of node/, and the functions
+ * by which its modules call each other. Control thread only. */
 #ifndef RK_NODE_STATE_H
 #define RK_NODE_STATE_H
 
@@ -22,10 +23,11 @@
 struct rk_quarantines;
 struct rk_signals;
 
-/* Of a node with an earlier life. */
-struct rk_returning {
-    int64_t until_ms; /* till then others read the store's long lists */
-    int nodes;        /* of the fleet, by the store; 0: not known */
+/* The read delay of a restarted node: it leaves the store's long lists to other
+ * nodes first, so that a restart of the whole fleet doesn't overload the store. */
+struct rk_read_delay {
+    int64_t ends_ms; /* by the monotonic clock */
+    int nodes;       /* of the fleet, as persisted in the store; 0: not known */
 };
 
 struct rk_node {
@@ -45,209 +47,257 @@
     struct rk_quarantines *quarantines;
     struct rk_signals *signals;
     struct rk_usage usage;          /* of all nodes */
-    struct rk_relay_report *report; /* the relay's last */
+    struct rk_relay_report *report; /* the relay's last one; NULL: none yet */
     struct rk_rng rng;
-    struct rk_returning returning;
+    struct rk_read_delay read_delay;
     uint64_t incarnation;
     uint64_t hash; /* of id and incarnation */
     int64_t started_ms;
-    bool leaving;
+    bool leaving; /* in a planned stop */
     int64_t leaving_since_ms;
     struct rk_timer stop;
 };
 
-/* sync.c: settings and vms as the store, or a peer, tells them. */
+/* ---- sync.c: settings and the VM list, from the store or from peers ---- */
+
 struct rk_sync *rk_sync_create(struct rk_node *n);
 void rk_sync_destroy(struct rk_sync *s);
 void rk_sync_start(struct rk_sync *s);
-/* Until when this node waits for its turn has changed. */
+/* To be called when the read delay of this node has changed. */
 void rk_sync_turn(struct rk_sync *s);
-bool rk_sync_ready(const struct rk_sync *s); /* both are known */
+/* Returns whether both the settings and the VM list are known. */
+bool rk_sync_ready(const struct rk_sync *s);
+/* Returns the version of the settings in use; 0: none. */
 int64_t rk_sync_version(const struct rk_sync *s);
 int64_t rk_sync_list_revision(const struct rk_sync *s);
+/* Returns the routes in use, owned by s; NULL: none. */
 const struct rk_routes *rk_sync_routes(const struct rk_sync *s);
-/* Tell the relay of the vms again: which may be used has changed. */
+/* Sends the VM list to the relay again, as the set of usable VMs has changed. */
 void rk_sync_publish(struct rk_sync *s);
-size_t rk_sync_vms_len(const struct rk_sync *s); /* on the list */
-const struct rk_vm_row *rk_sync_vm_at(const struct rk_sync *s,
-                                      size_t i); /* or NULL */
-/* Since the store confirmed, here or to a peer, that all this is the newest; -1:
- * never. */
+/* Returns the number of VMs on the list. */
+size_t rk_sync_vms_len(const struct rk_sync *s);
+/* Returns the i-th VM of the list; NULL: i is past its end. */
+const struct rk_vm_row *rk_sync_vm_at(const struct rk_sync *s, size_t i);
+/* Returns the time in ms since the store confirmed, to this node or to a peer, that
+ * both settings and list are the newest; -1: it never did. */
 int64_t rk_sync_age_ms(const struct rk_sync *s);
-/* By a peer's word: its knowledge, up to a version of the settings and a revision
- * of the list, was the newest age_ms ago. */
+/* Takes over a peer's confirmation: settings up to a version and the list up to a
+ * revision were the newest age_ms ago. Negative age_ms: never confirmed. */
 void rk_sync_confirm(struct rk_sync *s, int64_t age_ms, int64_t settings_version,
                      int64_t list_revision);
-/* For how long peers have had settings that are newer than this node's; 0: none. */
+/* Returns for how many ms peers have had settings newer than this node's; 0: they
+ * have none. */
 int64_t rk_sync_behind_ms(const struct rk_sync *s);
-/* Does this node follow the store, and does the store answer it? */
+/* Returns whether this node watches the store and gets answers from it. */
 bool rk_sync_hears_store(const struct rk_sync *s);
-/* For a peer that asks; the message's parts belong to s until the next call. */
+/* Fills in the reply to a peer's request. Its parts belong to s and are valid until
+ * the next call. */
 void rk_sync_tell(struct rk_sync *s, const Rillknot__StoreWanted *wanted,
                   Rillknot__StoreText *out);
+/* Applies settings and list changes received from a peer, if they are newer. */
 void rk_sync_take(struct rk_sync *s, const Rillknot__StoreText *text);
 
-/* mesh.c: the other nodes. */
+/* ---- mesh.c, members.c and others: links to the other nodes ---- */
+
+/* Returns NULL if the control address can't be bound. */
 struct rk_mesh *rk_mesh_create(struct rk_node *n);
 void rk_mesh_destroy(struct rk_mesh *m);
-const char *rk_mesh_addr(const struct rk_mesh *m);  /* where peers reach it */
-const char *rk_mesh_bound(const struct rk_mesh *m); /* the address listened on */
+/* Returns the address at which peers reach this node. */
+const char *rk_mesh_addr(const struct rk_mesh *m);
+/* Returns the address that the listener is bound to. */
+const char *rk_mesh_bound(const struct rk_mesh *m);
 void rk_mesh_start(struct rk_mesh *m);
-/* Tell peers a report soon. */
+/* Schedules a report to the peers a few ms from now, ahead of the regular one. */
 void rk_mesh_report(struct rk_mesh *m);
-/* Nodes of this domain that should follow the store before this one does; -1: this
- * one should. */
+/* Returns how many nodes of this domain should watch the store before this one
+ * does; -1: this one always should. */
 int rk_mesh_rank(const struct rk_mesh *m);
-/* Does a node that should do so first follow the store, and hear it? */
+/* Returns whether one of those nodes watches the store and gets answers. */
 bool rk_mesh_is_served(const struct rk_mesh *m);
-/* Does this node know who the others are? Until then it can't tell who should
- * follow the store or hold the duties. */
+/* Returns whether this node has the list of nodes. Until then it can't decide who
+ * should watch the store or be the leader. */
 bool rk_mesh_is_listed(const struct rk_mesh *m);
-bool rk_mesh_is_direct(
-    const struct rk_mesh *m); /* a small fleet: each tells each */
-bool rk_mesh_is_bridge(const struct rk_mesh *m); /* of its failure domain */
-/* May this node stand for the lease of the duties, or write to the store what all
- * know? */
+/* Returns whether the fleet is small enough for each node to report to each. */
+bool rk_mesh_is_direct(const struct rk_mesh *m);
+/* Returns whether this node is a bridge of its failure domain. */
+bool rk_mesh_is_bridge(const struct rk_mesh *m);
+/* Returns whether this node may run for the leader's lease, and write what all
+ * nodes know to the store. */
 bool rk_mesh_stands(const struct rk_mesh *m);
-/* Newer settings are here: tell those who lack them. */
+/* Sends the settings, which just became newer, to the peers that lack them. */
 void rk_mesh_tell_settings(struct rk_mesh *m);
-/* Changes of the list, to the nodes that a bridge tells of it; from_store: they are
- * known first hand. */
+/* At a bridge: sends changes of the VM list to the other nodes of its domain and,
+ * if they came from the store rather than from a peer, to all other bridges. */
 void rk_mesh_push(struct rk_mesh *m, const Rillknot__StoreText *text,
                   bool from_store);
-int rk_mesh_heard(const struct rk_mesh *m); /* nodes heard lately, with this one */
+/* Returns the number of reachable nodes, this one included. */
+int rk_mesh_heard(const struct rk_mesh *m);
+/* Returns the number of nodes of the fleet, this one included. */
 int rk_mesh_total(const struct rk_mesh *m);
-/* Nodes of the fleet by the word of the bridge that tells this one of it; 0: none
- * does. */
-int rk_mesh_told_total(const struct rk_mesh *m);
-/* The fleet as it is to be remembered; not known: nodes is 0. */
+/* Returns the number of nodes of the fleet by the last digest of the bridge that is
+ * counted here; 0: there is none. */
+int rk_mesh_reported_total(const struct rk_mesh *m);
+/* Returns the size of the fleet for the persisted state; nodes is 0 if this node
+ * doesn't have the list of nodes. */
 struct rk_fleet_size rk_mesh_size(const struct rk_mesh *m);
-/* Of this node's machine, in thousandths of a core. */
+/* Returns this node's processor share, in thousandths of a core. */
 int64_t rk_mesh_capacity(const struct rk_mesh *m);
-/* Until when this node waits for its turn has changed. */
+/* To be called when the read delay of this node has changed. */
 void rk_mesh_turn(struct rk_mesh *m);
-/* Mean age of the counts of calls that the holder of the duties has. */
+/* Returns the mean age in ms of the leader's counts of calls. */
 int64_t rk_mesh_usage_lag_ms(const struct rk_mesh *m);
-/* Add what callers ask of all nodes, in units of quotas a second. */
+/* Adds the demand at all nodes, in quota units/s by organisation. */
 void rk_mesh_add_asking(const struct rk_mesh *m, struct rk_tally *sum);
-/* Is a node heard, by itself or by a bridge? */
+/* Returns whether a node is reachable from here or by a bridge's report. */
 bool rk_mesh_hears(const struct rk_mesh *m, const char *id);
-/* Is this node the first of those that are heard, and are these most of the fleet?
- * At most one node takes itself for that, but for a short while. */
+/* Returns whether this node acts for a missing leader: it is the first of the
+ * candidates that are reachable, and most of the fleet is reachable. At most one
+ * node gets true, except for a short while when reachability changes. */
 bool rk_mesh_is_first(const struct rk_mesh *m);
-/* Tell peers the holder's word on roll-outs, if this node is to. */
+/* At the leader: sends the rollout announcement to the peers if it is due. */
 void rk_mesh_tell_rollouts(struct rk_mesh *m);
-/* What calls to both versions showed at all nodes. */
+/* Sets sum->rows to the canary statistics of all nodes for sum's service and
+ * version; leaves them as they are if there are none. */
 void rk_mesh_add_trials(const struct rk_mesh *m, struct rk_rollout_seen *sum);
-/* What the peers asked of a service: tokens since this node's start, calls in
- * hand; and what all nodes learnt of its engines. */
+/* Returns the peers' use of a service: tokens read since this node's start and
+ * calls in flight. engine is the estimate of all nodes, this one included. */
 struct rk_service_use rk_mesh_service_use(const struct rk_mesh *m,
                                           const char *service);
 
-/* orders.c: how many vms to hold. */
+/* ---- orders.c: orders for VMs ---- */
+
 struct rk_orders;
 struct rk_orders *rk_orders_create(struct rk_node *n);
 void rk_orders_destroy(struct rk_orders *o);
-/* While this node holds the duties: look at demand and the list, order what is
- * missing. refused: called when a higher fencing token was seen. */
+/* token: of the leader; NULL if this node isn't the leader. The leader compares
+ * demand with the VM list and orders what is missing; other nodes only track the
+ * demand. */
 void rk_orders_tick(struct rk_orders *o, const struct rk_duty_token *token);
-/* The rest of the time: demand is followed, nothing is ordered. */
+/* Tracks demand without ordering. */
 void rk_orders_watch(struct rk_orders *o);
 
-/* remember.c: what must outlast a kill of all nodes at once. */
+/* ---- remember.c: state that has to survive a kill of all nodes at once ---- */
+
 struct rk_remember;
 struct rk_remember *rk_remember_create(struct rk_node *n);
 void rk_remember_destroy(struct rk_remember *m);
-void rk_remember_start(struct rk_remember *m); /* read what there is */
-void rk_remember_tick(struct rk_remember *m); /* while this node holds the duties */
-/* While nobody holds them, and this node stands in. */
+/* Starts to read the persisted state. */
+void rk_remember_start(struct rk_remember *m);
+/* At the leader: persists what is due. */
+void rk_remember_tick(struct rk_remember *m);
+/* At the node that acts for a missing leader: persists the use of quotas and the
+ * fleet's size if that is due. */
 void rk_remember_stand_in(struct rk_remember *m);
-/* Is what an earlier life kept known, or can't it be had? */
+/* Returns whether the persisted state was read, or can't be read. */
 bool rk_remember_is_read(const struct rk_remember *m);
 
-/* returning.c: a node that comes back leaves the long lists of the store to others
- * until its turn. */
+/* ---- returning.c: the read delay of a restarted node ---- */
+
 struct json_object;
 void rk_returning_start(struct rk_node *n);
-/* What the store has of the fleet; NULL: nothing. */
+/* Sets the read delay by the fleet's size in the persisted state; spec NULL: there
+ * is no such state. */
 void rk_returning_know(struct rk_node *n, struct json_object *spec);
+/* Returns the rest of the read delay in ms; 0: it is over. */
 int64_t rk_returning_wait_left_ms(const struct rk_node *n);
-/* Is it told by a bridge that knows most of the nodes that there were? */
+/* Returns whether this node gets the digests of a bridge that knows more than half
+ * of the persisted number of nodes, so that it needn't read the list of nodes. */
 bool rk_returning_is_told(const struct rk_node *n);
 
-/* quarantines.c: requests under which VMs ended, as all nodes know them. */
+/* ---- quarantines.c: requests under which VMs ended, merged over all nodes ---- */
+
 struct rk_quarantines *rk_quarantines_create(struct rk_node *n);
 void rk_quarantines_destroy(struct rk_quarantines *q);
-void rk_quarantines_start(struct rk_quarantines *q); /* read what the store has */
+/* Schedules the reading of the stopped requests from the store. */
+void rk_quarantines_start(struct rk_quarantines *q);
+/* Writes a row to the store, or removes one, if that is due and this node's job. */
 void rk_quarantines_tick(struct rk_quarantines *q);
-/* Look whether an operator let some through; while this node holds the duties. */
+/* At the leader: checks now and then whether an operator let a stopped request
+ * through again. */
 void rk_quarantines_hold(struct rk_quarantines *q);
-/* Rows of this node's relay, or of a peer. */
+/* Merges rows of this node's relay (own) or of a peer. */
 void rk_quarantines_take(struct rk_quarantines *q,
                          const struct rk_quarantine_row *rows, size_t len,
                          bool own);
+/* Returns the table, owned by q. */
 const struct rk_quarantine *rk_quarantines_table(const struct rk_quarantines *q);
-size_t rk_quarantines_stopped(const struct rk_quarantines *q); /* how many */
+/* Returns the number of stopped requests. */
+size_t rk_quarantines_stopped(const struct rk_quarantines *q);
+
+/* ---- signals.c: signals that VMs advertise, merged over all nodes ---- */
 
-/* signals.c: what VMs say of themselves, as all nodes know it. */
 struct rk_signals *rk_signals_create(struct rk_node *n);
 void rk_signals_destroy(struct rk_signals *s);
-/* Rows of this node's relay, or of a peer. */
+/* Merges rows of this node's relay or of a peer. */
 void rk_signals_take(struct rk_signals *s, const struct rk_vm_signal *rows,
                      size_t len);
-/* Tell the relay what changed, and its part in limits. */
+/* Sends changed signals, and changes of this node's share in limits, to the relay.
+ */
 void rk_signals_tick(struct rk_signals *s);
+/* Returns the table, owned by s. */
 const struct rk_vm_signals *rk_signals_table(const struct rk_signals *s);
-size_t rk_signals_limited(const struct rk_signals *s); /* VMs that name a limit */
-size_t rk_signals_leaving(const struct rk_signals *s); /* that say they leave */
+/* Returns the number of VMs that advertise a limit. */
+size_t rk_signals_limited(const struct rk_signals *s);
+/* Returns the number of VMs that advertise that they leave. */
+size_t rk_signals_leaving(const struct rk_signals *s);
+
+/* ---- rollouts.c: rollouts of service versions that operators order ---- */
 
-/* rollouts.c: versions that operators order for services. */
 struct rk_rollouts *rk_rollouts_create(struct rk_node *n);
 void rk_rollouts_destroy(struct rk_rollouts *r);
-/* token: while this node holds the duties; else NULL. */
+/* token: of the leader; NULL if this node isn't the leader. */
 void rk_rollouts_tick(struct rk_rollouts *r, const struct rk_duty_token *token);
-/* Mark the rows of versions that nobody ordered, as far as is known. since[i]: the
+/* Marks the rows whose version nobody is known to have ordered. since[i]: the
  * store's revision at which row i was seen first. */
 void rk_rollouts_mark(struct rk_rollouts *r, struct rk_vm_row *rows,
                       const int64_t *since, size_t len);
-/* What the holder says, here or by a peer; false: it is no news. */
+/* A rollout announcement of the leader: a rule for each ordered rollout. Those of a
+ * higher epoch, and within an epoch of a higher number, are newer. */
 struct rk_rollout_word {
     int64_t epoch, number;
-    int64_t said_ms;  /* by this node's clock */
-    int64_t known_at; /* every order up to this revision is among the rules */
+    int64_t said_ms;  /* when the leader made it, by this node's clock */
+    int64_t known_at; /* revision up to which every order has its rule here */
     struct rk_rollout_rule rules[RK_ROLLOUTS];
     size_t len;
 };
+/* Applies an announcement received from a peer. Returns false if it isn't newer
+ * than the current one. */
 bool rk_rollouts_take(struct rk_rollouts *r, const struct rk_rollout_word *word);
-/* The newest word that is known here; NULL: none. */
+/* Returns the newest announcement, owned by r; NULL: there is none. */
 const struct rk_rollout_word *rk_rollouts_word(const struct rk_rollouts *r);
-/* The rule of a service that is moving to another version; NULL: it isn't. */
+/* Returns the rule of a service's rollout in progress, owned by r; NULL: there is
+ * none. */
 const struct rk_rollout_rule *rk_rollouts_moving(const struct rk_rollouts *r,
                                                  const char *service);
-/* Are versions tried at all here? */
+/* Returns whether rollouts are enabled at this node. */
 bool rk_rollouts_are_on(const struct rk_rollouts *r);
 
-/* rollout_metrics.c: what is known of versions, in the text format of Prometheus.
- */
+/* ---- rollout_metrics.c ---- */
+
 struct rk_buf;
+/* Appends the metrics of rollouts in Prometheus' text format. */
 void rk_rollouts_render(const struct rk_rollouts *r, struct rk_buf *out);
 
-/* duties.c: the lease, usage, orders for vms. */
+/* ---- duties.c: the leader's lease, usage reports and orders for VMs ---- */
+
 struct rk_duty_keeper *rk_duty_keeper_create(struct rk_node *n);
 void rk_duty_keeper_destroy(struct rk_duty_keeper *k);
 void rk_duty_keeper_start(struct rk_duty_keeper *k);
-/* What a peer holds; false: nothing to tell. value is valid until the next call. */
+/* Gets this node's own lease, for its reports to peers. Returns false if this node
+ * doesn't hold the lease now. value is valid until the next call. */
 bool rk_duty_keeper_lease(const struct rk_duty_keeper *k, int64_t *version,
                           const char **value);
+/* Notes a version of the lease that a peer reported. */
 void rk_duty_keeper_seen(struct rk_duty_keeper *k, int64_t version,
                          const char *value);
-/* Something that orders go by changed: look at it soon, if this node holds the
- * duties. */
+/* At the leader: schedules a tick soon, as something that orders depend on has
+ * changed. */
 void rk_duty_keeper_look(struct rk_duty_keeper *k);
-/* The newest version of the lease that is known here, whoever holds it. */
+/* Gets the newest version of the lease that is known here, whoever is the leader.
+ * Returns false if none is known. */
 bool rk_duty_keeper_newest(const struct rk_duty_keeper *k, int64_t *version,
                            const char **value);
-/* The id of the node that holds the duties by that; "": not known. */
+/* Gets the leader's node id by that version; "": not known. */
 void rk_duty_keeper_holder(const struct rk_duty_keeper *k, char id[RK_ID_MAX]);
 
 #endif
