--- a/node/tell.c
+++ b/node/tell.c
@@ -1,86 +1,92 @@
-/* Settings and whole lists of vms, told to those who lack them: the newest, to one
- * peer after the other, while little waits on this node's links. A bridge that sent
- * large settings to all nodes of its domain at once filled its link for 7 s (28
- * nodes, 317 KB, 10 Mbit/s); who heard nothing from it meanwhile took it for dead
- * and bridged in its place, with older settings, which it told all nodes in turn.
- */
+/* Transfer of settings and whole VM lists to the peers that lack them: the newest
+ * version, to one peer after the other, while few bytes wait on this node's links.
+ * A bridge that sent large settings to all nodes of its domain at once filled its
+ * link for 7 s (28 nodes, 317 KB, 10 Mbit/s). Nodes that received nothing from it
+ * in that time took it for dead and became bridges in its place; they had older
+ * settings and sent those to all nodes in turn. */
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define WAITING_MAX                                                                \
-    (128 * 1024)         /* bytes on all links: 0.1 s of a link of 10 Mbit/s */
-#define PUMP_MS      5   /* between looks while some are left */
-#define ASK_FIRST_MS 300 /* a bridge tells meanwhile; it hears itself at once */
-#define ASK_AGAIN_MS 1000
-#define ASK_SAME_MS  1500 /* the same peer: another one is asked before */
+/* Bytes that may wait on all links together: 0.1 s of a link of 10 Mbit/s. */
+#define WAITING_MAX_BYTES (128 * 1024)
+#define PASS_INTERVAL_MS  5 /* between passes while some peers are left */
+/* Delay before the first request. Bridges, which get newer settings at once,
+ * usually send them unrequested within this time. */
+#define FIRST_REQUEST_MS 300
+#define REQUEST_RETRY_MS 1000
+/* Retry delay for the same peer: longer, so that another one is asked first. */
+#define SAME_PEER_RETRY_MS 1500
 
-/* ---- asking ---- */
+/* ---- requests to peers ---- */
 
-bool rk_tell_should_ask(struct rk_mesh *m, const struct link_told *from,
-                        int64_t version, int64_t now_ms)
+bool rk_transfer_should_request(struct rk_mesh *m, const struct link_state *from,
+                                int64_t version, int64_t now_ms)
 {
     if (version <= rk_sync_version(m->n->sync))
         return false;
-    /* Where there are bridges, they tell the other nodes unasked. */
-    bool soon = m->direct || m->bridge || !rk_sync_version(m->n->sync);
-    if (!soon && rk_sync_behind_ms(m->n->sync) < ASK_FIRST_MS)
+    /* Bridges send newer settings to the other nodes unrequested. */
+    bool at_once = m->direct || m->bridge || !rk_sync_version(m->n->sync);
+    if (!at_once && rk_sync_behind_ms(m->n->sync) < FIRST_REQUEST_MS)
         return false;
-    int64_t pause_ms = from == m->asked_last ? ASK_SAME_MS : ASK_AGAIN_MS;
-    if (m->wanted_ms && now_ms - m->wanted_ms < pause_ms)
+    int64_t retry_ms =
+        from == m->settings_source ? SAME_PEER_RETRY_MS : REQUEST_RETRY_MS;
+    if (m->settings_requested_ms && now_ms - m->settings_requested_ms < retry_ms)
         return false;
-    m->wanted_ms = now_ms;
-    m->asked_last = from;
+    m->settings_requested_ms = now_ms;
+    m->settings_source = from;
     return true;
 }
 
-/* ---- telling ---- */
+/* ---- transfers to peers ---- */
 
-size_t rk_mesh_waiting(const struct rk_mesh *m)
+size_t rk_mesh_waiting_bytes(const struct rk_mesh *m)
 {
     size_t bytes = 0;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         bytes += k->link ? rk_link_waiting(k->link) : 0;
-    for (const struct guest *g = m->guests; g; g = g->next)
-        bytes += rk_link_waiting(g->link);
+    for (const struct inbound_link *in = m->inbound; in; in = in->next)
+        bytes += rk_link_waiting(in->link);
     return bytes;
 }
 
-/* Asked for, and not on its way already. */
-static bool is_wanted(const struct link_told *told, struct rk_link *link,
-                      int64_t version)
+/* Returns whether the peer requested the settings and this version isn't already in
+ * transit to it. */
+static bool is_requested(const struct link_state *state, struct rk_link *link,
+                         int64_t version)
 {
-    return told->wanted && (told->sent_version < version || !rk_link_waiting(link));
+    return state->settings_requested &&
+           (state->settings_sent < version || !rk_link_waiting(link));
 }
 
-/* The first bridge of a domain tells its nodes unasked; the second tells who asks.
- */
+/* Returns whether to send the settings to a member now. The first bridge of a
+ * domain sends them to its nodes unrequested, the second one only on request. */
 static bool is_due(const struct member *k, int64_t version)
 {
     const struct rk_mesh *m = k->m;
     if (k->settings_version >= version || !rk_mesh_takes(k->link))
         return false;
-    if (is_wanted(&k->told, k->link, version))
+    if (is_requested(&k->told, k->link, version))
         return true;
-    return m->bridge && !m->preceded && rk_mesh_is_near(k) &&
-           k->told.sent_version < version;
+    return m->bridge && !m->rank && rk_mesh_is_near(k) &&
+           k->told.settings_sent < version;
 }
 
-/* One look at who lacks something. */
+/* One pass over the peers that may lack something. */
 struct pass {
     struct rk_mesh *m;
     int64_t version;
-    size_t waiting; /* bytes, on all links */
-    bool left;      /* somebody has to wait */
+    size_t waiting;  /* bytes on all links */
+    bool incomplete; /* some peers were left for the next pass */
 };
 
 static void send_settings(struct pass *p, struct rk_link *link,
-                          struct link_told *told)
+                          struct link_state *state)
 {
     const Rillknot__StoreWanted settings = {.settings = true};
     Rillknot__StoreText text;
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
-    if (p->waiting >= WAITING_MAX) {
-        p->left = true;
+    if (p->waiting >= WAITING_MAX_BYTES) {
+        p->incomplete = true;
         return;
     }
     rk_sync_tell(p->m->n->sync, &settings, &text);
@@ -89,11 +95,11 @@
     if (!text.settings_zip.len || !rk_link_send(link, &frame))
         return;
     p->waiting += text.settings_zip.len;
-    told->wanted = false;
-    told->sent_version = text.settings_revision;
+    state->settings_requested = false;
+    state->settings_sent = text.settings_revision;
 }
 
-/* Returns the bytes sent. */
+/* Returns the number of bytes sent. */
 static size_t send_list_since(struct rk_mesh *m, struct rk_link *link,
                               int64_t since)
 {
@@ -109,24 +115,26 @@
     return len;
 }
 
-/* Who asks again while it is on its way isn't told twice. */
-static void send_list(struct pass *p, struct rk_link *link, struct link_told *told)
+/* A peer that repeats its request while the list is in transit gets it once. */
+static void send_list(struct pass *p, struct rk_link *link,
+                      struct link_state *state)
 {
-    if (!told->list_wanted || !rk_mesh_takes(link))
+    if (!state->list_requested || !rk_mesh_takes(link))
         return;
-    if (p->waiting >= WAITING_MAX) {
-        p->left = true;
+    if (p->waiting >= WAITING_MAX_BYTES) {
+        p->incomplete = true;
         return;
     }
-    told->list_wanted = false;
-    if (told->list_sent && rk_link_waiting(link))
+    state->list_requested = false;
+    if (state->list_sent && rk_link_waiting(link))
         return;
-    told->list_sent = true;
+    state->list_sent = true;
     p->waiting += send_list_since(p->m, link, 0);
 }
 
-/* Bridges first: they are who answers others. */
-static void tell_members(struct pass *p, bool bridges)
+/* Sends to the members that are bridges, or to those that aren't. Bridges come
+ * first, as they pass the data on. */
+static void send_to_members(struct pass *p, bool bridges)
 {
     for (struct member *k = p->m->contacts; k; k = k->next_contact) {
         if (k->bridge != bridges)
@@ -137,58 +145,58 @@
     }
 }
 
-static void tell_guests(struct pass *p)
+static void send_to_inbound(struct pass *p)
 {
-    for (struct guest *g = p->m->guests; g; g = g->next) {
-        if (is_wanted(&g->told, g->link, p->version))
-            send_settings(p, g->link, &g->told);
-        send_list(p, g->link, &g->told);
+    for (struct inbound_link *in = p->m->inbound; in; in = in->next) {
+        if (is_requested(&in->state, in->link, p->version))
+            send_settings(p, in->link, &in->state);
+        send_list(p, in->link, &in->state);
     }
 }
 
-static void pump(void *ctx)
+static void run_pass(void *ctx)
 {
     struct rk_mesh *m = ctx;
     struct pass p = {.m = m, .version = rk_sync_version(m->n->sync)};
-    p.waiting = rk_mesh_waiting(m);
-    tell_members(&p, true);
-    tell_guests(&p);
-    tell_members(&p, false);
-    if (p.left)
-        rk_timer_start(m->n->loop, &m->tell, PUMP_MS);
+    p.waiting = rk_mesh_waiting_bytes(m);
+    send_to_members(&p, true);
+    send_to_inbound(&p);
+    send_to_members(&p, false);
+    if (p.incomplete)
+        rk_timer_start(m->n->loop, &m->transfer_timer, PASS_INTERVAL_MS);
 }
 
-void rk_tell_soon(struct rk_mesh *m)
+void rk_transfer_schedule(struct rk_mesh *m)
 {
-    if (!m->tell.slot)
-        rk_timer_start(m->n->loop, &m->tell, 0);
+    if (!m->transfer_timer.slot)
+        rk_timer_start(m->n->loop, &m->transfer_timer, 0);
 }
 
-void rk_tell_wanted(struct rk_mesh *m, struct link_told *told)
+void rk_transfer_on_settings_request(struct rk_mesh *m, struct link_state *state)
 {
-    told->wanted = true;
-    rk_tell_soon(m);
+    state->settings_requested = true;
+    rk_transfer_schedule(m);
 }
 
-void rk_tell_list_wanted(struct rk_mesh *m, struct rk_link *link,
-                         struct link_told *told, int64_t since)
+void rk_transfer_on_list_request(struct rk_mesh *m, struct rk_link *link,
+                                 struct link_state *state, int64_t since)
 {
     if (since) {
         if (rk_mesh_takes(link))
             send_list_since(m, link, since);
         return;
     }
-    told->list_wanted = true;
-    rk_tell_soon(m);
+    state->list_requested = true;
+    rk_transfer_schedule(m);
 }
 
 void rk_mesh_tell_settings(struct rk_mesh *m)
 {
-    m->wanted_ms = 0;
-    rk_tell_soon(m);
+    m->settings_requested_ms = 0;
+    rk_transfer_schedule(m);
 }
 
-void rk_tell_init(struct rk_mesh *m)
+void rk_transfer_init(struct rk_mesh *m)
 {
-    m->tell = (struct rk_timer){.fn = pump, .ctx = m};
+    m->transfer_timer = (struct rk_timer){.fn = run_pass, .ctx = m};
 }
