--- a/node/digest.c
+++ b/node/digest.c
@@ -1,9 +1,8 @@
 /* Received digests. In a larger fleet the bridges of a failure domain receive its
  * nodes' reports, send the sum to the bridges of the other domains, and send the
  * sum over the fleet to the nodes of their own domain. Of each such sum a node
- * counts one source at a time, and moves the baselines of all sources whenever it
- * counts, so that nothing is counted twice or lost when another source takes over.
- */
+ * counts one source at a time. Whenever it counts it moves the baselines of all
+ * sources, so that nothing is counted twice or lost when another one takes over. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/node/digest_tell.c
+++ b/node/digest_tell.c
@@ -87,8 +87,7 @@
     }
 }
 
-/* Adds the loads of the nodes of this domain and, if fleet, of the other domains.
- */
+/* Adds the loads of this domain's nodes and, if fleet, of the other domains. */
 static void add_nodes(struct digest_builder *p, const struct rk_mesh *m, bool fleet)
 {
     const struct rk_relay_report *r = m->n->report;
@@ -213,8 +212,7 @@
     return (k->reported_ms || k->heard_ms) && rk_mesh_is_alive(k, now_ms);
 }
 
-/* Which members a digest lists. SOME_MEMBERS has only the bridges of other domains.
- */
+/* Which members a digest lists. Of other domains, SOME_MEMBERS has only bridges. */
 enum members { NO_MEMBERS, SOME_MEMBERS, ALL_MEMBERS };
 
 static enum members members_of_round(const struct rk_mesh *m)
--- a/node/follow.c
+++ b/node/follow.c
@@ -3,13 +3,16 @@
 #include "common/eventlog.h"
 #include "core/following.h"
 
-#define WATCH_LOST_MS                                                              \
-    200 /* short, so that its end soon shows that the store is back */
+/* Duration of a watch while the store doesn't answer. It is short, so that the end
+ * of the watch soon shows that the store has recovered. */
+#define WATCH_LOST_MS  200
 #define RETRY_FIRST_MS 100
-/* Together with WATCH_LOST_MS it bounds the time until a recovered store is noticed
- * to 2 s, as at the entries. */
+/* Together with WATCH_LOST_MS it lets a node notice a recovered store within 2 s,
+ * the time in which VMs renew their entries there. */
 #define RETRY_MAX_MS 500
-#define BURST_MS     200 /* delay before a list, if changes outrun the answers */
+/* Delay before a list after an answer with several changes: they come faster than
+ * the answers arrive. */
+#define BURST_MS 200
 
 static void call_store(struct rk_follow *f);
 
@@ -80,14 +83,14 @@
     bool burst = f->list_when_behind && !f->listing && len > 1;
     if (burst)
         list_next(f);
-    int64_t pace_ms = burst && f->pace_ms < BURST_MS ? BURST_MS : f->pace_ms;
-    if (len && pace_ms)
-        rk_timer_start(f->n->loop, &f->timer, pace_ms);
+    int64_t delay_ms = burst && f->pace_ms < BURST_MS ? BURST_MS : f->pace_ms;
+    if (len && delay_ms)
+        rk_timer_start(f->n->loop, &f->timer, delay_ms);
     else
         call_store(f);
 }
 
-static int64_t watch_ms(const struct rk_follow *f)
+static int64_t watch_duration_ms(const struct rk_follow *f)
 {
     return f->lost ? WATCH_LOST_MS : RK_FOLLOWING_WATCH_MS;
 }
@@ -104,7 +107,8 @@
     if (f->listing)
         store->ops->list(store, f->kind, false, on_answer, f);
     else
-        store->ops->watch(store, f->kind, f->at, watch_ms(f), on_answer, f);
+        store->ops->watch(store, f->kind, f->at, watch_duration_ms(f), on_answer,
+                          f);
 }
 
 static void on_timer(void *ctx)
--- a/node/loads.c
+++ b/node/loads.c
@@ -127,7 +127,7 @@
     sum->begun += more.begun;
 }
 
-static uint32_t difference(uint32_t all, uint32_t own)
+static uint32_t saturating_sub(uint32_t all, uint32_t own)
 {
     return all > own ? all - own : 0;
 }
@@ -144,8 +144,8 @@
                            service);
         if (r)
             own = in_flight_of(r->services, r->services_len, service);
-        return (struct rk_in_flight){difference(sum.running, own.running),
-                                     difference(sum.begun, own.begun)};
+        return (struct rk_in_flight){saturating_sub(sum.running, own.running),
+                                     saturating_sub(sum.begun, own.begun)};
     }
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
         if (is_report_counted(k, now_ms))
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -1,10 +1,6 @@
-/* Private state of the mesh, the links between this node and the other nodes, and
- * the functions that its files share:
- * members.c (known nodes, reachability, election of bridges), mesh.c (links and
- * dispatch of messages), report.c and report_uses.c (each node's periodic report),
- * digest.c and digest_tell.c (aggregates that bridges exchange), loads.c (load by
- * VM), tell.c (transfer of settings and of the VM list), enrol.c (the store's list
- * of nodes). No other files include it. */
+/* Private state of the mesh, which links this node to the other nodes, and the
+ * functions that the mesh's files share. Each group of functions below names its
+ * file. Other modules use node/state.h. Control thread only. */
 #ifndef RK_NODE_MESH_IMPL_H
 #define RK_NODE_MESH_IMPL_H
 
@@ -39,18 +35,19 @@
 struct digest {
     int64_t received_ms; /* 0: none was received */
     uint64_t incarnation;
-    bool has_content; /* at least one was more than a heartbeat */
+    bool has_content; /* a full one was received, not only heartbeats */
     bool fleet;       /* covers the whole fleet, not only the sender's domain */
     int nodes_heard, nodes_total; /* reachable nodes; all nodes of the fleet */
     int64_t remembers_ms;         /* length of the sender's quota history */
     struct rk_vm_load *loads;
     size_t loads_len;
-    struct rk_org_uses
-        uses; /* the quota history comes with some of the digests only */
+    /* The usage of quotas, and the quota history, which comes only with some of the
+     * digests. */
+    struct rk_org_uses uses;
     struct rk_service_use *services;
     size_t services_len;
-    /* The sender's counters at the last time when a digest with the same coverage
-     * was counted. */
+    /* Whether baseline_uses and baseline_reads are valid: the sender's counters
+     * when a digest with the same coverage was last counted here. */
     bool has_baseline;
     /* Usage from before the baseline was not counted here and has to be taken from
      * the sender's quota history. */
@@ -80,7 +77,7 @@
     uint64_t hash;          /* of its id */
     bool bridge;            /* of its domain, by the last election */
     bool unproven;          /* listed again after removal, but not reachable yet */
-    uint64_t incarnation;
+    uint64_t incarnation;   /* of its last report; 0: its next one sets baselines */
     uint64_t last_incarnation; /* that a message came from; 0: none */
     uint64_t past_incarnations[PAST_INCARNATIONS]; /* before that, a ring */
     size_t past_len;
@@ -94,7 +91,7 @@
     int64_t added_ms;           /* when it became a member */
     bool was_reachable;         /* as logged last */
     bool leaving;               /* in a planned stop */
-    bool slow;        /* as it reported: it runs too late to be a good bridge */
+    bool slow;        /* as it reported: others are preferred as bridges */
     bool hears_store; /* as it reported: it watches the store and gets answers */
     int64_t remembers_ms; /* length of its quota history */
     struct rk_vm_load *loads;
@@ -110,7 +107,7 @@
     struct rk_rollout_seen *canary_stats; /* since its start */
     size_t canary_stats_len;
     bool canary_stats_of_domain; /* a sum over its whole domain */
-    int64_t canary_stats_ms;     /* when it sent them */
+    int64_t canary_stats_ms;     /* when they were received */
     struct digest digest;
 };
 
@@ -122,7 +119,7 @@
     struct inbound_link *next;
 };
 
-/* When counts of calls were sent last: of current windows, and of all windows. */
+/* When counts of calls were sent last: of windows that still fill, and of all. */
 struct rk_usage_sent {
     int64_t current_ms, all_ms;
 };
@@ -140,7 +137,7 @@
     struct rk_timer tick, report_timer, relay_timer, enrol, transfer_timer;
     int64_t next_tick_ms; /* when the next tick is due */
     double late_ms;       /* delay of ticks, exponentially smoothed */
-    bool slow;            /* ticks come too late for this node to be a bridge */
+    bool slow;            /* ticks are late: others are preferred as bridges */
     int64_t report_sent_ms;
     int64_t digest_sent_ms;
     unsigned digest_rounds;                   /* completed so far */
@@ -153,10 +150,9 @@
     char usage_leader[RK_ID_MAX]; /* the leader that got the last counts */
     int64_t announcement_sent_ms; /* of rollouts, by this node as leader */
     int64_t canary_stats_sent_ms;
-    int64_t
-        quarantine_sent_ms; /* rows that are repeated for as long as they hold */
-    int64_t limits_sent_ms; /* VMs' limits, repeated for as long as they hold */
-    size_t limits_offset;   /* limits sent by the rounds before this one */
+    /* Quarantine rows and VMs' limits are repeated for as long as they hold. */
+    int64_t quarantine_sent_ms, limits_sent_ms;
+    size_t limits_offset; /* number of limits to skip in the next message */
     int64_t enrol_ms;
     int lists_left;            /* further reads of the store's list of nodes */
     int64_t forgotten_ms;      /* when a member was removed last; 0: never */
@@ -248,15 +244,14 @@
 /* For rk_mesh_send(): selects the next hops of data that has to reach all nodes,
  * sent by the nodes that observed it and forwarded by bridges. */
 bool rk_mesh_forwards_to(const struct member *k, const void *ctx);
-/* Requests all rows of quota usage from a peer; known: with its quota history, too.
- */
+/* Requests all rows of quota usage from a peer; known: and its quota history. */
 void rk_mesh_want_uses(struct rk_link *link, bool known);
 /* Requests settings or VM list changes from a peer that has newer ones. */
 void rk_mesh_request_if_behind(struct rk_mesh *m, struct rk_link *link,
                                const struct link_state *state,
                                int64_t settings_version, int64_t list_revision);
-/* Adds units that peers used of an organisation's quota to the relay's next update;
- * negative: takes them off. */
+/* Adds units that peers used of an organisation's quota to the relay's next update.
+ * Negative units correct earlier ones. */
 void rk_mesh_add_news(struct rk_mesh *m, const char *org, double units);
 
 /* ---- report.c ---- */
@@ -375,8 +370,8 @@
 
 /* At a bridge: sends a round of digests if it is due. */
 void rk_digest_send(struct rk_mesh *m);
-/* Sends the member list over a link to a node that knows only this one's address.
- */
+/* Sends the member list to a node that knows only this one's address, over the link
+ * on which its report came. */
 void rk_digest_send_members(struct rk_mesh *m, struct rk_link *link,
                             struct link_state *state);
 /* Starts counting as a bridge: sets all baselines to what has been used so far. */
--- a/node/quarantine_tell.c
+++ b/node/quarantine_tell.c
@@ -11,11 +11,10 @@
 /* Time for which a changed row is sent with each round: four times, as a link may
  * be down. */
 #define CHANGED_FOR_MS     1100
-#define REPEAT_INTERVAL_MS 1000 /* for rows that are near being stopped, or are */
-/* Rows per message, by kind: a message has less than 6 KB, and is sent four times
- * after the end of a VM. */
+#define REPEAT_INTERVAL_MS 1000 /* for rows of requests stopped or close to it */
+/* Changed rows per message: under 6 KB, sent four times after the end of a VM. */
 #define CHANGED_ROWS_MAX 64
-#define REPEAT_ROWS_MAX  16
+#define REPEAT_ROWS_MAX  16 /* repeated rows per message */
 
 /* A message being built. */
 struct message {
--- a/node/quarantines.c
+++ b/node/quarantines.c
@@ -13,15 +13,15 @@
 #include "objects/store.h"
 
 #define KIND "rillknot-quarantine"
-#define FIRST_READ_MAX_MS                                                          \
-    600 /* after the start, at random, as nodes start together */
-/* First and largest delay between attempts to read, doubled each time: all nodes
- * may have started while the store doesn't answer, and peers send stopped requests,
- * too.
- */
+/* The first read is at a random time up to this after the start, as nodes start
+ * together. */
+#define FIRST_READ_MAX_MS 600
+/* First and largest delay between attempts to read, doubled each time, as all nodes
+ * may have started while the store doesn't answer. A late read does little harm:
+ * peers send stopped requests, too. */
 #define READ_RETRY_MIN_MS 500
 #define READ_RETRY_MAX_MS 8000
-#define WRITE_RETRY_MS    1000 /* after a write failed */
+#define WRITE_RETRY_MS    1000 /* after a failed write or removal */
 /* The node that stopped a request writes it. If that node ends before, others do so
  * after this delay plus a random one, so that usually only one of them writes. */
 #define OTHERS_WRITE_DELAY_MS 2000
--- a/node/rollout_tell.c
+++ b/node/rollout_tell.c
@@ -11,8 +11,7 @@
 #define ANNOUNCE_INTERVAL_MS      250  /* while there are rules */
 #define ANNOUNCE_IDLE_INTERVAL_MS 1000 /* while there are none */
 #define STATS_INTERVAL_MS         250
-#define STATS_MAX_AGE_MS                                                           \
-    3000 /* age up to which another domain's statistics count */
+#define STATS_MAX_AGE_MS          3000 /* of another domain's statistics */
 
 /* ---- announcements ---- */
 
@@ -141,7 +140,7 @@
 
 /* Sums the statistics of this node and of the nodes that send theirs to it. Returns
  * the length of *sum, which the caller frees. */
-static size_t sum_near(const struct rk_mesh *m, struct rk_rollout_seen **sum)
+static size_t sum_stats(const struct rk_mesh *m, struct rk_rollout_seen **sum)
 {
     const struct rk_relay_report *r = m->n->report;
     size_t len = 0;
@@ -173,7 +172,7 @@
 {
     struct rk_rollout_seen *all, *found;
     int64_t now_ms = rk_mono_ms();
-    size_t len = sum_near(m, &all);
+    size_t len = sum_stats(m, &all);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if (!m->direct && !rk_mesh_is_near(k) && is_newest(k, now_ms))
             add_stats(&all, &len, k->canary_stats, k->canary_stats_len);
@@ -185,7 +184,7 @@
 
 /* A message being built. */
 struct message {
-    Rillknot__RolloutSeen seen;
+    Rillknot__RolloutSeen msg;
     Rillknot__TrialSeen trials[RK_ROLLOUTS], *trial_ptrs[RK_ROLLOUTS];
     Rillknot__TrialRow rows[RK_ROLLOUTS][RK_TRIAL_ROWS];
     Rillknot__TrialRow *row_ptrs[RK_ROLLOUTS][RK_TRIAL_ROWS];
@@ -217,9 +216,9 @@
             encode_row(&p->rows[i][j], &stats[i].rows.rows[j]);
             p->row_ptrs[i][to->n_rows++] = &p->rows[i][j];
         }
-        p->trial_ptrs[p->seen.n_trials++] = to;
+        p->trial_ptrs[p->msg.n_trials++] = to;
     }
-    p->seen.trials = p->trial_ptrs;
+    p->msg.trials = p->trial_ptrs;
 }
 
 /* Nodes send their statistics to the bridges of their domain, or in a direct mesh
@@ -246,14 +245,14 @@
     m->canary_stats_sent_ms = now_ms;
     rk_duty_keeper_holder(m->n->duty_keeper, leader);
     struct rk_rollout_seen *sum;
-    size_t sum_len = sum_near(m, &sum);
+    size_t sum_len = sum_stats(m, &sum);
     struct message *own = rk_alloc(1, sizeof(*own)),
                    *all = rk_alloc(1, sizeof(*all));
-    rillknot__rollout_seen__init(&own->seen);
-    rillknot__rollout_seen__init(&all->seen);
-    own->seen.id = all->seen.id = m->n->file.id;
-    own->seen.domain = all->seen.domain = m->n->file.failure_domain;
-    all->seen.sum = true;
+    rillknot__rollout_seen__init(&own->msg);
+    rillknot__rollout_seen__init(&all->msg);
+    own->msg.id = all->msg.id = m->n->file.id;
+    own->msg.domain = all->msg.domain = m->n->file.failure_domain;
+    all->msg.sum = true;
     encode_stats(own, r->trials, r->trials_len);
     encode_stats(all, sum, sum_len);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
@@ -262,7 +261,7 @@
         if (!wants_stats(k, leader) || !rk_mesh_takes(k->link))
             continue;
         bool far = !m->direct && !rk_mesh_is_near(k);
-        frame.rollout_seen = far ? &all->seen : &own->seen;
+        frame.rollout_seen = far ? &all->msg : &own->msg;
         rk_link_send(k->link, &frame);
     }
     free(own);
--- a/node/signals.c
+++ b/node/signals.c
@@ -9,7 +9,7 @@
 
 #include "node/mesh_impl.h"
 
-#define EXPIRE_INTERVAL_MS 10000
+#define EXPIRE_INTERVAL_MS 10000 /* between removals of old rows */
 
 struct rk_signals {
     struct rk_node *n;
@@ -28,7 +28,7 @@
     return v->limited;
 }
 
-static bool says_leaving(const struct rk_vm_signal *v)
+static bool is_leaving(const struct rk_vm_signal *v)
 {
     return v->leaving;
 }
@@ -52,7 +52,7 @@
 
 size_t rk_signals_leaving(const struct rk_signals *s)
 {
-    return count(s, says_leaving);
+    return count(s, is_leaving);
 }
 
 void rk_signals_take(struct rk_signals *s, const struct rk_vm_signal *rows,
--- a/node/state.h
+++ b/node/state.h
@@ -231,8 +231,7 @@
 /* Merges rows of this node's relay or of a peer. */
 void rk_signals_take(struct rk_signals *s, const struct rk_vm_signal *rows,
                      size_t len);
-/* Sends changed signals, and changes of this node's share in limits, to the relay.
- */
+/* Sends changed signals and changed shares of limits to the relay. */
 void rk_signals_tick(struct rk_signals *s);
 /* Returns the table, owned by s. */
 const struct rk_vm_signals *rk_signals_table(const struct rk_signals *s);
--- a/node/usage_tell.c
+++ b/node/usage_tell.c
@@ -8,14 +8,14 @@
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define WINDOWS 4 /* that are sent, the current one included */
+#define WINDOWS 4 /* number that are sent, the current one included */
 /* Intervals for windows that still fill, and for all. With 1,000 ms for all windows
  * the leader's counts were 1.15 s old on average, and a kill of all 70 nodes lost
  * 304 of a window's 1,955 calls. The number of bytes is the same, as half as many
  * windows are sent twice as often. */
 #define CURRENT_INTERVAL_MS 500
 #define ALL_INTERVAL_MS     2000
-#define LATE_COUNTS_MS      1500 /* after its end: it still counts as filling */
+#define LATE_COUNTS_MS      1500 /* for which an ended window counts as filling */
 #define DIRECT_LAG_MS       250  /* mean age of counts in a direct mesh */
 #define BRIDGED_LAG_MS      600  /* mean age of counts that come by bridges */
 
