--- a/node/digest.c
+++ b/node/digest.c
@@ -19,8 +19,8 @@
  * more nodes or, among equals, has the lower id. */
 static bool is_better(const struct member *a, const struct member *b)
 {
-    if (!b || a->digest.nodes_heard != b->digest.nodes_heard)
-        return !b || a->digest.nodes_heard > b->digest.nodes_heard;
+    if (!b || a->digest.nodes_reachable != b->digest.nodes_reachable)
+        return !b || a->digest.nodes_reachable > b->digest.nodes_reachable;
     return strcmp(a->id, b->id) < 0;
 }
 
@@ -245,7 +245,7 @@
     }
     to->received_ms = now_ms;
     to->fleet = d->fleet;
-    to->nodes_heard = (int)d->nodes_heard;
+    to->nodes_reachable = (int)d->nodes_heard;
     to->nodes_total = (int)d->nodes_total;
     if (d->brief)
         return false;
@@ -253,7 +253,7 @@
     if (d->fleet && d->n_members)
         k->m->fleet_members_ms = now_ms;
     if (d->n_members)
-        to->remembers_ms = d->remembers_ms;
+        to->quota_history_ms = d->remembers_ms;
     if (d->vms_told)
         rk_loads_take(&to->loads, &to->loads_len, d->vms, d->n_vms);
     apply_uses(to, d);
--- a/node/digest_tell.c
+++ b/node/digest_tell.c
@@ -18,8 +18,8 @@
 #define FIRST_ROUNDS 8
 /* The more VMs there are, the fewer rounds have their loads: one round of
  * 1 + VMs / VMS_PER_ROUND, and at least one of VMS_ROUNDS_MAX. At 160 engines,
- * loads every 500 ms instead of every 250 ms made the slowest first tokens of a
- * hundred come 12% later, and 28% later under load. */
+ * loads every 500 ms instead of every 250 ms made the 99th percentile of the time
+ * to the first token 12% longer, and 28% longer under load. */
 #define VMS_PER_ROUND  300
 #define VMS_ROUNDS_MAX 8
 /* The second bridge of a domain sends only heartbeats to the domain's nodes in
@@ -103,7 +103,7 @@
             add_loads(p, k->loads, k->loads_len);
             add_in_flight(p, k->services, k->services_len);
         } else if (fleet && rk_digest_counts(k, now_ms)) {
-            p->digest.nodes_heard += (uint32_t)k->digest.nodes_heard;
+            p->digest.nodes_heard += (uint32_t)k->digest.nodes_reachable;
             add_loads(p, k->digest.loads, k->digest.loads_len);
             add_in_flight(p, k->digest.services, k->digest.services_len);
         }
--- a/node/loads.c
+++ b/node/loads.c
@@ -22,12 +22,12 @@
 
 static struct rk_pace decode_health(const Rillknot__VmUse *from)
 {
-    const struct rk_pace pace = {.log_sum = from->pace_log_sum,
-                                 .failed = from->pace_failed,
-                                 .calls = from->pace_calls,
-                                 .refused = from->pace_refused};
-    if (rk_pace_is_sound(&pace))
-        return pace;
+    const struct rk_pace health = {.log_sum = from->pace_log_sum,
+                                   .failed = from->pace_failed,
+                                   .calls = from->pace_calls,
+                                   .refused = from->pace_refused};
+    if (rk_pace_is_sound(&health))
+        return health;
     RK_WARN("pace.rejected", RK_S("vm", from->id));
     return (struct rk_pace){0};
 }
--- a/node/members.c
+++ b/node/members.c
@@ -194,7 +194,7 @@
         if (m->direct || rk_mesh_is_near(k))
             count += rk_mesh_is_heard(k, now_ms);
         else if (rk_digest_counts(k, now_ms))
-            count += k->digest.nodes_heard;
+            count += k->digest.nodes_reachable;
     }
     return count;
 }
@@ -203,7 +203,7 @@
 {
     int64_t now_ms = rk_mono_ms();
     const struct member *source = rk_digest_of_fleet(m, now_ms);
-    return source ? source->digest.nodes_heard : count_reachable(m, now_ms);
+    return source ? source->digest.nodes_reachable : count_reachable(m, now_ms);
 }
 
 /* Returns whether a member counts as a node of the fleet. One in a planned stop
@@ -290,7 +290,7 @@
 
 /* ---- election of bridges ---- */
 
-struct candidate {
+struct rank_key {
     int64_t capacity;
     uint64_t hash;
 };
@@ -298,26 +298,26 @@
 /* The bridges of a domain, in order of precedence. */
 struct bridges {
     char domain[RK_ID_MAX];
-    struct candidate nodes[RK_MESH_BRIDGES];
+    struct rank_key nodes[RK_MESH_BRIDGES];
     size_t len;
 };
 
 /* A slow node counts with a part of its capacity, but not with none: if the large
  * machines of a domain are slow, much smaller ones would only do worse. */
-static struct candidate candidate_of(int64_t capacity, bool slow, uint64_t hash)
+static struct rank_key rank_key_of(int64_t capacity, bool slow, uint64_t hash)
 {
-    return (struct candidate){.capacity = slow ? capacity / SLOW_DIVISOR : capacity,
-                              .hash = hash};
+    return (struct rank_key){.capacity = slow ? capacity / SLOW_DIVISOR : capacity,
+                             .hash = hash};
 }
 
-static bool precedes(struct candidate a, struct candidate b)
+static bool precedes(struct rank_key a, struct rank_key b)
 {
     if (a.capacity != b.capacity)
         return a.capacity > b.capacity;
     return a.hash < b.hash;
 }
 
-static void insert_candidate(struct bridges *b, struct candidate c)
+static void insert_node(struct bridges *b, struct rank_key c)
 {
     size_t at = b->len;
     while (at > 0 && precedes(c, b->nodes[at - 1]))
@@ -365,8 +365,8 @@
 
 void rk_mesh_elect(struct rk_mesh *m, int64_t now_ms)
 {
-    const struct candidate self =
-        candidate_of(rk_mesh_capacity(m), m->slow, rk_hash_str(0, m->n->file.id));
+    const struct rank_key self =
+        rank_key_of(rk_mesh_capacity(m), m->slow, rk_hash_str(0, m->n->file.id));
     struct bridges all[RK_DOMAIN_PRICES];
     size_t len = 0;
     struct bridges *b = bridges_of(all, &len, m->n->file.failure_domain);
@@ -376,13 +376,13 @@
     m->rank = 0;
     m->has_store_watch = false;
     if (!m->n->leaving)
-        insert_candidate(b, self);
+        insert_node(b, self);
     for (struct member *k = m->members; k; k = k->next) {
-        const struct candidate c = candidate_of(k->capacity, k->slow, k->hash);
+        const struct rank_key c = rank_key_of(k->capacity, k->slow, k->hash);
         if (!may_bridge(k, now_ms))
             continue;
         if ((b = bridges_of(all, &len, k->domain)))
-            insert_candidate(b, c);
+            insert_node(b, c);
         if (!rk_mesh_is_near(k) || !precedes(c, self))
             continue;
         m->rank++;
--- a/node/mesh.c
+++ b/node/mesh.c
@@ -403,8 +403,8 @@
     const struct member *source =
         m->catch_up_source ? m->catch_up_source : rk_digest_of_fleet(m, now_ms);
     if (source && (m->catch_up_source || !uses ||
-                   source->digest.remembers_ms > p->remembers_ms)) {
-        p->remembers_ms = source->digest.remembers_ms;
+                   source->digest.quota_history_ms > p->remembers_ms)) {
+        p->remembers_ms = source->digest.quota_history_ms;
         p->known_len = source->digest.uses.len;
         uses = source->digest.uses.rows;
     }
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -37,8 +37,8 @@
     uint64_t incarnation;
     bool has_content; /* a full one was received, not only heartbeats */
     bool fleet;       /* covers the whole fleet, not only the sender's domain */
-    int nodes_heard, nodes_total; /* reachable nodes; all nodes of the fleet */
-    int64_t remembers_ms;         /* length of the sender's quota history */
+    int nodes_reachable, nodes_total; /* of what it covers; of the fleet */
+    int64_t quota_history_ms;         /* length of the sender's quota history */
     struct rk_vm_load *loads;
     size_t loads_len;
     /* The usage of quotas, and the quota history, which comes only with some of the
@@ -225,8 +225,8 @@
 /* Removes members that have been unreachable for long, and logs members that became
  * reachable or unreachable. */
 void rk_mesh_expire_members(struct rk_mesh *m, int64_t now_ms);
-/* Elects the bridges of each failure domain. All nodes that know the same members
- * elect the same bridges. */
+/* Elects the bridges of each failure domain, and updates this node's own role and
+ * rank. All nodes that know the same members elect the same bridges. */
 void rk_mesh_elect(struct rk_mesh *m, int64_t now_ms);
 
 /* ---- mesh.c ---- */
--- a/node/signals.c
+++ b/node/signals.c
@@ -14,7 +14,7 @@
 struct rk_signals {
     struct rk_node *n;
     struct rk_vm_signals table;
-    uint64_t candidates_hash; /* candidates.hash when shares were computed last */
+    uint64_t possible_hash; /* at the last computation of shares */
     int64_t expired_ms;
 };
 
@@ -70,7 +70,7 @@
 /* ---- shares of limits ---- */
 
 /* Hashes of the other nodes that may share a limit. */
-struct candidates {
+struct possible_senders {
     uint64_t *near, *all; /* nodes of this failure domain; of all domains */
     size_t near_len, all_len;
     uint64_t hash; /* of all these, and of whether this node may share one */
@@ -81,9 +81,10 @@
     return k->id[0] && !k->leaving && rk_mesh_is_alive(k, now_ms);
 }
 
-static struct candidates find_candidates(const struct rk_mesh *m, int64_t now_ms)
+static struct possible_senders find_possible_senders(const struct rk_mesh *m,
+                                                     int64_t now_ms)
 {
-    struct candidates c = {.hash = (uint64_t)m->listed << 1 | m->n->leaving};
+    struct possible_senders c = {.hash = (uint64_t)m->listed << 1 | m->n->leaving};
     c.near = rk_alloc(rk_mesh_count(m) + 1, sizeof(*c.near));
     c.all = rk_alloc(rk_mesh_count(m) + 1, sizeof(*c.all));
     for (const struct member *k = m->members; k; k = k->next) {
@@ -97,7 +98,7 @@
     return c;
 }
 
-static void free_candidates(struct candidates *c)
+static void free_possible_senders(struct possible_senders *c)
 {
     free(c->near);
     free(c->all);
@@ -114,7 +115,7 @@
 /* Returns the number of nodes that share the VM's limit, this one included; 0: this
  * node has no share. */
 static int count_senders(const struct rk_mesh *m, const struct rk_vm_signal *v,
-                         const struct candidates *c)
+                         const struct possible_senders *c)
 {
     uint64_t own = rk_hash_str(0, m->n->file.id);
     if (!v->limited || !m->listed || m->n->leaving)
@@ -130,12 +131,12 @@
 
 /* Collects the rows whose limit or share differs from what the relay has. */
 static size_t collect(struct rk_signals *s, struct rk_vm_signal *out,
-                      const struct candidates *c)
+                      const struct possible_senders *c)
 {
     struct lh_entry *e;
     size_t len = 0;
-    bool all = c->hash != s->candidates_hash;
-    s->candidates_hash = c->hash;
+    bool all = c->hash != s->possible_hash;
+    s->possible_hash = c->hash;
     lh_foreach (s->table.by_life, e) {
         struct rk_vm_signal *v = lh_entry_v(e);
         if (v->senders != RK_SENDERS_UNKNOWN && !all)
@@ -163,10 +164,10 @@
     size_t len = rk_vm_signals_len(&s->table);
     if (!len)
         return;
-    struct candidates candidates = find_candidates(s->n->mesh, now_ms);
+    struct possible_senders possible = find_possible_senders(s->n->mesh, now_ms);
     struct rk_vm_signal *rows = rk_alloc(len, sizeof(*rows));
-    len = collect(s, rows, &candidates);
-    free_candidates(&candidates);
+    len = collect(s, rows, &possible);
+    free_possible_senders(&possible);
     if (!len)
         free(rows);
     else if (!rk_relay_set_signals(s->n->relay, rows, len))
