--- a/core/place_signals.c
+++ b/core/place_signals.c
@@ -127,7 +127,7 @@
         return;
     for (const struct rk_place_vm *v = p->vms; v; v = v->next)
         if (v->listed && v->signal && (v->signal->limited || v->signal->leaving))
-            v->signal->heard_ms = now_ms;
+            v->signal->last_received_ms = now_ms;
     rk_vm_signals_forget(&p->signals, now_ms);
     relink_signals(p, now_ms);
 }
--- a/core/router.c
+++ b/core/router.c
@@ -300,7 +300,7 @@
     int64_t wait =
         r->policy == RK_ROUTE_ADAPTIVE ? expected_wait_ms(r, job, now_ms) : 0;
     int64_t allowed = allowed_wait_ms(job, now_ms);
-    if (!job->retry && wait > (allowed > 0 ? allowed : 0)) {
+    if (!job->is_retry && wait > (allowed > 0 ? allowed : 0)) {
         *retry_after_ms = wait - (allowed > 0 ? allowed : 0) + MIN_RETRY_AFTER_MS;
         return RK_SUBMIT_REFUSED;
     }
@@ -474,7 +474,7 @@
     if (job->excluded_len < RK_MAX_EXCLUDED)
         job->excluded[job->excluded_len++] = job->vm;
     release_vm(r, job, true, now_ms);
-    job->retry = true;
+    job->is_retry = true;
     fill_waiter(job);
     /* It has waited in the queue once: it is sent at once, also if it is
      * deferrable. */
--- a/core/router.h
+++ b/core/router.h
@@ -62,7 +62,7 @@
     int64_t max_tokens;            /* tokens requested; 0 for plain services */
     int excluded[RK_MAX_EXCLUDED]; /* handles of VMs that failed this call */
     size_t excluded_len;
-    bool retry; /* was admitted before: not refused again for its expected wait */
+    bool is_retry; /* was admitted before: not refused for its expected wait */
     /* Set by the router. */
     struct rk_waiter waiter;
     enum rk_job_state state;
--- a/core/vm_signals.c
+++ b/core/vm_signals.c
@@ -56,7 +56,7 @@
         s->by_life = lh_kptr_table_new(INITIAL_ROWS, free_row);
     v = rk_alloc(1, sizeof(*v));
     v->life = life;
-    v->heard_ms = now_ms;
+    v->last_received_ms = now_ms;
     rk_strcpy(v->domain, sizeof(v->domain), domain);
     lh_table_insert(s->by_life, table_key(life), v);
     return v;
@@ -187,7 +187,7 @@
                            const struct rk_vm_said *advertised, int64_t now_ms)
 {
     unsigned changed = 0;
-    v->heard_ms = now_ms;
+    v->last_received_ms = now_ms;
     if (apply_advertised_limit(v, advertised, now_ms))
         changed |= RK_VM_LIMIT_CHANGED;
     if (advertised->leaving && set_leaving(v, true, now_ms))
@@ -205,7 +205,7 @@
                             const struct rk_vm_signal *reported, int64_t now_ms)
 {
     unsigned changed = 0;
-    v->heard_ms = now_ms;
+    v->last_received_ms = now_ms;
     if (reported->limit_ms > v->limit_ms &&
         set_limit(v, reported->limited, reported->limit_per_s, reported->limit_ms,
                   now_ms)) {
@@ -226,7 +226,8 @@
         return;
     lh_foreach_safe (s->by_life, e, next) {
         const struct rk_vm_signal *v = lh_entry_v(e);
-        if (now_ms - v->heard_ms > RETENTION_MS && now_ms >= v->rest_until_ms)
+        if (now_ms - v->last_received_ms > RETENTION_MS &&
+            now_ms >= v->rest_until_ms)
             lh_table_delete_entry(s->by_life, e);
     }
 }
--- a/core/vm_signals.h
+++ b/core/vm_signals.h
@@ -31,7 +31,7 @@
 struct rk_vm_signal {
     uint64_t life; /* hash of the VM's id and incarnation */
     char domain[RK_ID_MAX];
-    int64_t heard_ms; /* when a signal was last received, here or by a peer */
+    int64_t last_received_ms; /* last signal received, here or by a peer */
     bool limited;
     double limit_per_s;
     int64_t limit_ms; /* time of the answer that set the limit; 0: there was none */
