--- a/node/duties.c
+++ b/node/duties.c
@@ -1,9 +1,9 @@
-/* What one node does for all: it holds a lease in the store, reports usage and
- * orders vms under the lease's epoch as fencing token.
+/* Leader duties. The leader is the node that holds a lease in the store. It reports
+ * usage to the platform and orders VMs, with the lease's epoch as fencing token.
  *
- * A window's counts are first written to the store, created only if absent, and
- * then reported exactly as the store has them: whoever takes over reports the
- * same numbers again, never its own. */
+ * A window's counts are first written to the store, only if it has none, and then
+ * reported exactly as the store has them. A new leader therefore repeats the
+ * numbers of the previous one and never reports different ones. */
 #include <inttypes.h>
 #include <json-c/json.h>
 #include <stdio.h>
@@ -16,63 +16,75 @@
 #include "node/state.h"
 #include "objects/store.h"
 
-#define TICK_MS         200
-#define LOOK_MS         5 /* after news: for those that come together */
+#define TICK_MS 200
+/* Delay of a scheduled tick, so that changes that arrive together are handled in
+ * one tick. */
+#define CHANGE_DELAY_MS 5
 #define LEASE_KIND      "rillknot-leases"
 #define LEASE_NAME      "duties"
 #define USAGE_KIND      "rillknot-usage"
-#define UNLISTED_MS     2000 /* then it stands without knowing who the others are */
-#define STAND_JITTER_MS 1200 /* candidates don't all try at once */
-#define LOST_WAIT_MS    5000 /* who lost the lease stands again later than others */
-#define STRAGGLERS_MS   1500 /* after a window's end: reports on their way */
-#define SILENT_WAIT_MS  4000 /* the same while a node is silent */
-/* After taking the duties over: bridges tell their domain's counts each second, to
- * the holder alone, and learn within a second more who that is. A window was
- * reported with 36% of its calls without it. */
-#define TOLD_ALL_MS    2500
-#define LAST_CALL_MS   1000 /* before a report is late it is made as it is */
-#define USAGE_RETRY_MS 400
-#define WINDOWS        8  /* looked back at */
-#define KEPT_WINDOWS   30 /* in the store */
-
-/* A window's report on its way. */
+/* A node that still has no list of the other nodes after this time becomes a
+ * candidate for the lease nevertheless. */
+#define NODE_LIST_WAIT_MS 2000
+/* Candidates add up to this much to their waiting time, so that they don't all
+ * write at once. */
+#define LEASE_JITTER_MS 1200
+/* A node that lost the lease waits this much longer than other candidates. */
+#define LEASE_LOST_BACKOFF_MS 5000
+/* Delay of a report after its window's end, for counts that are still on their way
+ * to the leader; the second one applies while a node is unreachable. */
+#define REPORT_DELAY_MS             1500
+#define REPORT_DELAY_UNREACHABLE_MS 4000
+/* Time after which a new leader has the counts of all domains: bridges send them to
+ * the leader alone, once a second, and learn within another second who it is.
+ * Without this, a window was reported with 36% of its calls. */
+#define COUNTS_COLLECTED_MS 2500
+/* This long before a report would be late, it is made of the counts that are there.
+ */
+#define REPORT_MARGIN_MS 1000
+#define USAGE_RETRY_MS   400
+#define RECENT_WINDOWS   8  /* windows whose reports are tracked */
+#define STORED_WINDOWS   30 /* windows whose counts the store keeps */
+
+/* State of the report of one window. */
 enum window_state {
     WINDOW_NEW,
-    WINDOW_WRITING, /* to the store */
-    WINDOW_KEPT,    /* in the store */
-    WINDOW_SENDING,
-    WINDOW_DONE,
+    WINDOW_STORING, /* the counts are being written to the store */
+    WINDOW_STORED,
+    WINDOW_REPORTING,
+    WINDOW_REPORTED,
 };
 
 struct window {
     struct rk_duty_keeper *k;
     int64_t number;
     enum window_state state;
-    int64_t again_ms; /* not before */
-    char *counts;     /* JSON text, as the store has it */
+    int64_t retry_at_ms; /* no attempt before this time */
+    char *counts;        /* JSON text, as the store has it */
 };
 
 struct rk_duty_keeper {
     struct rk_node *n;
     struct rk_lease lease;
-    char holder[RK_ID_MAX];
-    bool busy; /* a call about the lease is under way */
-    bool must_read;
-    bool was_held;
-    int64_t taken_ms, lost_ms; /* when it last was */
+    char holder[RK_ID_MAX]; /* this process as lease holder: "ID/INCARNATION" */
+    bool lease_busy;        /* a read or write of the lease is in flight */
+    bool must_read;         /* the lease has to be read before the next write */
+    bool was_held;          /* as of the last update_held() */
+    int64_t acquired_ms, lost_ms; /* when was_held changed last; 0: never */
     int64_t jitter_ms;
     struct rk_timer tick;
-    char value[RK_LEASE_VALUE_MAX];      /* of the write that stood last */
-    char seen_value[RK_LEASE_VALUE_MAX]; /* of another holder */
-    struct window windows[WINDOWS];
+    char own_value[RK_LEASE_VALUE_MAX];  /* of this node's last write */
+    char read_value[RK_LEASE_VALUE_MAX]; /* as read or reported last */
+    struct window windows[RECENT_WINDOWS];
     struct rk_orders *orders;
-    int64_t first_window; /* none before is due */
+    int64_t first_window; /* number of the first window to report */
     int64_t started_ms;
 };
 
 /* ---- the lease ---- */
 
-static void note_lease(struct rk_duty_keeper *k)
+/* Logs when this node has acquired or lost the lease. */
+static void update_held(struct rk_duty_keeper *k)
 {
     int64_t epoch;
     bool held = rk_lease_valid(&k->lease, rk_mono_ms(), &epoch);
@@ -80,7 +92,7 @@
         return;
     k->was_held = held;
     if (held)
-        k->taken_ms = rk_mono_ms();
+        k->acquired_ms = rk_mono_ms();
     else
         k->lost_ms = rk_mono_ms();
     RK_EVENT(held ? "lease.taken" : "lease.lost",
@@ -89,74 +101,78 @@
              RK_N("seen_epoch", k->lease.epoch));
 }
 
-static void seen(struct rk_duty_keeper *k, const struct rk_store_object *o)
+static void apply_lease_object(struct rk_duty_keeper *k,
+                               const struct rk_store_object *o)
 {
     const char *value = o && o->spec ? json_object_to_json_string(o->spec) : "{}";
     rk_lease_seen(&k->lease, o ? o->revision : 0, value, rk_mono_ms());
-    rk_strcpy(k->seen_value, sizeof(k->seen_value), o ? value : "");
+    rk_strcpy(k->read_value, sizeof(k->read_value), o ? value : "");
     k->must_read = false;
 }
 
-static void on_read(void *ctx, enum rk_status st, const struct rk_store_object *o)
+static void on_lease_read(void *ctx, enum rk_status st,
+                          const struct rk_store_object *o)
 {
     struct rk_duty_keeper *k = ctx;
-    k->busy = false;
+    k->lease_busy = false;
     if (st == RK_OK && o)
-        seen(k, o);
+        apply_lease_object(k, o);
     else if (st == RK_ENOTFOUND)
-        seen(k, NULL);
-    note_lease(k);
+        apply_lease_object(k, NULL);
+    update_held(k);
 }
 
-static void on_written(void *ctx, enum rk_status st,
-                       const struct rk_store_object *o)
+static void on_lease_written(void *ctx, enum rk_status st,
+                             const struct rk_store_object *o)
 {
     struct rk_duty_keeper *k = ctx;
-    k->busy = false;
+    k->lease_busy = false;
     if (st == RK_OK && !o)
         st = RK_EUNKNOWN;
     rk_lease_written(&k->lease, st, o ? o->revision : 0, rk_mono_ms());
     if (st == RK_ECONFLICT && o)
-        seen(k, o);
+        apply_lease_object(k, o);
     else if (st != RK_OK)
         k->must_read = true;
-    note_lease(k);
+    update_held(k);
 }
 
 static void read_lease(struct rk_duty_keeper *k)
 {
     struct rk_store *store = k->n->store;
-    k->busy = true;
-    store->ops->read(store, LEASE_KIND, LEASE_NAME, false, on_read, k);
+    k->lease_busy = true;
+    store->ops->read(store, LEASE_KIND, LEASE_NAME, false, on_lease_read, k);
 }
 
-/* How long this node waits for a sign of the holder. */
-static int64_t patience_ms(const struct rk_duty_keeper *k)
+/* Returns how long the lease has to stay unchanged before this node may take it; at
+ * the leader, the lease's duration. */
+static int64_t takeover_wait_ms(const struct rk_duty_keeper *k)
 {
     int64_t ms = (int64_t)k->n->file.lease_ms;
     if (k->lease.held)
         return ms;
     ms += k->jitter_ms;
-    if (k->lost_ms && rk_mono_ms() - k->lost_ms < 2 * LOST_WAIT_MS)
-        ms += LOST_WAIT_MS;
+    if (k->lost_ms && rk_mono_ms() - k->lost_ms < 2 * LEASE_LOST_BACKOFF_MS)
+        ms += LEASE_LOST_BACKOFF_MS;
     return ms;
 }
 
-/* In a large fleet bridges stand for the lease; others only when it seems that no
- * bridge does. */
-static bool may_stand(const struct rk_duty_keeper *k)
+/* Returns whether this node is a candidate for the lease. In a large fleet only the
+ * bridges are, unless the lease stays unchanged for so long that there seems to be
+ * no bridge. */
+static bool is_candidate(const struct rk_duty_keeper *k)
 {
     int64_t since_ms = k->lease.seen_ms ? k->lease.seen_ms : k->started_ms;
-    bool listed =
-        rk_mesh_is_listed(k->n->mesh) || rk_mono_ms() - k->started_ms > UNLISTED_MS;
+    bool listed = rk_mesh_is_listed(k->n->mesh) ||
+                  rk_mono_ms() - k->started_ms > NODE_LIST_WAIT_MS;
     return k->was_held || (listed && rk_mesh_stands(k->n->mesh)) ||
            rk_mono_ms() - since_ms > 3 * (int64_t)k->n->file.lease_ms;
 }
 
-static void tend_lease(struct rk_duty_keeper *k)
+static void update_lease(struct rk_duty_keeper *k)
 {
     struct rk_store *store = k->n->store;
-    if (k->busy || !may_stand(k))
+    if (k->lease_busy || !is_candidate(k))
         return;
     if (!k->lease.seen_ms || k->must_read) {
         read_lease(k);
@@ -164,18 +180,19 @@
     }
     char value[RK_LEASE_VALUE_MAX];
     int64_t expect;
-    k->lease.life_ms = patience_ms(k);
-    bool wants = rk_lease_wants(&k->lease, rk_mono_ms(), value, &expect);
+    k->lease.life_ms = takeover_wait_ms(k);
+    bool must_write = rk_lease_wants(&k->lease, rk_mono_ms(), value, &expect);
     k->lease.life_ms = (int64_t)k->n->file.lease_ms;
-    if (!wants || (k->n->leaving && !k->was_held))
+    if (!must_write || (k->n->leaving && !k->was_held))
         return;
-    k->busy = true;
-    rk_strcpy(k->value, sizeof(k->value), value);
+    k->lease_busy = true;
+    rk_strcpy(k->own_value, sizeof(k->own_value), value);
     if (expect)
         store->ops->replace(store, LEASE_KIND, LEASE_NAME, expect, value,
-                            on_written, k);
+                            on_lease_written, k);
     else
-        store->ops->create(store, LEASE_KIND, LEASE_NAME, value, on_written, k);
+        store->ops->create(store, LEASE_KIND, LEASE_NAME, value, on_lease_written,
+                           k);
 }
 
 bool rk_duty_keeper_lease(const struct rk_duty_keeper *k, int64_t *version,
@@ -185,20 +202,20 @@
     if (!rk_lease_valid(&k->lease, rk_mono_ms(), &epoch))
         return false;
     *version = k->lease.version;
-    *value = k->value;
+    *value = k->own_value;
     return true;
 }
 
 void rk_duty_keeper_seen(struct rk_duty_keeper *k, int64_t version,
                          const char *value)
 {
-    if (!k->busy) {
+    if (!k->lease_busy) {
         bool newer = version > k->lease.version;
         rk_lease_seen(&k->lease, version, value, rk_mono_ms());
         if (newer)
-            rk_strcpy(k->seen_value, sizeof(k->seen_value), value);
+            rk_strcpy(k->read_value, sizeof(k->read_value), value);
     }
-    note_lease(k);
+    update_held(k);
 }
 
 bool rk_duty_keeper_newest(const struct rk_duty_keeper *k, int64_t *version,
@@ -207,8 +224,8 @@
     if (rk_duty_keeper_lease(k, version, value))
         return true;
     *version = k->lease.version;
-    *value = k->seen_value;
-    return k->lease.version && k->seen_value[0];
+    *value = k->read_value;
+    return k->lease.version && k->read_value[0];
 }
 
 void rk_duty_keeper_holder(const struct rk_duty_keeper *k, char id[RK_ID_MAX])
@@ -217,18 +234,20 @@
     id[strcspn(id, "/")] = '\0';
 }
 
-/* Another holder acted: this token is worth nothing any more. */
-static void refused(struct rk_duty_keeper *k, const char *duty, const char *detail)
+/* The platform has seen a higher fencing token, so there is a newer leader: gives
+ * the lease up. */
+static void handle_refusal(struct rk_duty_keeper *k, const char *duty,
+                           const char *detail)
 {
     RK_WARN("duty.refused", RK_S("duty", duty), RK_N("epoch", k->lease.held_epoch),
             RK_S("detail", detail));
     k->lease.held = false;
     k->lease.held_epoch = -1;
     k->must_read = true;
-    note_lease(k);
+    update_held(k);
 }
 
-static bool token(const struct rk_duty_keeper *k, struct rk_duty_token *out)
+static bool get_token(const struct rk_duty_keeper *k, struct rk_duty_token *out)
 {
     out->holder = k->n->file.id;
     return rk_lease_valid(&k->lease, rk_mono_ms(), &out->fence);
@@ -236,7 +255,7 @@
 
 /* ---- usage ---- */
 
-static char *counts_of(const struct rk_duty_keeper *k, int64_t window)
+static char *format_counts(const struct rk_duty_keeper *k, int64_t window)
 {
     const struct rk_routes *routes = rk_sync_routes(k->n->sync);
     struct rk_buf b = {0};
@@ -254,160 +273,169 @@
     return b.data;
 }
 
-static void on_reported(void *ctx, enum rk_status st, const char *detail)
+static void on_usage_reported(void *ctx, enum rk_status st, const char *detail)
 {
     struct window *w = ctx;
     struct rk_duty_keeper *k = w->k;
     RK_EVENT("usage.reported", RK_N("window", w->number),
              RK_S("status", rk_status_str(st)), RK_S("counts", w->counts));
-    w->state = st == RK_OK ? WINDOW_DONE : WINDOW_KEPT;
-    w->again_ms = rk_mono_ms() + USAGE_RETRY_MS;
+    w->state = st == RK_OK ? WINDOW_REPORTED : WINDOW_STORED;
+    w->retry_at_ms = rk_mono_ms() + USAGE_RETRY_MS;
     if (st == RK_ECONFLICT)
-        refused(k, "usage", detail);
+        handle_refusal(k, "usage", detail);
 }
 
-static void report(struct window *w)
+static void report_window(struct window *w)
 {
     struct rk_duty_keeper *k = w->k;
     struct rk_duties *duties = k->n->duties;
     struct rk_duty_token t;
-    if (!token(k, &t))
+    if (!get_token(k, &t))
         return;
-    w->state = WINDOW_SENDING;
-    duties->ops->report_usage(duties, &t, w->number, w->counts, on_reported, w);
+    w->state = WINDOW_REPORTING;
+    duties->ops->report_usage(duties, &t, w->number, w->counts, on_usage_reported,
+                              w);
 }
 
-static void on_kept(void *ctx, enum rk_status st, const struct rk_store_object *o)
+static void on_window_stored(void *ctx, enum rk_status st,
+                             const struct rk_store_object *o)
 {
     struct window *w = ctx;
-    bool kept = (st == RK_OK || st == RK_ECONFLICT) && o && o->spec;
+    bool stored = (st == RK_OK || st == RK_ECONFLICT) && o && o->spec;
     w->state = WINDOW_NEW;
-    if (!kept) {
-        w->again_ms = rk_mono_ms() + USAGE_RETRY_MS;
+    if (!stored) {
+        w->retry_at_ms = rk_mono_ms() + USAGE_RETRY_MS;
         return;
     }
     free(w->counts);
     w->counts = rk_strdup(json_object_to_json_string(o->spec));
-    w->state = WINDOW_KEPT;
-    report(w);
+    w->state = WINDOW_STORED;
+    report_window(w);
 }
 
-static void on_removed(void *ctx, enum rk_status st,
-                       const struct rk_store_object *o)
+static void on_window_removed(void *ctx, enum rk_status st,
+                              const struct rk_store_object *o)
 {
     (void)ctx;
     (void)st;
-    (void)o; /* one that stays costs nothing but its place */
+    (void)o; /* an object that could not be removed does no harm */
 }
 
-static void keep(struct window *w)
+static void store_window(struct window *w)
 {
     struct rk_store *store = w->k->n->store;
     char name[RK_ID_MAX];
     snprintf(name, sizeof(name), "%" PRId64, w->number);
-    char *counts = counts_of(w->k, w->number);
-    w->state = WINDOW_WRITING;
-    store->ops->create(store, USAGE_KIND, name, counts, on_kept, w);
+    char *counts = format_counts(w->k, w->number);
+    w->state = WINDOW_STORING;
+    store->ops->create(store, USAGE_KIND, name, counts, on_window_stored, w);
     free(counts);
-    if (w->number - KEPT_WINDOWS < w->k->first_window)
+    if (w->number - STORED_WINDOWS < w->k->first_window)
         return;
-    snprintf(name, sizeof(name), "%" PRId64, w->number - KEPT_WINDOWS);
-    store->ops->remove(store, USAGE_KIND, name, on_removed, NULL);
+    snprintf(name, sizeof(name), "%" PRId64, w->number - STORED_WINDOWS);
+    store->ops->remove(store, USAGE_KIND, name, on_window_removed, NULL);
 }
 
+/* Returns the slot of a window; NULL: an older window still uses it. */
 static struct window *window_slot(struct rk_duty_keeper *k, int64_t number)
 {
-    struct window *w = &k->windows[(size_t)number % WINDOWS];
+    struct window *w = &k->windows[(size_t)number % RECENT_WINDOWS];
     if (w->number == number)
         return w;
-    if (w->state == WINDOW_WRITING || w->state == WINDOW_SENDING)
-        return NULL; /* its call comes back to this place */
+    if (w->state == WINDOW_STORING || w->state == WINDOW_REPORTING)
+        return NULL; /* the callback of a call in flight refers to this slot */
     free(w->counts);
     *w = (struct window){.k = k, .number = number};
     return w;
 }
 
-/* How long after its end a window is reported at the earliest. */
+/* Returns the least delay in ms between a window's end and its report. */
 static int64_t report_wait_ms(const struct rk_node *n)
 {
-    bool silent = rk_mesh_heard(n->mesh) < rk_mesh_total(n->mesh);
-    return silent ? SILENT_WAIT_MS : STRAGGLERS_MS;
+    bool unreachable = rk_mesh_heard(n->mesh) < rk_mesh_total(n->mesh);
+    return unreachable ? REPORT_DELAY_UNREACHABLE_MS : REPORT_DELAY_MS;
 }
 
-/* Is the report of a window that ended so long ago due? Counts that are still on
- * their way are waited for while there is time. */
-static bool is_due(const struct rk_duty_keeper *k, int64_t past_ms)
+/* Returns whether the report of a window is due that ended since_end_ms ago. It
+ * waits for counts that are still on their way, as long as it does not get late by
+ * that. */
+static bool is_due(const struct rk_duty_keeper *k, int64_t since_end_ms)
 {
     const struct rk_node *n = k->n;
-    if (past_ms >= rk_s_to_ms(n->file.usage_late_s) - LAST_CALL_MS)
-        return past_ms >= 0;
-    return past_ms >= report_wait_ms(n) &&
-           rk_mono_ms() - k->taken_ms >= TOLD_ALL_MS;
+    if (since_end_ms >= rk_s_to_ms(n->file.usage_late_s) - REPORT_MARGIN_MS)
+        return since_end_ms >= 0;
+    return since_end_ms >= report_wait_ms(n) &&
+           rk_mono_ms() - k->acquired_ms >= COUNTS_COLLECTED_MS;
 }
 
-static void tend_usage(struct rk_duty_keeper *k)
+static void report_due_windows(struct rk_duty_keeper *k)
 {
     struct rk_node *n = k->n;
     struct rk_duty_token t;
-    if (!rk_sync_routes(n->sync) || !token(k, &t) ||
+    if (!rk_sync_routes(n->sync) || !get_token(k, &t) ||
         !rk_remember_is_read(n->remember))
         return;
     int64_t size_ms = rk_s_to_ms(n->file.usage_window_s);
     int64_t wall_ms = rk_wall_ms(), now_ms = rk_mono_ms();
     int64_t current = wall_ms / size_ms;
-    for (int64_t number = current - WINDOWS + 1; number < current; number++) {
+    for (int64_t number = current - RECENT_WINDOWS + 1; number < current;
+         number++) {
         if (number < k->first_window ||
             !is_due(k, wall_ms - (number + 1) * size_ms))
             continue;
         struct window *w = window_slot(k, number);
-        if (!w || now_ms < w->again_ms)
+        if (!w || now_ms < w->retry_at_ms)
             continue;
         if (w->state == WINDOW_NEW)
-            keep(w);
-        else if (w->state == WINDOW_KEPT)
-            report(w);
+            store_window(w);
+        else if (w->state == WINDOW_STORED)
+            report_window(w);
     }
 }
 
-/* ---- making ---- */
+/* ---- the tick ---- */
 
-/* Is there another node that holds the duties, as far as is known here? It lives,
- * and renewed its lease lately: it does so three times in a lease. */
-static bool hears_holder(const struct rk_duty_keeper *k)
+/* Returns whether another node is the leader, as far as is known here: it is
+ * reachable and has renewed its lease lately. A leader renews it three times in a
+ * lease's duration. */
+static bool has_reachable_leader(const struct rk_duty_keeper *k)
 {
     char id[RK_ID_MAX];
     rk_duty_keeper_holder(k, id);
-    int64_t silent_ms = rk_mono_ms() - k->lease.seen_ms;
-    return rk_mesh_hears(k->n->mesh, id) && silent_ms < k->lease.life_ms * 2 / 3;
+    int64_t since_renewal_ms = rk_mono_ms() - k->lease.seen_ms;
+    return rk_mesh_hears(k->n->mesh, id) &&
+           since_renewal_ms < k->lease.life_ms * 2 / 3;
 }
 
 static void on_tick(void *ctx)
 {
     struct rk_duty_keeper *k = ctx;
     rk_timer_start(k->n->loop, &k->tick, TICK_MS);
-    tend_lease(k);
-    note_lease(k);
-    tend_usage(k);
+    update_lease(k);
+    update_held(k);
+    report_due_windows(k);
     struct rk_duty_token t;
-    bool held = token(k, &t);
+    bool held = get_token(k, &t);
     rk_orders_tick(k->orders, held ? &t : NULL);
     rk_rollouts_tick(k->n->rollouts, held ? &t : NULL);
     if (held) {
         rk_remember_tick(k->n->remember);
         rk_quarantines_hold(k->n->quarantines);
-    } else if (!hears_holder(k) && rk_mesh_is_first(k->n->mesh)) {
+    } else if (!has_reachable_leader(k) && rk_mesh_is_first(k->n->mesh)) {
         rk_remember_stand_in(k->n->remember);
     }
     int64_t window = rk_wall_ms() / rk_s_to_ms(k->n->file.usage_window_s);
-    rk_usage_forget(&k->n->usage, window - WINDOWS);
+    rk_usage_forget(&k->n->usage, window - RECENT_WINDOWS);
 }
 
 void rk_duty_keeper_look(struct rk_duty_keeper *k)
 {
     if (k->was_held)
-        rk_timer_start(k->n->loop, &k->tick, LOOK_MS);
+        rk_timer_start(k->n->loop, &k->tick, CHANGE_DELAY_MS);
 }
 
+/* ---- creation ---- */
+
 struct rk_duty_keeper *rk_duty_keeper_create(struct rk_node *n)
 {
     struct rk_duty_keeper *k = rk_alloc(1, sizeof(*k));
@@ -419,10 +447,11 @@
              (unsigned)n->incarnation);
     rk_strcpy(k->lease.holder, sizeof(k->lease.holder), k->holder);
     k->lease.life_ms = (int64_t)n->file.lease_ms;
-    k->jitter_ms = rk_rng_below(&n->rng, STAND_JITTER_MS);
-    k->first_window = rk_wall_ms() / rk_s_to_ms(n->file.usage_window_s) - WINDOWS;
+    k->jitter_ms = rk_rng_below(&n->rng, LEASE_JITTER_MS);
+    k->first_window =
+        rk_wall_ms() / rk_s_to_ms(n->file.usage_window_s) - RECENT_WINDOWS;
     if (n->file.first_start)
-        k->first_window += WINDOWS;
+        k->first_window += RECENT_WINDOWS;
     return k;
 }
 
@@ -434,7 +463,7 @@
 void rk_duty_keeper_destroy(struct rk_duty_keeper *k)
 {
     rk_timer_stop(k->n->loop, &k->tick);
-    for (size_t i = 0; i < WINDOWS; i++)
+    for (size_t i = 0; i < RECENT_WINDOWS; i++)
         free(k->windows[i].counts);
     rk_orders_destroy(k->orders);
     free(k);
--- a/node/node.c
+++ b/node/node.c
@@ -16,31 +16,37 @@
 #include "node/state.h"
 #include "objects/store.h"
 
-#define PAGE_HEADER_BYTES 8192
-#define PAGE_IDLE_MS      10000
-#define PAGE_CLIENTS      32
-#define STOP_STEP_MS      50
-#define BALANCER_MS       2600 /* until the balancer sends nobody here any more */
-#define SETTLE_MS         400  /* of quiet, before a stop is over */
-#define STOP_MARGIN_MS    700  /* before the platform kills the process */
-
-static const struct rk_server_limits page_limits = {
-    .header_bytes = PAGE_HEADER_BYTES,
-    .header_ms = PAGE_IDLE_MS,
-    .idle_ms = PAGE_IDLE_MS,
-    .max_clients = PAGE_CLIENTS,
+#define ADMIN_HEADER_BYTES 8192
+#define ADMIN_IDLE_MS      10000
+#define ADMIN_CLIENTS      32
+#define STOP_CHECK_MS      50
+/* Time until the load balancer in front has noticed that this node isn't ready, and
+ * sends no more connections to it. */
+#define BALANCER_DRAIN_MS 2600
+/* After BALANCER_DRAIN_MS, time during which idle connections are closed before the
+ * node may stop. */
+#define IDLE_CLOSE_MS 400
+/* A stop ends this long before stop_s is over, when the platform kills the process.
+ */
+#define STOP_MARGIN_MS 700
+
+static const struct rk_server_limits admin_limits = {
+    .header_bytes = ADMIN_HEADER_BYTES,
+    .header_ms = ADMIN_IDLE_MS,
+    .idle_ms = ADMIN_IDLE_MS,
+    .max_clients = ADMIN_CLIENTS,
 };
 
-/* ---- pages for the balancer and for operators ---- */
+/* ---- HTTP endpoints for the load balancer and for operators ---- */
 
-static bool is_path(struct rk_client *client, const char *path)
+static bool has_path(struct rk_client *client, const char *path)
 {
     const char *target = rk_head_target(rk_client_head(client));
     size_t len = strlen(path);
     return !strncmp(target, path, len) && (!target[len] || target[len] == '?');
 }
 
-/* Does the relay, too, have routes and vms? */
+/* Returns whether both control and the relay have routes and VMs. */
 static bool is_ready(const struct rk_node *n)
 {
     return rk_sync_ready(n->sync) && n->report && n->report->version &&
@@ -51,7 +57,7 @@
 {
     struct rk_node *n = ctx;
     int status = 404;
-    if (is_path(client, n->platform->dialect->ready_path))
+    if (has_path(client, n->platform->dialect->ready_path))
         status = is_ready(n) && !n->leaving ? 200 : 503;
     rk_client_answer(client, status, "", "", 0);
 }
@@ -84,7 +90,7 @@
 static void on_metrics_request(void *ctx, struct rk_client *client)
 {
     struct rk_node *n = ctx;
-    if (!is_path(client, "/metrics")) {
+    if (!has_path(client, "/metrics")) {
         rk_client_answer(client, 404, "", "", 0);
         return;
     }
@@ -98,16 +104,16 @@
     rk_buf_free(&b);
 }
 
-static void on_page_gone(void *ctx, void *user)
+static void on_admin_client_gone(void *ctx, void *user)
 {
     (void)ctx;
     (void)user;
 }
 
 static const struct rk_server_ops ready_ops = {.on_request = on_ready_request,
-                                               .on_gone = on_page_gone};
+                                               .on_gone = on_admin_client_gone};
 static const struct rk_server_ops metrics_ops = {.on_request = on_metrics_request,
-                                                 .on_gone = on_page_gone};
+                                                 .on_gone = on_admin_client_gone};
 
 /* ---- the relay's reports ---- */
 
@@ -116,7 +122,7 @@
     struct rk_relay_report *report;
 };
 
-static void take_report(void *ctx)
+static void apply_report(void *ctx)
 {
     struct report_message *m = ctx;
     struct rk_node *n = m->n;
@@ -137,23 +143,25 @@
 {
     struct report_message *m = rk_alloc(1, sizeof(*m));
     *m = (struct report_message){.n = ctx, .report = report};
-    if (rk_loop_post(m->n->loop, take_report, m))
+    if (rk_loop_post(m->n->loop, apply_report, m))
         return;
-    rk_relay_report_free(report); /* control is behind; the next one tells all */
+    /* The control loop's queue is full. The next report includes all of this one.
+     */
+    rk_relay_report_free(report);
     free(m);
 }
 
 /* ---- planned stop ---- */
 
-static void on_removed(void *ctx, enum rk_status st,
-                       const struct rk_store_object *o)
+static void on_node_removed(void *ctx, enum rk_status st,
+                            const struct rk_store_object *o)
 {
     (void)ctx;
     (void)st;
     (void)o;
 }
 
-static void end_stop(struct rk_node *n)
+static void finish_stop(struct rk_node *n)
 {
     RK_EVENT("node.stopped",
              RK_N("in_hand", n->report ? (int64_t)n->report->in_hand : 0),
@@ -162,36 +170,36 @@
     rk_loop_stop(n->loop);
 }
 
-static void take_stopped(void *ctx)
+static void handle_stopped(void *ctx)
 {
-    end_stop(ctx);
+    finish_stop(ctx);
 }
 
 static void on_stopped(void *ctx)
 {
     struct rk_node *n = ctx;
-    rk_loop_post(n->loop, take_stopped, n);
+    rk_loop_post(n->loop, handle_stopped, n);
 }
 
-/* When the process ends at the latest, from the stop's begin. */
+/* Returns the longest duration of a stop. */
 static int64_t stop_limit_ms(const struct rk_node *n)
 {
     return rk_s_to_ms(n->file.stop_s) - STOP_MARGIN_MS;
 }
 
-static void on_stop_step(void *ctx)
+static void on_stop_check(void *ctx)
 {
     struct rk_node *n = ctx;
-    int64_t in_ms = rk_mono_ms() - n->leaving_since_ms;
-    if (in_ms >= stop_limit_ms(n)) {
-        end_stop(n);
+    int64_t elapsed_ms = rk_mono_ms() - n->leaving_since_ms;
+    if (elapsed_ms >= stop_limit_ms(n)) {
+        finish_stop(n);
         return;
     }
-    if (in_ms >= BALANCER_MS)
+    if (elapsed_ms >= BALANCER_DRAIN_MS)
         rk_relay_close_idle(n->relay);
-    if (in_ms >= BALANCER_MS + SETTLE_MS)
+    if (elapsed_ms >= BALANCER_DRAIN_MS + IDLE_CLOSE_MS)
         rk_relay_stop_idle(n->relay);
-    rk_timer_start(n->loop, &n->stop, STOP_STEP_MS);
+    rk_timer_start(n->loop, &n->stop, STOP_CHECK_MS);
 }
 
 static void begin_stop(void *ctx)
@@ -204,8 +212,9 @@
     RK_EVENT("node.leaving", RK_N("notice_ms", rk_s_to_ms(n->file.stop_s)));
     rk_relay_close(n->relay, stop_limit_ms(n));
     rk_mesh_report(n->mesh);
-    n->store->ops->remove(n->store, "rillknot-nodes", n->file.id, on_removed, n);
-    rk_timer_start(n->loop, &n->stop, STOP_STEP_MS);
+    n->store->ops->remove(n->store, "rillknot-nodes", n->file.id, on_node_removed,
+                          n);
+    rk_timer_start(n->loop, &n->stop, STOP_CHECK_MS);
 }
 
 void rk_node_leave(struct rk_node *n)
@@ -218,7 +227,7 @@
     return (int64_t)(file->retry_ratio * 100);
 }
 
-static struct rk_relay_bounds bounds_of(const struct rk_procfile *file)
+static struct rk_relay_bounds relay_bounds(const struct rk_procfile *file)
 {
     return (struct rk_relay_bounds){
         .retry_pct = retry_pct(file),
@@ -235,7 +244,7 @@
     struct rk_procfile file;
 };
 
-static void take_reload(void *ctx)
+static void apply_reload(void *ctx)
 {
     struct reload_message *m = ctx;
     struct rk_procfile *file = &m->n->file;
@@ -246,7 +255,7 @@
     file->quota_overrun = m->file.quota_overrun;
     file->retry_ratio = m->file.retry_ratio;
     file->retry_burst = m->file.retry_burst;
-    struct rk_relay_bounds bounds = bounds_of(file);
+    struct rk_relay_bounds bounds = relay_bounds(file);
     rk_relay_set_bounds(m->n->relay, &bounds);
     RK_EVENT("node.reloaded", RK_N("stop_ms", rk_s_to_ms(file->stop_s)),
              RK_N("retry_pct", retry_pct(file)),
@@ -258,11 +267,11 @@
 {
     struct reload_message *m = rk_alloc(1, sizeof(*m));
     *m = (struct reload_message){.n = n, .file = *file};
-    if (!rk_loop_post(n->loop, take_reload, m))
+    if (!rk_loop_post(n->loop, apply_reload, m))
         free(m);
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 static enum rk_status create_relay(struct rk_node *n)
 {
@@ -273,7 +282,7 @@
         .node = n->hash,
         .seed = rk_rng_next(&n->rng),
         .max_clients = (int)f->max_connections,
-        .bounds = bounds_of(f),
+        .bounds = relay_bounds(f),
         .on_report = on_report,
         .on_stopped = on_stopped,
         .ctx = n,
@@ -285,14 +294,14 @@
 
 static enum rk_status create_servers(struct rk_node *n)
 {
-    n->ready_server = rk_server_create(n->loop, n->file.ready_listen, &page_limits,
+    n->ready_server = rk_server_create(n->loop, n->file.ready_listen, &admin_limits,
                                        &ready_ops, n);
     if (!n->ready_server)
         return RK_ESYSTEM;
     if (!n->file.metrics_listen[0])
         return RK_OK;
     n->metrics_server = rk_server_create(n->loop, n->file.metrics_listen,
-                                         &page_limits, &metrics_ops, n);
+                                         &admin_limits, &metrics_ops, n);
     return n->metrics_server ? RK_OK : RK_ESYSTEM;
 }
 
@@ -309,7 +318,7 @@
     return seed;
 }
 
-static enum rk_status create_parts(struct rk_node *n)
+static enum rk_status create_components(struct rk_node *n)
 {
     n->loop = rk_loop_create();
     n->http = rk_http_create(n->loop);
@@ -340,10 +349,10 @@
     n->incarnation = rk_rng_next(&n->rng);
     n->hash = rk_hash(n->incarnation, file->id, strlen(file->id));
     n->started_ms = rk_mono_ms();
-    n->stop = (struct rk_timer){.fn = on_stop_step, .ctx = n};
-    enum rk_status st = create_parts(n);
+    n->stop = (struct rk_timer){.fn = on_stop_check, .ctx = n};
+    enum rk_status st = create_components(n);
     if (st != RK_OK)
-        return st; /* the process ends */
+        return st; /* what was created so far isn't freed: the process ends */
     *out = n;
     return RK_OK;
 }
--- a/node/node.h
+++ b/node/node.h
@@ -1,6 +1,7 @@
-/* The control thread of a node that a platform hosts: settings and vms from the
- * platform's store, peers, duties, readiness, planned stops. Traffic is a relay's
- * (serve/relay.h), on a thread of its own. */
+/* A node: the process that relays calls to VMs. The control thread reads settings
+ * and the VM list from the platform's store, exchanges reports with peers, runs for
+ * the leader's lease, answers readiness checks and carries out planned stops. A
+ * relay (serve/relay.h) handles the traffic on a thread of its own. */
 #ifndef RK_NODE_NODE_H
 #define RK_NODE_NODE_H
 
@@ -9,15 +10,23 @@
 struct rk_node;
 struct rk_procfile;
 
-/* On failure rk_last_error() says why. */
+/* Creates a node with a copy of the process file and binds its addresses. The
+ * caller owns *out. On failure, *out is not set and rk_last_error() gives the
+ * reason; the process has to end, as what was created so far is not freed. */
 enum rk_status rk_node_create(const struct rk_procfile *file, struct rk_node **out);
+/* Frees a node. To be called after rk_node_run() has returned. */
 void rk_node_destroy(struct rk_node *n);
 
-/* Runs control and traffic until the stop is over. */
+/* Runs the control loop on the calling thread and the relay on another one. Returns
+ * when a planned stop is complete. */
 void rk_node_run(struct rk_node *n);
 
-/* Any thread. Begin a planned stop; read the process file again. */
+/* Any thread. Begins a planned stop: the node is no longer ready, removes itself
+ * from the store's node list, closes its connections and ends within the process
+ * file's stop_s. */
 void rk_node_leave(struct rk_node *n);
+/* Any thread. Applies those members of a copy of the process file that can change
+ * while the process runs; the others are ignored. */
 void rk_node_reload(struct rk_node *n, const struct rk_procfile *file);
 
 #endif
--- a/node/platform.h
+++ b/node/platform.h
@@ -1,6 +1,7 @@
-/* What a platform's driver gives a node: names of headers, where settings and
- * vms lie in the store, how they are read, and clients of the store and of the
- * cloud API. It translates; it decides nothing and keeps nothing. */
+/* The interface of a platform's driver: the platform's header names, the kinds of
+ * its store's objects, parsers of their contents, and clients of its store and of
+ * its cloud API. A driver only translates. It makes no decisions and holds no state
+ * besides that of the clients. */
 #ifndef RK_NODE_PLATFORM_H
 #define RK_NODE_PLATFORM_H
 
@@ -15,26 +16,33 @@
 struct rk_duties;
 
 struct rk_platform {
-    const char *name; /* word of the process file */
+    const char *name; /* value of "dialect" in the process file */
     const struct rk_dialect *dialect;
-    const char *settings_kind, *settings_name; /* the object with the routes */
-    const char *vms_kind;
-    const char *rollouts_kind; /* an object a service, by its name */
-    /* RK_EINVAL with a last message when it can't be used. */
+    const char *settings_kind, *settings_name; /* of the object with the routes */
+    const char *vms_kind;                      /* one object for each VM */
+    const char *rollouts_kind; /* one object for each service, named after it */
+    /* Parses the contents of the settings object. The caller owns *out. Returns
+     * RK_EINVAL and sets rk_last_error() if they are invalid. */
     enum rk_status (*parse_routes)(struct json_object *spec,
                                    struct rk_routes **out);
-    /* The same, when the entry names no vm that can be used. */
+    /* Parses a VM's object. Returns RK_EINVAL and sets rk_last_error() if it
+     * doesn't describe a usable VM. */
     enum rk_status (*parse_vm)(const char *name, struct json_object *spec,
                                struct rk_vm_row *out);
+    /* Parses a rollout order and its recorded state. Returns false if they are
+     * invalid. */
     bool (*parse_rollout)(struct json_object *spec, struct json_object *status,
                           struct rk_rollout_order *out);
+    /* Appends the JSON text that records a rollout's state to out. */
     void (*rollout_status)(const char *version, enum rk_rollout_state state,
                            struct rk_buf *out);
+    /* Create clients for the address "ip:port"; the caller destroys them by their
+     * ops->destroy. */
     struct rk_store *(*create_store)(struct rk_http *http, const char *addr);
     struct rk_duties *(*create_duties)(struct rk_http *http, const char *addr);
 };
 
-/* The driver of a name; NULL: there is none. */
+/* Returns the driver with a name, statically allocated; NULL: there is none. */
 const struct rk_platform *rk_platform_find(const char *name);
 
 #endif
