--- a/node/sync.c
+++ b/node/sync.c
@@ -1,16 +1,21 @@
-/* Settings and vms. A few nodes of each failure domain follow them in the store and
- * tell the others what changed; a node that nobody tells follows them itself. Here:
- * who follows, how fresh what is known is, and what peers are told and tell. */
+/* Settings and the VM list. A few nodes of each failure domain watch them in the
+ * store and send the changes to the others; a node that gets none watches the store
+ * itself. This file decides whether to watch, tracks how old the known state is,
+ * and exchanges it with peers. */
 #include <stdlib.h>
 
 #include "common/eventlog.h"
 #include "core/following.h"
 #include "node/sync_impl.h"
 
-#define PACE_MS 200 /* in a large fleet, between watches that brought something */
-#define UNLISTED_PACE_MS                                                           \
-    (RK_FOLLOWING_TICK_MS + 50) /* longer than until it is decided who follows */
-#define AWAY_MS 2600 /* a store that answers no node for so long was away */
+/* In a large fleet, least time from a watch that brought changes to the next one.
+ */
+#define WATCH_INTERVAL_MS 200
+/* The same at a node without the list of nodes: longer than the time until it
+ * decides again whether it should watch. */
+#define WATCH_INTERVAL_UNLISTED_MS (RK_FOLLOWING_TICK_MS + 50)
+/* The store had an outage if it answered no node for this long. */
+#define STORE_OUTAGE_MS 2600
 
 /* ---- peers ---- */
 
@@ -19,36 +24,36 @@
 {
     rillknot__store_text__init(out);
     if (wanted->settings && s->routes)
-        rk_sync_tell_settings(s, out);
+        rk_sync_fill_settings(s, out);
     if (wanted->list && s->list_known)
-        rk_sync_tell_list(s, wanted->list_since, out);
+        rk_sync_fill_list(s, wanted->list_since, out);
 }
 
 void rk_sync_take(struct rk_sync *s, const Rillknot__StoreText *text)
 {
     if (text->settings_zip.len && text->settings_revision > rk_sync_version(s))
-        rk_sync_take_settings(s, text);
-    rk_sync_take_list(s, text);
+        rk_sync_receive_settings(s, text);
+    rk_sync_receive_list(s, text);
 }
 
-/* ---- how old it is ---- */
+/* ---- freshness ---- */
 
-/* The store answered this node, or a peer, at that time. One that turns only this
- * node away answers peers meanwhile. */
-static void note_answer(struct rk_sync *s, int64_t at_ms)
+/* Notes an answer of the store at at_ms, to this node or to a peer. As peers'
+ * answers count, the store has no outage while it rejects only this node. */
+static void note_store_answer(struct rk_sync *s, int64_t at_ms)
 {
     bool lost = s->settings.lost || s->vms.lost;
-    if (lost && s->answered_ms && at_ms - s->answered_ms > AWAY_MS) {
-        s->back_ms = rk_mono_ms();
+    if (lost && s->answered_ms && at_ms - s->answered_ms > STORE_OUTAGE_MS) {
+        s->recovered_ms = rk_mono_ms();
         RK_EVENT("store.was_away", RK_N("ms", at_ms - s->answered_ms));
     }
     if (at_ms > s->answered_ms)
         s->answered_ms = at_ms;
 }
 
-static void on_heard(void *ctx)
+static void on_store_answer(void *ctx)
 {
-    note_answer(ctx, rk_mono_ms());
+    note_store_answer(ctx, rk_mono_ms());
 }
 
 static int64_t later(int64_t a_ms, int64_t b_ms)
@@ -56,26 +61,29 @@
     return a_ms > b_ms ? a_ms : b_ms;
 }
 
-/* Peers may know less than the newest that was named: they end nothing. */
-static void note_version(struct rk_sync *s, int64_t version)
+/* Notes a settings version that a peer reported. If it is newer, this node is
+ * behind until it has that version itself, even if other peers report older ones.
+ */
+static void note_reported_version(struct rk_sync *s, int64_t version)
 {
-    if (version > s->newest_told)
-        s->newest_told = version;
-    if (s->newest_told > rk_sync_version(s) && !s->behind_since_ms)
+    if (version > s->newest_reported)
+        s->newest_reported = version;
+    if (s->newest_reported > rk_sync_version(s) && !s->behind_since_ms)
         s->behind_since_ms = rk_mono_ms();
 }
 
-/* A peer's word on how fresh its knowledge is says nothing of a node that knows
- * less: taken for its own freshness, it kept nodes from asking the store for 18 s
- * while the peers' messages with large settings were lost on full links. */
+/* A peer's confirmation counts here only if this node's settings, or its list, are
+ * at least as new as the peer's. Without this, nodes with old settings took them
+ * for confirmed and did not ask the store for 18 s, while their peers' messages
+ * with large settings were lost on full links. */
 void rk_sync_confirm(struct rk_sync *s, int64_t age_ms, int64_t settings_version,
                      int64_t list_revision)
 {
     int64_t at_ms = rk_mono_ms() - age_ms;
-    note_version(s, settings_version);
+    note_reported_version(s, settings_version);
     if (age_ms < 0)
         return;
-    note_answer(s, at_ms);
+    note_store_answer(s, at_ms);
     if (rk_sync_version(s) >= settings_version)
         s->settings_confirmed_ms = later(s->settings_confirmed_ms, at_ms);
     if (rk_sync_list_revision(s) >= list_revision)
@@ -101,7 +109,7 @@
     return s->behind_since_ms ? rk_mono_ms() - s->behind_since_ms : 0;
 }
 
-static bool should_follow(const struct rk_sync *s)
+static bool should_watch(const struct rk_sync *s)
 {
     const struct rk_node *n = s->n;
     const struct rk_following f = {.first_start = n->file.first_start,
@@ -116,36 +124,38 @@
     return rk_following_should(&f);
 }
 
-/* A node that doesn't know yet who the others are watches only after its next tick:
- * most nodes of a large fleet that come back at once need one list of each kind. */
-static void pace_watches(struct rk_sync *s)
+/* A node without the list of nodes waits past its next tick before it watches
+ * again: when a large fleet restarts at once, most nodes need just one list of each
+ * kind and no watch. */
+static void set_watch_intervals(struct rk_sync *s)
 {
     bool listed = rk_mesh_is_listed(s->n->mesh);
-    s->settings.pace_ms = listed ? 0 : UNLISTED_PACE_MS;
-    s->vms.pace_ms = !listed                         ? UNLISTED_PACE_MS
+    s->settings.pace_ms = listed ? 0 : WATCH_INTERVAL_UNLISTED_MS;
+    s->vms.pace_ms = !listed                         ? WATCH_INTERVAL_UNLISTED_MS
                      : rk_mesh_is_direct(s->n->mesh) ? 0
-                                                     : PACE_MS;
+                                                     : WATCH_INTERVAL_MS;
 }
 
 static void on_tick(void *ctx)
 {
     struct rk_sync *s = ctx;
-    int64_t turn_ms = rk_returning_wait_left_ms(s->n);
-    bool soon = turn_ms > 0 && turn_ms < RK_FOLLOWING_TICK_MS;
-    rk_timer_start(s->n->loop, &s->tick, soon ? turn_ms : RK_FOLLOWING_TICK_MS);
-    bool follow = should_follow(s);
-    pace_watches(s);
-    if (follow != s->vms.on)
-        RK_EVENT("store.following", RK_N("on", follow),
+    int64_t delay_ms = rk_returning_wait_left_ms(s->n);
+    bool ends_soon = delay_ms > 0 && delay_ms < RK_FOLLOWING_TICK_MS;
+    rk_timer_start(s->n->loop, &s->tick,
+                   ends_soon ? delay_ms : RK_FOLLOWING_TICK_MS);
+    bool watch = should_watch(s);
+    set_watch_intervals(s);
+    if (watch != s->vms.on)
+        RK_EVENT("store.following", RK_N("on", watch),
                  RK_N("age_ms", rk_sync_age_ms(s)),
                  RK_N("rank", rk_mesh_rank(s->n->mesh)));
     if (!s->settings.on && rk_sync_behind_ms(s))
         rk_follow_forget(&s->settings);
-    rk_follow_set(&s->settings, follow);
-    rk_follow_set(&s->vms, follow);
+    rk_follow_set(&s->settings, watch);
+    rk_follow_set(&s->vms, watch);
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 struct rk_sync *rk_sync_create(struct rk_node *n)
 {
@@ -155,12 +165,12 @@
                                      .kind = n->platform->settings_kind,
                                      .apply = rk_sync_apply_settings,
                                      .list_when_behind = true,
-                                     .heard = on_heard,
+                                     .heard = on_store_answer,
                                      .ctx = s};
     s->vms = (struct rk_follow){.n = n,
                                 .kind = n->platform->vms_kind,
                                 .apply = rk_sync_apply_list,
-                                .heard = on_heard,
+                                .heard = on_store_answer,
                                 .ctx = s};
     rk_follow_init(&s->settings);
     rk_follow_init(&s->vms);
--- a/node/sync_impl.h
+++ b/node/sync_impl.h
@@ -1,91 +1,110 @@
-/* State of what a node knows of the store, shared by its files: sync.c (who
- * follows, how fresh it is, the peers' way in and out), sync_settings.c,
- * sync_list.c and sync_publish.c. Not for others. */
+/* State of the settings and the VM list, shared by sync.c (store watches, and the
+ * freshness of what is known), sync_settings.c, sync_list.c and sync_publish.c.
+ * Private to these files; control thread only. */
 #ifndef RK_NODE_SYNC_IMPL_H
 #define RK_NODE_SYNC_IMPL_H
 
 #include "node/follow.h"
 #include "node/state.h"
 
-/* Vms that left, remembered for peers: room for all of the largest failure domain
- * at once. A peer that knows less is told the whole list, 400 bytes a vm. */
-#define RK_SYNC_GONE_KEPT 4096
+/* Number of removed VMs that are recorded for peers: enough for the loss of the
+ * largest failure domain at once. A peer whose list is older than the records is
+ * sent the whole list, at 400 bytes per VM. */
+#define RK_SYNC_REMOVED_MAX 4096
 
-/* A vm's object. */
+/* An entry of the VM list. */
 struct entry {
-    size_t at; /* its place among the entries */
+    size_t index; /* among the entries */
     char *name;
-    char *text; /* its contents, for peers */
-    int64_t revision;
-    int64_t first_revision; /* under which it was seen first */
-    int64_t
-        lapse_ends_ms; /* off the store's list, used on till then; 0: it is on */
-    bool is_news;      /* traffic has to know its row */
+    char *text;             /* JSON contents, for peers */
+    int64_t revision;       /* in the store */
+    int64_t first_revision; /* at which this incarnation of the VM was first seen */
+    /* If the entry expired in the store: the VM is used until then. 0: it did not.
+     */
+    int64_t grace_until_ms;
+    bool needs_publish; /* the relay lacks the current row */
     struct rk_vm_row row;
 };
 
-/* A vm that left the list. */
-struct gone {
+/* A VM that was removed from the list. */
+struct removed_vm {
     char name[RK_ID_MAX];
-    int64_t revision;      /* up to which its entries are gone */
-    int64_t at;            /* the store's, when that was seen */
-    int64_t lapse_ends_ms; /* it may come back till then; 0: it left */
+    int64_t revision;       /* entries of the VM up to this revision are removed */
+    int64_t store_revision; /* at which the removal was seen */
+    int64_t grace_until_ms; /* it may register again until then; 0: it ended */
 };
 
 struct rk_sync {
     struct rk_node *n;
     struct rk_follow settings, vms;
-    struct rk_timer tick, lapses;
-    /* Until when a peer knew that the settings, the list, were the newest. */
+    struct rk_timer tick, grace_timer;
+    /* Latest time at which a peer's settings, or its list, were the newest and this
+     * node had the same; 0: never. */
     int64_t settings_confirmed_ms, list_confirmed_ms;
-    int64_t newest_told;     /* the newest version that a peer named */
-    int64_t behind_since_ms; /* since when that is newer than this node's; 0: no */
-    int64_t answered_ms;     /* when the store answered last, here or to a peer */
-    int64_t back_ms;         /* when it did so after it had been away; 0: never */
+    int64_t newest_reported; /* newest settings version that a peer reported */
+    int64_t behind_since_ms; /* since when it is newer than here; 0: it isn't */
+    int64_t answered_ms;     /* last answer of the store, here or to a peer */
+    int64_t recovered_ms;    /* end of the store's last outage; 0: none */
     struct rk_routes *routes;
-    /* The settings as peers are told them. */
+    /* The settings as they are sent to peers. */
     struct rk_buf settings_zip;
-    size_t settings_len;
+    size_t settings_plain_len; /* in bytes */
     struct entry **entries;
     size_t entries_len, entries_cap;
-    struct lh_table *by_name; /* of json-c */
+    struct lh_table *by_name; /* of json-c: entries by name */
     bool list_known;
-    bool in_bulk;               /* a peer's telling of many changes is taken in */
-    int64_t list_revision;      /* every change up to it is known */
-    struct gone *gone;          /* grows up to RK_SYNC_GONE_KEPT, the newest stay */
-    size_t gone_len, gone_cap;  /* ever; places */
-    int64_t gone_since;         /* those since this revision are remembered, */
-    int64_t hole_from, hole_to; /* but for those that went between these */
-    /* What traffic has to know beside the entries that are news. */
-    bool published;          /* it has the list, to which changes add */
-    char (*left)[RK_ID_MAX]; /* vms that are off it since */
-    size_t left_len, left_cap;
-    /* A message to a peer in the making. */
+    bool in_bulk;          /* many changes from a peer are being applied */
+    int64_t list_revision; /* every change up to it is known */
+    /* Ring of the last removals. removed_len counts all of them; removed_cap grows
+     * up to RK_SYNC_REMOVED_MAX. */
+    struct removed_vm *removed;
+    size_t removed_len, removed_cap;
+    /* The ring has all removals after removed_since, except for those between
+     * gap_from and gap_to. All are revisions of the store. */
+    int64_t removed_since;
+    int64_t gap_from, gap_to;
+    /* The relay has the list, except for entries with needs_publish and for the
+     * removal of the VMs named in unsent_removed. */
+    bool published;
+    char (*unsent_removed)[RK_ID_MAX];
+    size_t unsent_removed_len, unsent_removed_cap;
+    /* Buffers of the message to a peer that is being built. */
     Rillknot__ListRow *rows, **row_ptrs;
-    Rillknot__GoneRow *gone_rows, **gone_ptrs;
-    struct rk_buf list_zip; /* the same as it goes, if it is long; */
-    int64_t zip_since;      /* of the changes since then */
-    uint32_t zip_len;       /* packed, before it was compressed */
+    Rillknot__GoneRow *removed_rows, **removed_ptrs;
+    struct rk_buf list_zip; /* a long message, compressed; empty: none */
+    int64_t zip_since;      /* it has the changes after this revision */
+    uint32_t zip_plain_len; /* its bytes before compression */
 };
 
-/* sync_settings.c: what the store told, and a peer. */
+/* ---- sync_settings.c ---- */
+
+/* Applies an answer of the store; a callback of the settings' watch. */
 void rk_sync_apply_settings(void *ctx, const struct rk_store_object *objects,
-                            size_t len, bool all, int64_t at);
-void rk_sync_tell_settings(struct rk_sync *s, Rillknot__StoreText *out);
-void rk_sync_take_settings(struct rk_sync *s, const Rillknot__StoreText *text);
+                            size_t len, bool all, int64_t store_revision);
+/* Adds the settings to a reply. The data belongs to s. */
+void rk_sync_fill_settings(struct rk_sync *s, Rillknot__StoreText *out);
+/* Applies settings received from a peer, if they are newer and valid. */
+void rk_sync_receive_settings(struct rk_sync *s, const Rillknot__StoreText *text);
+
+/* ---- sync_publish.c ---- */
 
-/* sync_publish.c: a vm is off the list. */
-void rk_sync_note_left(struct rk_sync *s, const char *name);
-/* Tell traffic what changed. */
+/* Notes the removal of a VM, for the next update of the relay. */
+void rk_sync_note_removed(struct rk_sync *s, const char *name);
+/* Sends the changes of the list since the last update to the relay. */
 void rk_sync_publish_changes(struct rk_sync *s);
 
-/* sync_list.c: the same of the list of vms. */
+/* ---- sync_list.c ---- */
+
 void rk_sync_list_init(struct rk_sync *s);
 void rk_sync_list_free(struct rk_sync *s);
+/* Applies an answer of the store; a callback of the VM list's watch. */
 void rk_sync_apply_list(void *ctx, const struct rk_store_object *objects,
-                        size_t len, bool all, int64_t at);
-/* since: a peer knows it up to this revision; 0: nothing of it. */
-void rk_sync_tell_list(struct rk_sync *s, int64_t since, Rillknot__StoreText *out);
-void rk_sync_take_list(struct rk_sync *s, const Rillknot__StoreText *text);
+                        size_t len, bool all, int64_t store_revision);
+/* Adds the changes of the list after a revision to a reply. Adds the whole list if
+ * since is 0 or the removals since then are not all known. The data belongs to s
+ * and is valid until the next call. */
+void rk_sync_fill_list(struct rk_sync *s, int64_t since, Rillknot__StoreText *out);
+/* Applies changes of the list received from a peer, if they are newer. */
+void rk_sync_receive_list(struct rk_sync *s, const Rillknot__StoreText *text);
 
 #endif
--- a/node/sync_list.c
+++ b/node/sync_list.c
@@ -1,5 +1,6 @@
-/* The list of vms: entries as the store or a peer tells them, those that lapsed
- * with the store, those that left. */
+/* The VM list: applies changes from the store or from a peer, keeps VMs for a grace
+ * period whose entries expired during an outage of the store, records removals, and
+ * sends the changes to peers. */
 #include <json-c/json.h>
 #include <json-c/linkhash.h>
 #include <stdlib.h>
@@ -10,15 +11,17 @@
 #include "common/zip.h"
 #include "node/sync_impl.h"
 
-#define LAPSED_MS                                                                  \
-    1900 /* vms whose entries lapsed with the store are back so soon */
+/* Grace period after an outage of the store. VMs whose entries expired in it
+ * register again within this time. */
+#define GRACE_MS 1900
 
-#define GONE_FIRST  64 /* places for vms that left, doubled as they fill */
-#define NAMES_FIRST 64
-/* So many rows and more are told compressed: 1.2 MB of 3,000 vms is 80 KB then, and
- * a bridge with a hundred nodes filled its link for seconds with them. */
-#define ZIP_ROWS 24
-#define LIST_MAX (16 * 1024 * 1024) /* bytes of rows that a peer told */
+#define REMOVED_INITIAL_CAP 64
+#define NAMES_INITIAL_SIZE  64
+/* A message with at least this many rows is compressed. The list of 3,000 VMs
+ * shrinks from 1.2 MB to 80 KB by that; uncompressed lists filled the link of a
+ * bridge with a hundred nodes for seconds. */
+#define ZIP_MIN_ROWS   24
+#define LIST_MAX_BYTES (16 * 1024 * 1024) /* of a peer's rows, uncompressed */
 
 static struct entry *find_entry(struct rk_sync *s, const char *name)
 {
@@ -37,10 +40,10 @@
 static void remove_entry(struct rk_sync *s, struct entry *e)
 {
     struct entry *last = s->entries[--s->entries_len];
-    rk_sync_note_left(s, e->name);
+    rk_sync_note_removed(s, e->name);
     lh_table_delete(s->by_name, e->name);
-    s->entries[e->at] = last;
-    last->at = e->at;
+    s->entries[e->index] = last;
+    last->index = e->index;
     free_entry(e);
 }
 
@@ -51,7 +54,7 @@
         s->entries = rk_realloc(s->entries, s->entries_cap * sizeof(*s->entries));
     }
     struct entry *e = rk_alloc(1, sizeof(*e));
-    e->at = s->entries_len;
+    e->index = s->entries_len;
     e->name = rk_strdup(name);
     s->entries[s->entries_len++] = e;
     lh_table_insert(s->by_name, e->name, e);
@@ -79,26 +82,27 @@
            a->leaves_in_ms == b->leaves_in_ms;
 }
 
-static bool drop_entry(struct rk_sync *s, const struct gone *told,
-                       const char *from);
+static bool handle_removal(struct rk_sync *s, const struct removed_vm *vm,
+                           const char *from);
 
-/* What stands there now names no vm: none is used, until it does again. */
+/* Handles contents that don't describe a usable VM: removes the entry until there
+ * are valid ones. Returns true if the relay lacks the change. */
 static bool reject_entry(struct rk_sync *s, const char *name, int64_t revision,
                          const char *from)
 {
-    struct gone g = {.revision = revision, .at = revision};
+    struct removed_vm r = {.revision = revision, .store_revision = revision};
     RK_WARN("vm.rejected", RK_S("vm", name), RK_S("why", rk_last_error()),
             RK_S("from", from), RK_N("revision", revision));
     rk_count(RK_C_VMS_REJECTED, 1);
     if (!find_entry(s, name))
         return false;
-    rk_strcpy(g.name, sizeof(g.name), name);
-    return drop_entry(s, &g, from);
+    rk_strcpy(r.name, sizeof(r.name), name);
+    return handle_removal(s, &r, from);
 }
 
-/* Keep what is known of a vm, where that doesn't come with what is told now; false:
- * an earlier life of it told that, and it arrived late. */
-static bool keep_known(struct entry *e, struct rk_vm_row *row, int64_t revision)
+/* Completes a VM's new row by what its entry says and the row does not. Returns
+ * false if the row is of an earlier incarnation and arrived late. */
+static bool complete_row(struct entry *e, struct rk_vm_row *row, int64_t revision)
 {
     if (rk_vm_is_reborn(row, &e->row))
         return false;
@@ -112,7 +116,7 @@
     return true;
 }
 
-/* Returns true if traffic has to know. */
+/* Adds or updates a VM's entry. Returns true if the relay lacks the change. */
 static bool set_entry(struct rk_sync *s, const char *name, int64_t revision,
                       struct json_object *spec, const char *from)
 {
@@ -126,7 +130,7 @@
     if (!e) {
         e = add_entry(s, name);
         e->first_revision = revision;
-    } else if (!keep_known(e, &row, revision)) {
+    } else if (!complete_row(e, &row, revision)) {
         e->revision = revision;
         return false;
     }
@@ -134,65 +138,69 @@
     free(e->text);
     e->text = rk_strdup(json_object_to_json_string(spec));
     e->revision = revision;
-    e->lapse_ends_ms = 0;
+    e->grace_until_ms = 0;
     e->row = row;
-    e->is_news = e->is_news || changed;
+    e->needs_publish = e->needs_publish || changed;
     if (changed)
         log_vm(s, &row, what, from);
     return changed;
 }
 
-/* Until when entries that go now count as lapsed with the store, rather than as
- * ends of their vms; 0: they don't. */
-static int64_t lapse_ends_ms(const struct rk_sync *s)
+/* Returns the end of the grace period for entries that are removed now. 0: there is
+ * no grace period, so their VMs are taken to have ended. */
+static int64_t grace_until_ms(const struct rk_sync *s)
 {
-    int64_t ends_ms = s->back_ms + LAPSED_MS;
-    return s->back_ms && rk_mono_ms() < ends_ms ? ends_ms : 0;
+    int64_t ends_ms = s->recovered_ms + GRACE_MS;
+    return s->recovered_ms && rk_mono_ms() < ends_ms ? ends_ms : 0;
 }
 
-/* Wake up when the first of the lapsed entries is to go. */
-static void await_lapses(struct rk_sync *s)
+/* Schedules the timer for the first end of a grace period. */
+static void schedule_grace_timer(struct rk_sync *s)
 {
     int64_t first_ms = 0, now_ms = rk_mono_ms();
     for (size_t i = 0; i < s->entries_len; i++) {
-        int64_t ends_ms = s->entries[i]->lapse_ends_ms;
+        int64_t ends_ms = s->entries[i]->grace_until_ms;
         if (ends_ms && (!first_ms || ends_ms < first_ms))
             first_ms = ends_ms;
     }
     if (first_ms)
-        rk_timer_start(s->n->loop, &s->lapses,
+        rk_timer_start(s->n->loop, &s->grace_timer,
                        first_ms > now_ms ? first_ms - now_ms : 0);
 }
 
-static void remember_gone(struct rk_sync *s, const struct gone *gone)
+/* Records a removal, for peers. A full ring loses the oldest record. */
+static void record_removal(struct rk_sync *s, const struct removed_vm *vm)
 {
-    if (s->gone_len == s->gone_cap && s->gone_cap < RK_SYNC_GONE_KEPT) {
-        s->gone_cap = s->gone_cap ? s->gone_cap * 2 : GONE_FIRST;
-        s->gone = rk_realloc(s->gone, s->gone_cap * sizeof(*s->gone));
+    if (s->removed_len == s->removed_cap && s->removed_cap < RK_SYNC_REMOVED_MAX) {
+        s->removed_cap = s->removed_cap ? s->removed_cap * 2 : REMOVED_INITIAL_CAP;
+        s->removed = rk_realloc(s->removed, s->removed_cap * sizeof(*s->removed));
     }
-    struct gone *g = &s->gone[s->gone_len++ % s->gone_cap];
-    if (s->gone_len > RK_SYNC_GONE_KEPT && g->at > s->gone_since)
-        s->gone_since = g->at;
-    *g = *gone;
+    struct removed_vm *r = &s->removed[s->removed_len++ % s->removed_cap];
+    if (s->removed_len > RK_SYNC_REMOVED_MAX &&
+        r->store_revision > s->removed_since)
+        s->removed_since = r->store_revision;
+    *r = *vm;
 }
 
-/* A vm is off the list. One that lapsed while the store was away is kept a little:
- * it comes back, under a higher revision, if it lives. */
-static bool drop_entry(struct rk_sync *s, const struct gone *told, const char *from)
+/* Handles the removal of a VM from the list. If its entry expired during an outage
+ * of the store, the VM is used for a grace period: if it is alive, it registers
+ * again, under a higher revision. Returns true if the relay lacks the change. */
+static bool handle_removal(struct rk_sync *s, const struct removed_vm *vm,
+                           const char *from)
 {
-    struct entry *e = find_entry(s, told->name);
-    if (e && e->revision > told->revision)
+    struct entry *e = find_entry(s, vm->name);
+    if (e && e->revision > vm->revision)
         return false;
-    /* Also of one that came and went unseen here: a peer may have seen it come. */
-    remember_gone(s, told);
+    /* Even if this node never saw the VM: a peer may have seen it being added. */
+    record_removal(s, vm);
     if (!e)
         return false;
-    if (told->lapse_ends_ms && !e->row.leaving) {
-        if (e->lapse_ends_ms)
+    if (vm->grace_until_ms && !e->row.leaving) {
+        if (e->grace_until_ms)
             return false;
         log_vm(s, &e->row, "lapsed", from);
-        e->lapse_ends_ms = told->lapse_ends_ms;
-        await_lapses(s);
+        e->grace_until_ms = vm->grace_until_ms;
+        schedule_grace_timer(s);
         return false;
     }
     log_vm(s, &e->row, "removed", from);
@@ -200,21 +208,22 @@
     return true;
 }
 
-/* What the store tells of a vm that is gone may carry the revision of its last
- * change: its end has none of its own then. */
-static bool drop_told(struct rk_sync *s, const struct rk_store_object *o,
-                      int64_t at)
+/* Handles a removal that the store reports. It may have the revision of the VM's
+ * last change, when the removal has none of its own. */
+static bool handle_store_removal(struct rk_sync *s, const struct rk_store_object *o,
+                                 int64_t store_revision)
 {
     const struct entry *e = find_entry(s, o->name);
-    struct gone g = {
-        .revision = o->revision, .at = at, .lapse_ends_ms = lapse_ends_ms(s)};
-    if (e && e->revision > g.revision)
-        g.revision = e->revision;
-    rk_strcpy(g.name, sizeof(g.name), o->name);
-    return drop_entry(s, &g, "store");
+    struct removed_vm r = {.revision = o->revision,
+                           .store_revision = store_revision,
+                           .grace_until_ms = grace_until_ms(s)};
+    if (e && e->revision > r.revision)
+        r.revision = e->revision;
+    rk_strcpy(r.name, sizeof(r.name), o->name);
+    return handle_removal(s, &r, "store");
 }
 
-/* The names that a list has, for look-ups. */
+/* Returns a hash table of the names of a list. The caller frees it. */
 static struct lh_table *index_names(const struct rk_store_object *objects,
                                     size_t len)
 {
@@ -224,47 +233,52 @@
     return names;
 }
 
-/* A whole list: what it doesn't have is gone. */
-static bool drop_missing(struct rk_sync *s, const struct rk_store_object *objects,
-                         size_t len, int64_t at, const char *from)
+/* Removes the entries that a whole list doesn't have. Returns true if the relay
+ * lacks the change. */
+static bool remove_missing(struct rk_sync *s, const struct rk_store_object *objects,
+                           size_t len, int64_t store_revision, const char *from)
 {
     bool changed = false;
-    struct lh_table *told = index_names(objects, len);
+    struct lh_table *listed = index_names(objects, len);
     for (size_t i = s->entries_len; i-- > 0;) {
         const struct entry *e = s->entries[i];
-        if (e->lapse_ends_ms || e->revision > at ||
-            lh_table_lookup_ex(told, e->name, NULL))
+        if (e->grace_until_ms || e->revision > store_revision ||
+            lh_table_lookup_ex(listed, e->name, NULL))
             continue;
-        struct gone g = {
-            .revision = e->revision, .at = at, .lapse_ends_ms = lapse_ends_ms(s)};
-        rk_strcpy(g.name, sizeof(g.name), e->name);
-        changed |= drop_entry(s, &g, from);
+        struct removed_vm r = {.revision = e->revision,
+                               .store_revision = store_revision,
+                               .grace_until_ms = grace_until_ms(s)};
+        rk_strcpy(r.name, sizeof(r.name), e->name);
+        changed |= handle_removal(s, &r, from);
     }
-    lh_table_free(told);
+    lh_table_free(listed);
     return changed;
 }
 
-/* A whole list tells nothing of what came and went between what was known before
- * and it: a peer that knows a part of that is told the whole, too. Told only what
- * changed, it went on calling vms that had left while this node was down. */
-static void note_hole(struct rk_sync *s, int64_t before, int64_t at)
+/* Notes that removals between two revisions may be missing from the records: a
+ * whole list doesn't show the VMs that were added and removed since the revision
+ * known before. A peer whose revision lies in this gap is sent the whole list. When
+ * it was sent only changes, it went on calling VMs that had left while this node
+ * was down. */
+static void note_gap(struct rk_sync *s, int64_t from, int64_t to)
 {
-    if (s->hole_to > before && s->hole_from < before)
-        before = s->hole_from; /* they overlap: one hole */
-    else if (s->hole_to > s->gone_since)
-        s->gone_since = s->hole_to;
-    s->hole_from = before;
-    s->hole_to = at;
+    if (s->gap_to > from && s->gap_from < from)
+        from = s->gap_from; /* the gaps overlap, so they become one */
+    else if (s->gap_to > s->removed_since)
+        s->removed_since = s->gap_to;
+    s->gap_from = from;
+    s->gap_to = to;
 }
 
-/* Those that lapsed and did not come back. */
-static bool drop_lapsed(struct rk_sync *s)
+/* Removes the entries whose grace period has ended. Returns true if the relay lacks
+ * the change. */
+static bool remove_expired(struct rk_sync *s)
 {
     int64_t now_ms = rk_mono_ms();
     bool changed = false;
     for (size_t i = s->entries_len; i-- > 0;) {
         struct entry *e = s->entries[i];
-        if (!e->lapse_ends_ms || now_ms < e->lapse_ends_ms)
+        if (!e->grace_until_ms || now_ms < e->grace_until_ms)
             continue;
         log_vm(s, &e->row, "removed", "time");
         remove_entry(s, e);
@@ -273,7 +287,7 @@
     return changed;
 }
 
-/* Tell peers what changed since a revision of the list. */
+/* Sends peers the changes of the list after a revision. */
 static void push_list(struct rk_sync *s, int64_t since, const char *from)
 {
     const Rillknot__StoreWanted wanted = {.list = true, .list_since = since};
@@ -285,42 +299,42 @@
     rk_mesh_report(s->n->mesh);
 }
 
-/* The last change to the list that an answer tells. One that removed something may
- * have no revision of its own. */
-static int64_t known_by(const struct rk_store_object *objects, size_t len, bool all,
-                        int64_t at)
+/* Returns the revision up to which an answer of the store tells all changes of the
+ * list. A removal may have no revision of its own; the answer's counts then. */
+static int64_t known_revision(const struct rk_store_object *objects, size_t len,
+                              bool all, int64_t store_revision)
 {
-    int64_t known = all ? at : 0;
+    int64_t known = all ? store_revision : 0;
     for (size_t i = 0; i < len; i++) {
         if (objects[i].gone)
-            known = at;
+            known = store_revision;
         else if (objects[i].revision > known)
             known = objects[i].revision;
     }
-    return known < at ? known : at;
+    return known < store_revision ? known : store_revision;
 }
 
 void rk_sync_apply_list(void *ctx, const struct rk_store_object *objects,
-                        size_t len, bool all, int64_t at)
+                        size_t len, bool all, int64_t store_revision)
 {
     struct rk_sync *s = ctx;
     int64_t before = s->list_known ? s->list_revision : 0;
     bool changed = !s->list_known;
     s->list_zip.len = 0;
     if (all) {
-        changed |= drop_missing(s, objects, len, at, "store");
-        note_hole(s, before, at);
+        changed |= remove_missing(s, objects, len, store_revision, "store");
+        note_gap(s, before, store_revision);
     }
     for (size_t i = 0; i < len; i++) {
         if (!objects[i].name[0])
-            continue; /* no name that can be read: it is no vm's */
+            continue; /* an object without a readable name is no VM's */
         if (objects[i].gone)
-            changed |= drop_told(s, &objects[i], at);
+            changed |= handle_store_removal(s, &objects[i], store_revision);
         else
             changed |= set_entry(s, objects[i].name, objects[i].revision,
                                  objects[i].spec, "store");
     }
-    int64_t known = known_by(objects, len, all, at);
+    int64_t known = known_revision(objects, len, all, store_revision);
     if (known > s->list_revision)
         s->list_revision = known;
     s->list_known = true;
@@ -332,14 +346,14 @@
 
 /* ---- peers ---- */
 
-static void tell_rows(struct rk_sync *s, int64_t since, Rillknot__StoreText *out)
+static void fill_rows(struct rk_sync *s, int64_t since, Rillknot__StoreText *out)
 {
     size_t size = s->entries_len + 1;
     s->rows = rk_realloc(s->rows, size * sizeof(*s->rows));
     s->row_ptrs = rk_realloc(s->row_ptrs, size * sizeof(*s->row_ptrs));
     for (size_t i = 0; i < s->entries_len; i++) {
         const struct entry *e = s->entries[i];
-        if (e->lapse_ends_ms || e->revision <= since)
+        if (e->grace_until_ms || e->revision <= since)
             continue;
         Rillknot__ListRow *row = &s->rows[out->n_list];
         rillknot__list_row__init(row);
@@ -351,35 +365,38 @@
     out->list = s->row_ptrs;
 }
 
-static void tell_gone(struct rk_sync *s, int64_t since, Rillknot__StoreText *out)
+static void fill_removals(struct rk_sync *s, int64_t since,
+                          Rillknot__StoreText *out)
 {
-    size_t kept = s->gone_len < s->gone_cap ? s->gone_len : s->gone_cap;
+    size_t kept = s->removed_len < s->removed_cap ? s->removed_len : s->removed_cap;
     int64_t now_ms = rk_mono_ms();
-    s->gone_rows = rk_realloc(s->gone_rows, (kept + 1) * sizeof(*s->gone_rows));
-    s->gone_ptrs = rk_realloc(s->gone_ptrs, (kept + 1) * sizeof(*s->gone_ptrs));
+    s->removed_rows =
+        rk_realloc(s->removed_rows, (kept + 1) * sizeof(*s->removed_rows));
+    s->removed_ptrs =
+        rk_realloc(s->removed_ptrs, (kept + 1) * sizeof(*s->removed_ptrs));
     for (size_t i = 0; i < kept; i++) {
-        struct gone *g = &s->gone[i];
-        if (g->at <= since)
+        struct removed_vm *r = &s->removed[i];
+        if (r->store_revision <= since)
             continue;
-        Rillknot__GoneRow *row = &s->gone_rows[out->n_gone];
+        Rillknot__GoneRow *row = &s->removed_rows[out->n_gone];
         rillknot__gone_row__init(row);
-        row->name = g->name;
-        row->revision = g->revision;
+        row->name = r->name;
+        row->revision = r->revision;
         row->lapse_left_ms =
-            g->lapse_ends_ms > now_ms ? g->lapse_ends_ms - now_ms : 0;
-        s->gone_ptrs[out->n_gone++] = row;
+            r->grace_until_ms > now_ms ? r->grace_until_ms - now_ms : 0;
+        s->removed_ptrs[out->n_gone++] = row;
     }
-    out->gone = s->gone_ptrs;
+    out->gone = s->removed_ptrs;
 }
 
-/* What is told, compressed: false if it can't be. */
+/* Compresses a message into s->list_zip. Returns false on failure. */
 static bool zip_list(struct rk_sync *s, const Rillknot__StoreText *rows)
 {
-    s->zip_len = (uint32_t)rillknot__store_text__get_packed_size(rows);
+    s->zip_plain_len = (uint32_t)rillknot__store_text__get_packed_size(rows);
     s->zip_since = rows->list_since;
-    uint8_t *packed = rk_alloc(1, s->zip_len);
+    uint8_t *packed = rk_alloc(1, s->zip_plain_len);
     rillknot__store_text__pack(rows, packed);
-    bool zipped = rk_zip(&s->list_zip, (char *)packed, s->zip_len);
+    bool zipped = rk_zip(&s->list_zip, (char *)packed, s->zip_plain_len);
     free(packed);
     if (!zipped)
         s->list_zip.len = 0;
@@ -390,7 +407,7 @@
 {
     out->list_zip.data = (uint8_t *)s->list_zip.data;
     out->list_zip.len = s->list_zip.len;
-    out->list_len = s->zip_len;
+    out->list_len = s->zip_plain_len;
     out->zip_revision = s->list_revision;
     out->list_revision = 0;
     out->list_since = 0;
@@ -398,10 +415,10 @@
     out->n_gone = 0;
 }
 
-void rk_sync_tell_list(struct rk_sync *s, int64_t since, Rillknot__StoreText *out)
+void rk_sync_fill_list(struct rk_sync *s, int64_t since, Rillknot__StoreText *out)
 {
-    bool in_hole = since > s->hole_from && since < s->hole_to;
-    if (since < s->gone_since || since > s->list_revision || in_hole)
+    bool in_gap = since > s->gap_from && since < s->gap_to;
+    if (since < s->removed_since || since > s->list_revision || in_gap)
         since = 0; /* the whole list */
     out->list_revision = s->list_revision;
     out->list_since = since;
@@ -409,16 +426,17 @@
         put_zip(s, out);
         return;
     }
-    tell_rows(s, since, out);
+    fill_rows(s, since, out);
     if (since)
-        tell_gone(s, since, out);
+        fill_removals(s, since, out);
     s->list_zip.len = 0;
-    if (out->n_list + out->n_gone >= ZIP_ROWS && zip_list(s, out))
+    if (out->n_list + out->n_gone >= ZIP_MIN_ROWS && zip_list(s, out))
         put_zip(s, out);
 }
 
-/* The message's rows as objects of the store, without their contents. */
-static struct rk_store_object *read_rows(const Rillknot__StoreText *text)
+/* Returns the message's rows as objects of the store, without contents. The caller
+ * frees the array; the names belong to the message. */
+static struct rk_store_object *rows_as_objects(const Rillknot__StoreText *text)
 {
     struct rk_store_object *objects = rk_alloc(text->n_list + 1, sizeof(*objects));
     for (size_t i = 0; i < text->n_list; i++)
@@ -427,22 +445,24 @@
     return objects;
 }
 
-static bool drop_by_peer(struct rk_sync *s, const Rillknot__GoneRow *row,
-                         int64_t at)
+static bool handle_peer_removal(struct rk_sync *s, const Rillknot__GoneRow *row,
+                                int64_t store_revision)
 {
-    struct gone g = {.revision = row->revision, .at = at};
+    struct removed_vm r = {.revision = row->revision,
+                           .store_revision = store_revision};
     if (row->lapse_left_ms > 0)
-        g.lapse_ends_ms = rk_mono_ms() + row->lapse_left_ms;
-    rk_strcpy(g.name, sizeof(g.name), row->name);
-    return drop_entry(s, &g, "peer");
+        r.grace_until_ms = rk_mono_ms() + row->lapse_left_ms;
+    rk_strcpy(r.name, sizeof(r.name), row->name);
+    return handle_removal(s, &r, "peer");
 }
 
-/* Rows that came compressed; NULL: they can't be read. */
+/* Returns the rows of a compressed message, owned by the caller; NULL: they are not
+ * readable. */
 static Rillknot__StoreText *unzip_list(const Rillknot__StoreText *text)
 {
     Rillknot__StoreText *rows = NULL;
     char *packed =
-        text->list_len > LIST_MAX
+        text->list_len > LIST_MAX_BYTES
             ? NULL
             : rk_unzip(text->list_zip.data, text->list_zip.len, text->list_len);
     if (packed)
@@ -455,7 +475,7 @@
     return rows;
 }
 
-static bool take_row(struct rk_sync *s, const Rillknot__ListRow *row)
+static bool apply_row(struct rk_sync *s, const Rillknot__ListRow *row)
 {
     struct json_object *spec = json_tokener_parse(row->text);
     bool changed = spec && set_entry(s, row->name, row->revision, spec, "peer");
@@ -463,11 +483,12 @@
     return changed;
 }
 
-/* Many changes at once are a line each in the logs of who follows the store; of the
- * hundreds of nodes that it tells, each logs that it was told. */
+/* Replaces the log lines of single VMs by one line if a peer sends many changes at
+ * once. The node that watches the store logs each VM; the hundreds of nodes that
+ * get the changes from it needn't. */
 static void begin_bulk(struct rk_sync *s, const Rillknot__StoreText *text)
 {
-    s->in_bulk = text->n_list + text->n_gone >= ZIP_ROWS;
+    s->in_bulk = text->n_list + text->n_gone >= ZIP_MIN_ROWS;
     if (s->in_bulk)
         RK_EVENT("vms.told", RK_N("listed", (int64_t)text->n_list),
                  RK_N("gone", (int64_t)text->n_gone),
@@ -475,25 +496,26 @@
                  RK_N("revision", text->list_revision));
 }
 
-static void take_rows(struct rk_sync *s, const Rillknot__StoreText *text)
+static void apply_rows(struct rk_sync *s, const Rillknot__StoreText *text)
 {
     int64_t known = s->list_known ? s->list_revision : 0;
-    /* What begins after what is known here has a gap: a report makes us ask. */
+    /* Changes after a later revision than the one known here would leave a gap. The
+     * peer's next report makes this node request what it lacks. */
     if (text->list_revision <= known || text->list_since > known)
         return;
     s->list_zip.len = 0;
-    struct rk_store_object *objects = read_rows(text);
+    struct rk_store_object *objects = rows_as_objects(text);
     bool changed = !s->list_known;
     begin_bulk(s, text);
     if (!text->list_since) {
         changed |=
-            drop_missing(s, objects, text->n_list, text->list_revision, "peer");
-        note_hole(s, known, text->list_revision);
+            remove_missing(s, objects, text->n_list, text->list_revision, "peer");
+        note_gap(s, known, text->list_revision);
     }
     for (size_t i = 0; i < text->n_gone; i++)
-        changed |= drop_by_peer(s, text->gone[i], text->list_revision);
+        changed |= handle_peer_removal(s, text->gone[i], text->list_revision);
     for (size_t i = 0; i < text->n_list; i++)
-        changed |= take_row(s, text->list[i]);
+        changed |= apply_row(s, text->list[i]);
     free(objects);
     s->in_bulk = false;
     s->list_known = true;
@@ -504,50 +526,50 @@
     push_list(s, known, "peer");
 }
 
-void rk_sync_take_list(struct rk_sync *s, const Rillknot__StoreText *text)
+void rk_sync_receive_list(struct rk_sync *s, const Rillknot__StoreText *text)
 {
     int64_t known = s->list_known ? s->list_revision : 0;
     if (!text->list_zip.len) {
-        take_rows(s, text);
+        apply_rows(s, text);
         return;
     }
     Rillknot__StoreText *rows =
         text->zip_revision > known ? unzip_list(text) : NULL;
     if (!rows)
         return;
-    take_rows(s, rows);
+    apply_rows(s, rows);
     rillknot__store_text__free_unpacked(rows, NULL);
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
-static void on_lapses(void *ctx)
+static void on_grace_timer(void *ctx)
 {
     struct rk_sync *s = ctx;
     s->list_zip.len = 0;
-    if (drop_lapsed(s))
+    if (remove_expired(s))
         rk_sync_publish_changes(s);
-    await_lapses(s);
+    schedule_grace_timer(s);
 }
 
 void rk_sync_list_init(struct rk_sync *s)
 {
-    s->lapses = (struct rk_timer){.fn = on_lapses, .ctx = s};
-    s->by_name = lh_kchar_table_new(NAMES_FIRST, NULL);
+    s->grace_timer = (struct rk_timer){.fn = on_grace_timer, .ctx = s};
+    s->by_name = lh_kchar_table_new(NAMES_INITIAL_SIZE, NULL);
 }
 
 void rk_sync_list_free(struct rk_sync *s)
 {
-    rk_timer_stop(s->n->loop, &s->lapses);
+    rk_timer_stop(s->n->loop, &s->grace_timer);
     for (size_t i = 0; i < s->entries_len; i++)
         free_entry(s->entries[i]);
     free(s->entries);
-    free(s->left);
+    free(s->unsent_removed);
     lh_table_free(s->by_name);
     free(s->rows);
     free(s->row_ptrs);
-    free(s->gone);
-    free(s->gone_rows);
-    free(s->gone_ptrs);
+    free(s->removed);
+    free(s->removed_rows);
+    free(s->removed_ptrs);
     rk_buf_free(&s->list_zip);
 }
--- a/node/sync_publish.c
+++ b/node/sync_publish.c
@@ -1,73 +1,79 @@
-/* What traffic is told of the list of vms: all of it once, then what changed. Told
- * whole at each change, a list of thousands was most of what a node did while
- * others of them came and went. */
+/* Sends the VM list to the relay: the whole list once, then its changes. When a
+ * list of thousands of VMs was sent whole at each change, that was most of a node's
+ * work while VMs came and went. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "node/sync_impl.h"
 
-#define LEFT_FIRST 16 /* places, doubled as they fill */
+#define UNSENT_INITIAL_CAP 16
 
-void rk_sync_note_left(struct rk_sync *s, const char *name)
+void rk_sync_note_removed(struct rk_sync *s, const char *name)
 {
     if (!s->published)
         return;
-    if (s->left_len == s->left_cap) {
-        s->left_cap = s->left_cap ? s->left_cap * 2 : LEFT_FIRST;
-        s->left = rk_realloc(s->left, s->left_cap * sizeof(*s->left));
+    if (s->unsent_removed_len == s->unsent_removed_cap) {
+        s->unsent_removed_cap =
+            s->unsent_removed_cap ? s->unsent_removed_cap * 2 : UNSENT_INITIAL_CAP;
+        s->unsent_removed = rk_realloc(
+            s->unsent_removed, s->unsent_removed_cap * sizeof(*s->unsent_removed));
     }
-    rk_strcpy(s->left[s->left_len++], sizeof(*s->left), name);
+    rk_strcpy(s->unsent_removed[s->unsent_removed_len++],
+              sizeof(*s->unsent_removed), name);
 }
 
-/* Traffic's queue was full: what it missed goes with the whole list. */
-static void note_told(struct rk_sync *s, bool told)
+/* Notes an update of the relay. If its queue was full, the next update has the
+ * whole list. */
+static void note_update(struct rk_sync *s, bool queued)
 {
-    s->published = told;
-    s->left_len = 0;
+    s->published = queued;
+    s->unsent_removed_len = 0;
     rk_duty_keeper_look(s->n->duty_keeper);
 }
 
 void rk_sync_publish(struct rk_sync *s)
 {
     struct rk_vm_row *rows = rk_alloc(s->entries_len + 1, sizeof(*rows));
-    int64_t *since = rk_alloc(s->entries_len + 1, sizeof(*since));
+    int64_t *first_revisions =
+        rk_alloc(s->entries_len + 1, sizeof(*first_revisions));
     for (size_t i = 0; i < s->entries_len; i++) {
         rows[i] = s->entries[i]->row;
-        since[i] = s->entries[i]->first_revision;
-        s->entries[i]->is_news = false;
+        first_revisions[i] = s->entries[i]->first_revision;
+        s->entries[i]->needs_publish = false;
     }
-    rk_rollouts_mark(s->n->rollouts, rows, since, s->entries_len);
-    free(since);
-    note_told(s, rk_relay_set_vms(s->n->relay, rows, s->entries_len));
+    rk_rollouts_mark(s->n->rollouts, rows, first_revisions, s->entries_len);
+    free(first_revisions);
+    note_update(s, rk_relay_set_vms(s->n->relay, rows, s->entries_len));
 }
 
-static size_t take_news(struct rk_sync *s, struct rk_vm_row **rows)
+static size_t take_changes(struct rk_sync *s, struct rk_vm_row **rows)
 {
     size_t len = 0;
     for (size_t i = 0; i < s->entries_len; i++)
-        len += s->entries[i]->is_news;
+        len += s->entries[i]->needs_publish;
     *rows = rk_alloc(len + 1, sizeof(**rows));
     len = 0;
     for (size_t i = 0; i < s->entries_len; i++) {
         struct entry *e = s->entries[i];
-        if (e->is_news)
+        if (e->needs_publish)
             (*rows)[len++] = e->row;
-        e->is_news = false;
+        e->needs_publish = false;
     }
     return len;
 }
 
 void rk_sync_publish_changes(struct rk_sync *s)
 {
-    /* Which vms an ordered version bars is found out over all of them. */
+    /* With rollouts, which VMs are blocked depends on the whole list. */
     if (!s->published || rk_rollouts_are_on(s->n->rollouts)) {
         rk_sync_publish(s);
         return;
     }
     struct rk_vm_row *rows;
-    size_t len = take_news(s, &rows), left_len = s->left_len;
-    char(*left)[RK_ID_MAX] = rk_alloc(left_len + 1, sizeof(*left));
-    if (left_len)
-        memcpy(left, s->left, left_len * sizeof(*left));
-    note_told(s, rk_relay_change_vms(s->n->relay, rows, len, left, left_len));
+    size_t len = take_changes(s, &rows), removed_len = s->unsent_removed_len;
+    char(*removed)[RK_ID_MAX] = rk_alloc(removed_len + 1, sizeof(*removed));
+    if (removed_len)
+        memcpy(removed, s->unsent_removed, removed_len * sizeof(*removed));
+    note_update(s,
+                rk_relay_change_vms(s->n->relay, rows, len, removed, removed_len));
 }
--- a/node/sync_settings.c
+++ b/node/sync_settings.c
@@ -1,5 +1,5 @@
-/* Settings: the newest version that can be used. They only rise in a process's
- * life. */
+/* Settings: uses the newest valid version that the store or a peer has sent. The
+ * version in use never falls while the process runs. */
 #include <json-c/json.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,28 +8,28 @@
 #include "common/zip.h"
 #include "node/sync_impl.h"
 
-#define SETTINGS_MAX (4 * 1024 * 1024) /* bytes of a text that a peer told */
+#define SETTINGS_MAX_BYTES (4 * 1024 * 1024) /* of a peer's text, uncompressed */
 
-/* What peers are told: made of the text where the store told it, else passed on as
- * it came. */
-static void keep_text(struct rk_sync *s, const char *text)
+/* Compresses settings that came from the store, to be sent to peers. */
+static void zip_text(struct rk_sync *s, const char *text)
 {
     s->settings_zip.len = 0;
-    s->settings_len = strlen(text);
-    if (!rk_zip(&s->settings_zip, text, s->settings_len))
-        RK_WARN("settings.not_told", RK_N("bytes", (int64_t)s->settings_len));
+    s->settings_plain_len = strlen(text);
+    if (!rk_zip(&s->settings_zip, text, s->settings_plain_len))
+        RK_WARN("settings.not_told", RK_N("bytes", (int64_t)s->settings_plain_len));
 }
 
-static void keep_zip(struct rk_sync *s, const Rillknot__StoreText *text)
+/* Copies settings that came from a peer, to be sent on as they are. */
+static void copy_zip(struct rk_sync *s, const Rillknot__StoreText *text)
 {
     s->settings_zip.len = 0;
-    s->settings_len = text->settings_len;
+    s->settings_plain_len = text->settings_len;
     rk_buf_add(&s->settings_zip, text->settings_zip.data, text->settings_zip.len);
 }
 
 static void note_caught_up(struct rk_sync *s)
 {
-    if (!s->behind_since_ms || rk_sync_version(s) < s->newest_told)
+    if (!s->behind_since_ms || rk_sync_version(s) < s->newest_reported)
         return;
     RK_EVENT("settings.caught_up", RK_N("version", rk_sync_version(s)),
              RK_N("behind_ms", rk_mono_ms() - s->behind_since_ms));
@@ -51,24 +51,24 @@
     rk_mesh_tell_settings(s->n->mesh);
 }
 
-enum taken { TAKEN, NOT_NEWER, NOT_USABLE };
+enum settings_result { SETTINGS_APPLIED, SETTINGS_NOT_NEWER, SETTINGS_INVALID };
 
-static enum taken take_settings(struct rk_sync *s, struct json_object *spec,
-                                const char *from)
+static enum settings_result
+apply_settings(struct rk_sync *s, struct json_object *spec, const char *from)
 {
     struct rk_routes *routes;
     if (s->n->platform->parse_routes(spec, &routes) != RK_OK) {
         RK_WARN("settings.rejected", RK_S("why", rk_last_error()),
                 RK_S("from", from),
                 RK_N("kept", s->routes ? s->routes->version : 0));
-        return NOT_USABLE;
+        return SETTINGS_INVALID;
     }
     if (s->routes && routes->version <= s->routes->version) {
         rk_routes_unref(routes);
-        return NOT_NEWER;
+        return SETTINGS_NOT_NEWER;
     }
     use_routes(s, routes, from);
-    return TAKEN;
+    return SETTINGS_APPLIED;
 }
 
 static bool is_settings(const struct rk_sync *s, const struct rk_store_object *o)
@@ -76,38 +76,38 @@
     return !o->gone && o->spec && !strcmp(o->name, s->n->platform->settings_name);
 }
 
-/* The newest that can be used; those before it aren't read. Changes come in the
- * order of their revisions. */
+/* Applies the newest valid settings and parses none of the older ones. Changes are
+ * in the order of their revisions. */
 void rk_sync_apply_settings(void *ctx, const struct rk_store_object *objects,
-                            size_t len, bool all, int64_t at)
+                            size_t len, bool all, int64_t store_revision)
 {
     struct rk_sync *s = ctx;
     (void)all;
-    (void)at;
+    (void)store_revision;
     for (size_t i = len; i-- > 0;) {
         if (!is_settings(s, &objects[i]))
             continue;
-        enum taken taken = take_settings(s, objects[i].spec, "store");
-        if (taken == TAKEN)
-            keep_text(s, json_object_to_json_string(objects[i].spec));
-        if (taken != NOT_USABLE)
+        enum settings_result result = apply_settings(s, objects[i].spec, "store");
+        if (result == SETTINGS_APPLIED)
+            zip_text(s, json_object_to_json_string(objects[i].spec));
+        if (result != SETTINGS_INVALID)
             return;
     }
 }
 
 /* ---- peers ---- */
 
-void rk_sync_tell_settings(struct rk_sync *s, Rillknot__StoreText *out)
+void rk_sync_fill_settings(struct rk_sync *s, Rillknot__StoreText *out)
 {
     out->settings_revision = s->routes->version;
     out->settings_zip.data = (uint8_t *)s->settings_zip.data;
     out->settings_zip.len = s->settings_zip.len;
-    out->settings_len = (uint32_t)s->settings_len;
+    out->settings_len = (uint32_t)s->settings_plain_len;
 }
 
-void rk_sync_take_settings(struct rk_sync *s, const Rillknot__StoreText *text)
+void rk_sync_receive_settings(struct rk_sync *s, const Rillknot__StoreText *text)
 {
-    char *plain = text->settings_len > SETTINGS_MAX
+    char *plain = text->settings_len > SETTINGS_MAX_BYTES
                       ? NULL
                       : rk_unzip(text->settings_zip.data, text->settings_zip.len,
                                  text->settings_len);
@@ -116,8 +116,8 @@
     if (!spec)
         RK_WARN("settings.unreadable", RK_N("version", text->settings_revision),
                 RK_N("bytes", (int64_t)text->settings_zip.len));
-    else if (take_settings(s, spec, "peer") == TAKEN)
-        keep_zip(s, text);
+    else if (apply_settings(s, spec, "peer") == SETTINGS_APPLIED)
+        copy_zip(s, text);
     rk_follow_forget(&s->settings);
     json_object_put(spec);
 }
