--- a/node/rollout_metrics.c
+++ b/node/rollout_metrics.c
@@ -1,14 +1,15 @@
-/* Metrics by version, while operators move services: where each roll-out stands,
- * and what this node's calls showed of both versions. Nodes are summed by who reads
- * them; names are the operators' and the platform's, so they are escaped. */
+/* Metrics of rollouts: the phase of each, its VMs by version, and the results of
+ * this node's calls to both versions. Whoever reads the metrics sums them over the
+ * nodes. Services, versions and routes are named by operators and the platform, so
+ * the names are escaped. */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "node/rollouts_impl.h"
 
-/* A label's value: backslash, quote and line feed are escaped, as the text format
- * of Prometheus asks. */
+/* Appends a label. Backslash, quote and line feed are escaped as Prometheus' text
+ * format requires. */
 static void put_label(struct rk_buf *out, const char *name, const char *value)
 {
     rk_buf_printf(out, "%s=\"", name);
@@ -37,58 +38,63 @@
     rk_buf_printf(out, "} %.15g\n", value);
 }
 
-static void render_rules(struct rk_buf *out, const struct rk_rollout_word *word)
+static void render_rules(struct rk_buf *out,
+                         const struct rk_rollout_word *announcement)
 {
     rk_buf_addstr(out, "# TYPE rillknot_rollout_phase gauge\n");
-    for (size_t i = 0; i < word->len; i++)
-        put_sample(out, "rollout_phase", word->rules[i].service,
-                   word->rules[i].version, NULL, word->rules[i].phase);
+    for (size_t i = 0; i < announcement->len; i++)
+        put_sample(out, "rollout_phase", announcement->rules[i].service,
+                   announcement->rules[i].version, NULL,
+                   announcement->rules[i].phase);
     rk_buf_addstr(out, "# TYPE rillknot_rollout_share gauge\n");
-    for (size_t i = 0; i < word->len; i++)
-        put_sample(out, "rollout_share", word->rules[i].service,
-                   word->rules[i].version, NULL,
-                   (double)word->rules[i].share / RK_ROLLOUT_ALL);
+    for (size_t i = 0; i < announcement->len; i++)
+        put_sample(out, "rollout_share", announcement->rules[i].service,
+                   announcement->rules[i].version, NULL,
+                   (double)announcement->rules[i].share / RK_ROLLOUT_ALL);
 }
 
-/* ---- vms ---- */
+/* ---- VMs ---- */
 
-#define VERSIONS (4 * RK_ROLLOUTS) /* that vms have: more aren't counted */
+/* Pairs of a service and a version whose VMs are counted; further ones are left
+ * out. */
+#define MAX_VERSIONS (4 * RK_ROLLOUTS)
 
-struct version_vms {
-    const struct rk_vm_row *like;
-    size_t count;
+struct version_count {
+    const struct rk_vm_row *first; /* of this service and version */
+    size_t vms;
 };
 
-static void count_vm(struct version_vms *all, size_t *len,
+static void count_vm(struct version_count *all, size_t *len,
                      const struct rk_vm_row *row)
 {
     for (size_t i = 0; i < *len; i++)
-        if (!strcmp(all[i].like->service, row->service) &&
-            !strcmp(all[i].like->version, row->version)) {
-            all[i].count++;
+        if (!strcmp(all[i].first->service, row->service) &&
+            !strcmp(all[i].first->version, row->version)) {
+            all[i].vms++;
             return;
         }
-    if (*len < VERSIONS)
-        all[(*len)++] = (struct version_vms){.like = row, .count = 1};
+    if (*len < MAX_VERSIONS)
+        all[(*len)++] = (struct version_count){.first = row, .vms = 1};
 }
 
 static void render_vms(struct rk_buf *out, const struct rk_rollouts *r)
 {
-    struct version_vms all[VERSIONS];
+    struct version_count all[MAX_VERSIONS];
     const struct rk_vm_row *row;
     size_t len = 0;
     for (size_t i = 0; (row = rk_sync_vm_at(r->n->sync, i)); i++)
-        if (rk_rollout_rule_of(&r->word, row->service))
+        if (rk_rollout_announced_rule(&r->announcement, row->service))
             count_vm(all, &len, row);
     rk_buf_addstr(out, "# TYPE rillknot_rollout_vms gauge\n");
     for (size_t i = 0; i < len; i++)
-        put_sample(out, "rollout_vms", all[i].like->service, all[i].like->version,
-                   NULL, (double)all[i].count);
+        put_sample(out, "rollout_vms", all[i].first->service, all[i].first->version,
+                   NULL, (double)all[i].vms);
 }
 
 /* ---- calls ---- */
 
-static bool is_first_of(const struct rk_trial_rows *t, size_t row)
+/* Returns whether no earlier row has the same route and version. */
+static bool is_first_row(const struct rk_trial_rows *t, size_t row)
 {
     for (size_t i = 0; i < row; i++)
         if (t->rows[i].tried == t->rows[row].tried &&
@@ -97,17 +103,17 @@
     return true;
 }
 
-static double calls_of(const struct rk_trial_seen *s)
+static double get_calls(const struct rk_trial_seen *s)
 {
     return s->calls;
 }
 
-static double failed_of(const struct rk_trial_seen *s)
+static double get_failed(const struct rk_trial_seen *s)
 {
     return s->failed;
 }
 
-static double pace_of(const struct rk_trial_seen *s)
+static double get_latency_ratio(const struct rk_trial_seen *s)
 {
     return (double)rk_trial_pace_pct(s) / 100;
 }
@@ -119,28 +125,30 @@
     const struct rk_relay_report *report = r->n->report;
     rk_buf_printf(out, "# TYPE rillknot_%s %s\n", name, type);
     for (size_t i = 0; report && i < report->trials_len; i++) {
-        const struct rk_rollout_seen *seen = &report->trials[i];
-        for (size_t j = 0; j < seen->rows.len; j++) {
-            const struct rk_trial_row *row = &seen->rows.rows[j];
-            if (!is_first_of(&seen->rows, j))
+        const struct rk_rollout_seen *canary = &report->trials[i];
+        for (size_t j = 0; j < canary->rows.len; j++) {
+            const struct rk_trial_row *row = &canary->rows.rows[j];
+            if (!is_first_row(&canary->rows, j))
                 continue;
             const struct rk_trial_seen sum =
-                rk_trial_sum(&seen->rows, row->route, row->tried, "");
+                rk_trial_sum(&canary->rows, row->route, row->tried, "");
             const char *version =
-                row->tried ? seen->version
-                           : rk_rollouts_before(r, seen->service, seen->version);
-            put_sample(out, name, seen->service, version, row->route, value(&sum));
+                row->tried ? canary->version
+                           : rk_rollouts_previous_version(r, canary->service,
+                                                          canary->version);
+            put_sample(out, name, canary->service, version, row->route,
+                       value(&sum));
         }
     }
 }
 
 void rk_rollouts_render(const struct rk_rollouts *r, struct rk_buf *out)
 {
-    if (!r->word.len)
+    if (!r->announcement.len)
         return;
-    render_rules(out, &r->word);
+    render_rules(out, &r->announcement);
     render_vms(out, r);
-    render_calls(out, r, "rollout_calls_total", "counter", calls_of);
-    render_calls(out, r, "rollout_failed_total", "counter", failed_of);
-    render_calls(out, r, "rollout_pace", "gauge", pace_of);
+    render_calls(out, r, "rollout_calls_total", "counter", get_calls);
+    render_calls(out, r, "rollout_failed_total", "counter", get_failed);
+    render_calls(out, r, "rollout_pace", "gauge", get_latency_ratio);
 }
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -1,7 +1,7 @@
-/* Roll-outs: the holder of the duties follows what operators order, decides by what
- * all nodes saw of both versions, records the state, and says what each node has to
- * do; the others go by its word. Versions that nobody ordered, as far as is known,
- * get no call. */
+/* Rollouts of service versions. The leader watches the operators' orders, judges
+ * new versions by the calls of all nodes, records the state in the store and sends
+ * rollout announcements; the other nodes apply these. VMs get no calls while their
+ * version is neither ordered, nor known to be the platform's own replacement. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,12 +10,14 @@
 #include "node/rollouts_impl.h"
 #include "objects/store.h"
 
-/* A word that is older lets nobody try a version that is not judged yet: holders
- * tell it four times a second, over two bridges at the most. */
-#define FRESH_MS 1500
-/* Without any word for so long, the store is asked what became of a roll-out. */
-#define LOST_MS      3000
-#define ASK_STORE_MS 2000
+/* When its newest announcement is older than this, a node sends no calls to a
+ * version that isn't judged yet. The leader sends four announcements a second; each
+ * passes two bridges at most. */
+#define ANNOUNCEMENT_FRESH_MS 1500
+/* Without an announcement for this long, a node queries the store for the outcome
+ * of a rollout. */
+#define ANNOUNCEMENT_LOST_MS    3000
+#define STORE_QUERY_INTERVAL_MS 2000
 
 bool rk_rollouts_are_on(const struct rk_rollouts *r)
 {
@@ -24,12 +26,12 @@
 
 const struct rk_rollout_word *rk_rollouts_word(const struct rk_rollouts *r)
 {
-    return r->word.number ? &r->word : NULL;
+    return r->announcement.number ? &r->announcement : NULL;
 }
 
-/* ---- versions that may be used ---- */
+/* ---- usable versions ---- */
 
-static struct serving *serving_of(struct rk_rollouts *r, const char *service)
+static struct serving *find_serving(struct rk_rollouts *r, const char *service)
 {
     for (size_t i = 0; i < r->serving_len; i++)
         if (!strcmp(r->serving[i].service, service))
@@ -37,13 +39,13 @@
     return NULL;
 }
 
-const char *rk_rollouts_before(const struct rk_rollouts *r, const char *service,
-                               const char *version)
+const char *rk_rollouts_previous_version(const struct rk_rollouts *r,
+                                         const char *service, const char *version)
 {
-    const struct serving *s = serving_of((struct rk_rollouts *)r, service);
+    const struct serving *s = find_serving((struct rk_rollouts *)r, service);
     if (!s)
         return "";
-    return strcmp(s->version, version) != 0 ? s->version : s->before;
+    return strcmp(s->version, version) != 0 ? s->version : s->previous;
 }
 
 static size_t count_version(const struct rk_vm_row *rows, size_t len,
@@ -56,8 +58,8 @@
     return count;
 }
 
-/* The vm of a service that has stood longest; NULL: not each tells when it was
- * started. */
+/* Returns the VM of a service that was started first; NULL: the start of one of
+ * them is not known. */
 static const struct rk_vm_row *find_oldest(const struct rk_vm_row *rows, size_t len,
                                            const char *service)
 {
@@ -73,9 +75,10 @@
     return oldest;
 }
 
-/* One of the version that most vms of a service have. */
-static const struct rk_vm_row *find_common(const struct rk_vm_row *rows, size_t len,
-                                           const struct rk_vm_row *first)
+/* Returns a VM of the version that most VMs of a service have. */
+static const struct rk_vm_row *find_most_common(const struct rk_vm_row *rows,
+                                                size_t len,
+                                                const struct rk_vm_row *first)
 {
     const struct rk_vm_row *most = first;
     for (size_t i = 0; i < len; i++)
@@ -86,45 +89,50 @@
     return most;
 }
 
-/* A service seen for the first time is served by the version that came first: while
- * another one is tried, as many vms may have that. */
-static void learn_serving(struct rk_rollouts *r, const struct rk_vm_row *rows,
-                          size_t len, const struct rk_vm_row *row)
+/* Takes the oldest VM's version as the one that serves a service seen for the first
+ * time. The most common one is used only if the oldest isn't known, since during a
+ * rollout as many VMs may have the new version. */
+static void init_serving(struct rk_rollouts *r, const struct rk_vm_row *rows,
+                         size_t len, const struct rk_vm_row *row)
 {
-    if (serving_of(r, row->service) || r->serving_len == RK_ROLLOUTS_SERVICES)
+    if (find_serving(r, row->service) || r->serving_len == RK_ROLLOUTS_MAX_SERVICES)
         return;
     const struct rk_vm_row *like = find_oldest(rows, len, row->service);
     if (!like)
-        like = find_common(rows, len, row);
+        like = find_most_common(rows, len, row);
     struct serving *s = &r->serving[r->serving_len++];
     rk_strcpy(s->service, sizeof(s->service), row->service);
     rk_strcpy(s->version, sizeof(s->version), like->version);
 }
 
-const struct rk_rollout_rule *rk_rollout_rule_of(const struct rk_rollout_word *word,
-                                                 const char *service)
+const struct rk_rollout_rule *
+rk_rollout_announced_rule(const struct rk_rollout_word *announcement,
+                          const char *service)
 {
-    return rk_rollout_rule_find(word->rules, word->len, service);
+    return rk_rollout_rule_find(announcement->rules, announcement->len, service);
 }
 
 const struct rk_rollout_rule *rk_rollouts_moving(const struct rk_rollouts *r,
                                                  const char *service)
 {
-    const struct rk_rollout_rule *rule = rk_rollout_rule_of(&r->word, service);
+    const struct rk_rollout_rule *rule =
+        rk_rollout_announced_rule(&r->announcement, service);
     return rule && rule->phase < RK_ROLLOUT_TAKEN ? rule : NULL;
 }
 
-static bool is_barred(struct rk_rollouts *r, const struct rk_vm_row *row,
-                      int64_t since)
+static bool is_blocked(struct rk_rollouts *r, const struct rk_vm_row *row,
+                       int64_t since)
 {
-    const struct serving *s = serving_of(r, row->service);
-    const struct rk_rollout_rule *rule = rk_rollout_rule_of(&r->word, row->service);
+    const struct serving *s = find_serving(r, row->service);
+    const struct rk_rollout_rule *rule =
+        rk_rollout_announced_rule(&r->announcement, row->service);
     if (!s || !strcmp(s->version, row->version))
         return false;
     if (rule && !strcmp(rule->version, row->version))
         return rule->phase == RK_ROLLOUT_GIVEN_BACK;
-    /* Nobody ordered it by the time it came: the platform's own replacement. */
-    return rule || r->word.known_at < since;
+    /* If no order for the service was there when the VM appeared, the platform has
+     * replaced the version itself, and the VM may be used. */
+    return rule || r->announcement.known_at < since;
 }
 
 void rk_rollouts_mark(struct rk_rollouts *r, struct rk_vm_row *rows,
@@ -133,47 +141,51 @@
     if (!rk_rollouts_are_on(r))
         return;
     for (size_t i = 0; i < len; i++)
-        learn_serving(r, rows, len, &rows[i]);
-    r->bars = false;
+        init_serving(r, rows, len, &rows[i]);
+    r->any_blocked = false;
     for (size_t i = 0; i < len; i++) {
-        rows[i].barred = is_barred(r, &rows[i], since[i]);
-        r->bars = r->bars || rows[i].barred;
+        rows[i].barred = is_blocked(r, &rows[i], since[i]);
+        r->any_blocked = r->any_blocked || rows[i].barred;
     }
 }
 
-/* ---- going by the word ---- */
+/* ---- applying announcements ---- */
 
 static bool is_fresh(const struct rk_rollouts *r)
 {
-    return r->word.number && rk_mono_ms() - r->word.said_ms < FRESH_MS;
+    return r->announcement.number &&
+           rk_mono_ms() - r->announcement.said_ms < ANNOUNCEMENT_FRESH_MS;
 }
 
-static void note_taken(struct rk_rollouts *r)
+/* Takes over the versions of committed rollouts as those that serve. */
+static void update_serving(struct rk_rollouts *r)
 {
-    for (size_t i = 0; i < r->word.len; i++) {
-        const struct rk_rollout_rule *rule = &r->word.rules[i];
-        struct serving *s = serving_of(r, rule->service);
+    for (size_t i = 0; i < r->announcement.len; i++) {
+        const struct rk_rollout_rule *rule = &r->announcement.rules[i];
+        struct serving *s = find_serving(r, rule->service);
         if (!s || rule->phase != RK_ROLLOUT_TAKEN ||
             !strcmp(s->version, rule->version))
             continue;
-        rk_strcpy(s->before, sizeof(s->before), s->version);
+        rk_strcpy(s->previous, sizeof(s->previous), s->version);
         rk_strcpy(s->version, sizeof(s->version), rule->version);
     }
 }
 
-/* Tell the relay what has changed. */
-static void apply_word(struct rk_rollouts *r)
+/* Sends the rules to the relay if it lacks them, or if the announcement has become
+ * fresh or stale. */
+static void update_relay(struct rk_rollouts *r)
 {
     bool fresh = is_fresh(r);
-    if (r->told && fresh == r->was_fresh)
+    if (r->relay_updated && fresh == r->was_fresh)
         return;
     struct rk_rollout_rule *rules =
-        rk_alloc(r->word.len + 1, sizeof(struct rk_rollout_rule));
-    memcpy(rules, r->word.rules, r->word.len * sizeof(*rules));
-    bool taken = rk_relay_set_rollouts(r->n->relay, rules, r->word.len, fresh);
-    r->told = taken;
+        rk_alloc(r->announcement.len + 1, sizeof(struct rk_rollout_rule));
+    memcpy(rules, r->announcement.rules, r->announcement.len * sizeof(*rules));
+    bool queued =
+        rk_relay_set_rollouts(r->n->relay, rules, r->announcement.len, fresh);
+    r->relay_updated = queued;
     r->was_fresh = fresh;
-    note_taken(r);
+    update_serving(r);
 }
 
 static bool same_rules(const struct rk_rollout_word *a,
@@ -190,56 +202,61 @@
 
 static void log_rules(const struct rk_rollouts *r, const char *from)
 {
-    for (size_t i = 0; i < r->word.len; i++) {
-        const struct rk_rollout_rule *rule = &r->word.rules[i];
+    for (size_t i = 0; i < r->announcement.len; i++) {
+        const struct rk_rollout_rule *rule = &r->announcement.rules[i];
         RK_EVENT("rollout.rule", RK_S("service", rule->service),
                  RK_S("version", rule->version),
                  RK_S("phase", rk_rollout_phase_str(rule->phase)),
                  RK_N("share", rule->share), RK_N("vms", rule->vms),
-                 RK_N("turn", rule->turn), RK_N("epoch", r->word.epoch),
+                 RK_N("turn", rule->turn), RK_N("epoch", r->announcement.epoch),
                  RK_S("from", from));
     }
 }
 
-static void set_word(struct rk_rollouts *r, const struct rk_rollout_word *word,
-                     const char *from)
+static void set_announcement(struct rk_rollouts *r,
+                             const struct rk_rollout_word *announcement,
+                             const char *from)
 {
-    bool changed = r->word.epoch != word->epoch || !same_rules(&r->word, word);
-    bool known = word->known_at != r->told_at;
-    r->word = *word;
-    r->told_at = word->known_at;
+    bool changed = r->announcement.epoch != announcement->epoch ||
+                   !same_rules(&r->announcement, announcement);
+    bool known = announcement->known_at != r->marked_revision;
+    r->announcement = *announcement;
+    r->marked_revision = announcement->known_at;
     if (changed) {
         log_rules(r, from);
-        r->told = false;
+        r->relay_updated = false;
     }
-    apply_word(r);
-    if (changed || (known && r->bars))
+    update_relay(r);
+    if (changed || (known && r->any_blocked))
         rk_sync_publish(r->n->sync);
 }
 
-bool rk_rollouts_take(struct rk_rollouts *r, const struct rk_rollout_word *word)
+bool rk_rollouts_take(struct rk_rollouts *r,
+                      const struct rk_rollout_word *announcement)
 {
-    bool newer = word->epoch > r->word.epoch ||
-                 (word->epoch == r->word.epoch && word->number > r->word.number);
-    if (!newer || r->holds || !rk_rollouts_are_on(r))
+    bool newer = announcement->epoch > r->announcement.epoch ||
+                 (announcement->epoch == r->announcement.epoch &&
+                  announcement->number > r->announcement.number);
+    if (!newer || r->is_leader || !rk_rollouts_are_on(r))
         return false;
-    set_word(r, word, "peer");
+    set_announcement(r, announcement, "peer");
     return true;
 }
 
-/* ---- who hears nobody ---- */
+/* ---- querying the store ---- */
 
-static void on_asked(void *ctx, enum rk_status st, const struct rk_store_object *o)
+static void on_order_read(void *ctx, enum rk_status st,
+                          const struct rk_store_object *o)
 {
     struct rk_rollouts *r = ctx;
     struct rk_rollout_order order;
-    r->asking = false;
-    if (st != RK_OK || !o || is_fresh(r) || r->holds ||
+    r->querying = false;
+    if (st != RK_OK || !o || is_fresh(r) || r->is_leader ||
         !r->n->platform->parse_rollout(o->spec, o->status, &order))
         return;
-    struct rk_rollout_word word = r->word;
-    for (size_t i = 0; i < word.len; i++) {
-        struct rk_rollout_rule *rule = &word.rules[i];
+    struct rk_rollout_word announcement = r->announcement;
+    for (size_t i = 0; i < announcement.len; i++) {
+        struct rk_rollout_rule *rule = &announcement.rules[i];
         if (strcmp(rule->service, order.service) != 0 ||
             strcmp(rule->version, order.version) != 0 ||
             order.state < RK_ROLLOUT_DONE)
@@ -250,78 +267,82 @@
         rule->vms = 0;
         rule->revision++;
     }
-    if (!same_rules(&word, &r->word))
-        set_word(r, &word, "store");
+    if (!same_rules(&announcement, &r->announcement))
+        set_announcement(r, &announcement, "store");
 }
 
-/* A node that is cut off from its peers, but not from the store, learns there
- * whether the old vms are gone. */
-static void ask_store(struct rk_rollouts *r)
+/* Reads the state of a rollout in progress when there were no announcements for
+ * long. A node that is cut off from its peers, but not from the store, learns by
+ * this whether the old VMs are gone. */
+static void query_store(struct rk_rollouts *r)
 {
     int64_t now_ms = rk_mono_ms();
-    if (r->asking || r->holds || !r->word.number ||
-        now_ms - r->word.said_ms < LOST_MS || now_ms - r->asked_ms < ASK_STORE_MS)
+    if (r->querying || r->is_leader || !r->announcement.number ||
+        now_ms - r->announcement.said_ms < ANNOUNCEMENT_LOST_MS ||
+        now_ms - r->queried_ms < STORE_QUERY_INTERVAL_MS)
         return;
-    for (size_t i = 0; i < r->word.len; i++) {
-        const struct rk_rollout_rule *rule = &r->word.rules[i];
+    for (size_t i = 0; i < r->announcement.len; i++) {
+        const struct rk_rollout_rule *rule = &r->announcement.rules[i];
         if (rule->phase >= RK_ROLLOUT_TAKEN)
             continue;
-        r->asking = true;
-        r->asked_ms = now_ms;
+        r->querying = true;
+        r->queried_ms = now_ms;
         r->n->store->ops->read(r->n->store, r->n->platform->rollouts_kind,
-                               rule->service, false, on_asked, r);
+                               rule->service, false, on_order_read, r);
         return;
     }
 }
 
-/* Each order that is known has a rule, also before it has begun: without one, its
- * version would pass for a replacement by the platform itself. */
-static void say(struct rk_rollouts *r)
+/* Makes and sends an announcement. It has a rule for each known order, also before
+ * its run has started: without a rule, the new version would be taken for the
+ * platform's own replacement. */
+static void announce(struct rk_rollouts *r)
 {
-    struct rk_rollout_word word = {
+    struct rk_rollout_word announcement = {
         .epoch = r->epoch,
-        .number = r->word.epoch == r->epoch ? r->word.number + 1 : 1,
+        .number =
+            r->announcement.epoch == r->epoch ? r->announcement.number + 1 : 1,
         .said_ms = rk_mono_ms(),
         .known_at = r->orders.at};
     for (size_t i = 0; i < RK_ROLLOUTS; i++)
-        if (r->courses[i].used)
-            word.rules[word.len++] = r->courses[i].rollout.rule;
-    set_word(r, &word, "self");
+        if (r->runs[i].used)
+            announcement.rules[announcement.len++] = r->runs[i].rollout.rule;
+    set_announcement(r, &announcement, "self");
     rk_mesh_tell_rollouts(r->n->mesh);
 }
 
-static void hold(struct rk_rollouts *r, const struct rk_duty_token *token)
+static void set_leader(struct rk_rollouts *r, const struct rk_duty_token *token)
 {
-    r->holds = token != NULL;
+    r->is_leader = token != NULL;
     r->epoch = token ? token->fence : 0;
     if (!token)
         return;
-    /* What an earlier holder knew may be old: it is listed, and begun, again. */
-    rk_rollouts_begin_holding(r);
+    /* The orders known from an earlier time as leader may be outdated. */
+    rk_rollouts_begin_leading(r);
 }
 
 void rk_rollouts_tick(struct rk_rollouts *r, const struct rk_duty_token *token)
 {
     if (!rk_rollouts_are_on(r))
         return;
-    if (r->holds != (token != NULL) || (token && token->fence != r->epoch))
-        hold(r, token);
-    rk_follow_set(&r->orders, r->holds);
-    apply_word(r);
-    ask_store(r);
-    if (!r->holds || !r->orders.at || !rk_sync_ready(r->n->sync))
+    if (r->is_leader != (token != NULL) || (token && token->fence != r->epoch))
+        set_leader(r, token);
+    rk_follow_set(&r->orders, r->is_leader);
+    update_relay(r);
+    query_store(r);
+    if (!r->is_leader || !r->orders.at || !rk_sync_ready(r->n->sync))
         return;
-    rk_rollouts_hold(r);
-    say(r);
+    rk_rollouts_update_runs(r);
+    announce(r);
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 struct rk_rollouts *rk_rollouts_create(struct rk_node *n)
 {
     struct rk_rollouts *r = rk_alloc(1, sizeof(*r));
     r->n = n;
-    rk_rollouts_init_orders(r);
+    rk_rollouts_init_order_watch(r);
     return r;
 }
 
--- a/node/rollouts_hold.c
+++ b/node/rollouts_hold.c
@@ -1,5 +1,5 @@
-/* Roll-outs at the holder of the duties: it follows what operators order, decides
- * by what all nodes saw of both versions, and records the state. */
+/* Rollouts at the leader: watches the operators' orders, judges each new version by
+ * the calls of all nodes and records the state in the store. */
 #include <inttypes.h>
 #include <json-c/json.h>
 #include <stdlib.h>
@@ -11,197 +11,204 @@
 #include "node/rollouts_impl.h"
 #include "objects/store.h"
 
-#define BEGUN_KIND                                                                 \
-    "rillknot-rollouts" /* when each was ordered, by the wall clock */
-#define RETRY_MS 400    /* between tries to write */
+/* Objects with the wall time at which a leader received each order. A new leader
+ * reads them. */
+#define ORDER_TIME_KIND "rillknot-rollouts"
+#define STORE_RETRY_MS  400
 
-/* ---- the holder: orders ---- */
+/* ---- orders ---- */
 
-static struct course *course_of(struct rk_rollouts *r, const char *name)
+/* Returns the run of an order's object, or a free slot; NULL: there is none. */
+static struct rollout_run *get_run(struct rk_rollouts *r, const char *name)
 {
-    struct course *free_one = NULL;
+    struct rollout_run *free_slot = NULL;
     for (size_t i = 0; i < RK_ROLLOUTS; i++) {
-        struct course *c = &r->courses[i];
-        if (c->used && !strcmp(c->name, name))
-            return c;
-        if (!c->used && !c->busy && !free_one)
-            free_one = c;
+        struct rollout_run *run = &r->runs[i];
+        if (run->used && !strcmp(run->name, name))
+            return run;
+        if (!run->used && !run->busy && !free_slot)
+            free_slot = run;
     }
-    return free_one;
+    return free_slot;
 }
 
-/* Where an earlier holder was, by its last word. */
-static void go_on(struct course *c)
+/* Continues where the previous leader was by its last announcement. */
+static void resume_rule(struct rollout_run *run)
 {
-    const struct rk_rollout_rule *told =
-        rk_rollout_rule_of(&c->r->word, c->rollout.order.service);
-    struct rk_rollout *r = &c->rollout;
-    if (!told || strcmp(told->version, r->order.version) != 0)
+    const struct rk_rollout_rule *last = rk_rollout_announced_rule(
+        &run->r->announcement, run->rollout.order.service);
+    struct rk_rollout *r = &run->rollout;
+    if (!last || strcmp(last->version, r->order.version) != 0)
         return;
-    r->rule.turn = told->turn;
-    r->rule.revision = told->revision + 1;
-    if (told->phase >= RK_ROLLOUT_SHIFT && told->phase > r->rule.phase) {
-        r->rule.phase = told->phase;
-        r->rule.share = told->share;
+    r->rule.turn = last->turn;
+    r->rule.revision = last->revision + 1;
+    if (last->phase >= RK_ROLLOUT_SHIFT && last->phase > r->rule.phase) {
+        r->rule.phase = last->phase;
+        r->rule.share = last->share;
     }
 }
 
-/* Its rule until more is known: by the state that was recorded and the last word,
- * and while it is tried nobody tries it. */
-static void start_course(struct course *c, int64_t passed_ms)
+/* Sets up the rule by the recorded state and the last announcement. In the canary
+ * phase the new version gets no calls before the first step. passed_ms is the time
+ * since the order. */
+static void set_up_rule(struct rollout_run *run, int64_t passed_ms)
 {
-    const struct rk_procfile *f = &c->r->n->file;
+    const struct rk_procfile *f = &run->r->n->file;
     const struct rk_rollout_bounds bounds = {.share = f->trial_share,
                                              .slack = f->trial_slack,
                                              .give_up_ms =
                                                  (int64_t)f->trial_give_up_ms};
-    struct rk_rollout_order order = c->rollout.order;
-    order.state = c->recorded;
-    rk_rollout_begin(&c->rollout, &order, &bounds, rk_mono_ms(), passed_ms);
-    go_on(c);
+    struct rk_rollout_order order = run->rollout.order;
+    order.state = run->recorded_state;
+    rk_rollout_begin(&run->rollout, &order, &bounds, rk_mono_ms(), passed_ms);
+    resume_rule(run);
 }
 
-/* An order is taken back: its version gets nothing more, unless it was taken. */
-static void drop_order(struct course *c)
+/* Handles the withdrawal of an order: the new version gets no more calls, unless it
+ * was committed. */
+static void cancel_run(struct rollout_run *run)
 {
-    RK_EVENT("rollout.dropped", RK_S("service", c->rollout.order.service),
-             RK_S("version", c->rollout.order.version));
-    c->used = c->rollout.rule.phase != RK_ROLLOUT_TAKEN;
-    c->dropped = true;
-    rk_rollout_drop(&c->rollout, rk_mono_ms());
+    RK_EVENT("rollout.dropped", RK_S("service", run->rollout.order.service),
+             RK_S("version", run->rollout.order.version));
+    run->used = run->rollout.rule.phase != RK_ROLLOUT_TAKEN;
+    run->cancelled = true;
+    rk_rollout_drop(&run->rollout, rk_mono_ms());
 }
 
-static void note_order(struct rk_rollouts *r, const struct rk_store_object *o)
+static void apply_order(struct rk_rollouts *r, const struct rk_store_object *o)
 {
     struct rk_rollout_order order;
-    struct course *c = course_of(r, o->name);
+    struct rollout_run *run = get_run(r, o->name);
     if (o->gone) {
-        if (c && c->used && !c->dropped)
-            drop_order(c);
+        if (run && run->used && !run->cancelled)
+            cancel_run(run);
         return;
     }
     if (!r->n->platform->parse_rollout(o->spec, o->status, &order)) {
         RK_WARN("rollout.rejected", RK_S("name", o->name));
         return;
     }
-    if (!c) {
+    if (!run) {
         RK_WARN("rollout.too_many", RK_S("service", order.service));
         return;
     }
-    bool same = c->used && !c->dropped &&
-                !strcmp(c->rollout.order.version, order.version) &&
-                !strcmp(c->rollout.order.service, order.service);
-    c->revision = o->revision;
-    c->recorded = order.state;
-    if (same)
+    bool is_same = run->used && !run->cancelled &&
+                   !strcmp(run->rollout.order.version, order.version) &&
+                   !strcmp(run->rollout.order.service, order.service);
+    run->revision = o->revision;
+    run->recorded_state = order.state;
+    if (is_same)
         return;
-    *c = (struct course){.r = r,
-                         .used = true,
-                         .busy = c->busy,
-                         .revision = o->revision,
-                         .recorded = order.state,
-                         .rollout = c->rollout};
-    rk_strcpy(c->name, sizeof(c->name), o->name);
-    c->heard_wall_ms = rk_wall_ms();
-    c->rollout.order = order;
-    start_course(c, 0);
+    *run = (struct rollout_run){.r = r,
+                                .used = true,
+                                .busy = run->busy,
+                                .revision = o->revision,
+                                .recorded_state = order.state,
+                                .rollout = run->rollout};
+    rk_strcpy(run->name, sizeof(run->name), o->name);
+    run->received_wall_ms = rk_wall_ms();
+    run->rollout.order = order;
+    set_up_rule(run, 0);
 }
 
 static void apply_orders(void *ctx, const struct rk_store_object *objects,
-                         size_t len, bool all, int64_t at)
+                         size_t len, bool all, int64_t revision)
 {
     struct rk_rollouts *r = ctx;
-    (void)at;
+    (void)revision;
     for (size_t i = 0; all && i < RK_ROLLOUTS; i++) {
-        bool there = false;
+        bool listed = false;
         for (size_t j = 0; j < len; j++)
-            there = there || !strcmp(objects[j].name, r->courses[i].name);
-        if (r->courses[i].used && !r->courses[i].dropped && !there)
-            drop_order(&r->courses[i]);
+            listed = listed || !strcmp(objects[j].name, r->runs[i].name);
+        if (r->runs[i].used && !r->runs[i].cancelled && !listed)
+            cancel_run(&r->runs[i]);
     }
     for (size_t i = 0; i < len; i++)
-        note_order(r, &objects[i]);
+        apply_order(r, &objects[i]);
 }
 
-static void on_heard(void *ctx)
+static void on_orders_answered(void *ctx)
 {
-    (void)ctx; /* what the store answers of other kinds tells how fresh they are */
+    (void)ctx; /* the age of the orders is not tracked */
 }
 
-/* ---- the holder: when it began ---- */
+/* ---- the time of an order ---- */
 
-static void begin(struct course *c, int64_t wall_ms)
+static void start_run(struct rollout_run *run, int64_t wall_ms)
 {
-    const struct rk_rollout_order order = c->rollout.order;
+    const struct rk_rollout_order order = run->rollout.order;
     int64_t passed_ms = rk_wall_ms() - wall_ms;
     if (passed_ms < 0 || passed_ms > order.duration_ms)
         passed_ms = passed_ms < 0 ? 0 : order.duration_ms;
-    start_course(c, passed_ms);
-    c->begun = true;
+    set_up_rule(run, passed_ms);
+    run->started = true;
     RK_EVENT("rollout.begun", RK_S("service", order.service),
              RK_S("version", order.version), RK_N("duration_ms", order.duration_ms),
              RK_N("passed_ms", passed_ms),
-             RK_S("phase", rk_rollout_phase_str(c->rollout.rule.phase)));
+             RK_S("phase", rk_rollout_phase_str(run->rollout.rule.phase)));
 }
 
-static bool awaits_begin(const struct course *c)
+static bool awaits_start(const struct rollout_run *run)
 {
-    return c->used && !c->begun && !c->dropped;
+    return run->used && !run->started && !run->cancelled;
 }
 
-static void on_begun_written(void *ctx, enum rk_status st,
-                             const struct rk_store_object *o)
+static void on_order_time_written(void *ctx, enum rk_status st,
+                                  const struct rk_store_object *o)
 {
-    struct course *c = ctx;
+    struct rollout_run *run = ctx;
     (void)o;
-    c->busy = false;
-    c->again_ms = rk_mono_ms() + RETRY_MS;
-    if (st == RK_OK && awaits_begin(c))
-        begin(c, c->heard_wall_ms);
+    run->busy = false;
+    run->retry_at_ms = rk_mono_ms() + STORE_RETRY_MS;
+    if (st == RK_OK && awaits_start(run))
+        start_run(run, run->received_wall_ms);
 }
 
-static void on_begun_read(void *ctx, enum rk_status st,
-                          const struct rk_store_object *o)
+static void on_order_time_read(void *ctx, enum rk_status st,
+                               const struct rk_store_object *o)
 {
-    struct course *c = ctx;
-    struct rk_store *store = c->r->n->store;
-    c->busy = false;
-    c->again_ms = rk_mono_ms() + RETRY_MS;
-    if (!awaits_begin(c) || (st != RK_OK && st != RK_ENOTFOUND))
+    struct rollout_run *run = ctx;
+    struct rk_store *store = run->r->n->store;
+    run->busy = false;
+    run->retry_at_ms = rk_mono_ms() + STORE_RETRY_MS;
+    if (!awaits_start(run) || (st != RK_OK && st != RK_ENOTFOUND))
         return;
-    const char *version = c->rollout.order.version;
+    const char *version = run->rollout.order.version;
     if (st == RK_OK && o && !strcmp(rk_json_str(o->spec, "version"), version)) {
-        begin(c, rk_json_int(o->spec, "wall_ms", 0));
+        start_run(run, rk_json_int(o->spec, "wall_ms", 0));
         return;
     }
     struct rk_buf b = {0};
     rk_buf_addstr(&b, "{\"version\":");
     rk_buf_json_str(&b, version);
-    rk_buf_printf(&b, ",\"wall_ms\":%" PRId64 "}", c->heard_wall_ms);
-    c->busy = true;
+    rk_buf_printf(&b, ",\"wall_ms\":%" PRId64 "}", run->received_wall_ms);
+    run->busy = true;
     if (st == RK_OK && o)
-        store->ops->replace(store, BEGUN_KIND, c->name, o->revision, b.data,
-                            on_begun_written, c);
+        store->ops->replace(store, ORDER_TIME_KIND, run->name, o->revision, b.data,
+                            on_order_time_written, run);
     else
-        store->ops->create(store, BEGUN_KIND, c->name, b.data, on_begun_written, c);
+        store->ops->create(store, ORDER_TIME_KIND, run->name, b.data,
+                           on_order_time_written, run);
     rk_buf_free(&b);
 }
 
-static void read_begun(struct course *c)
+/* Reads the time of the order. on_order_time_read() writes it if there is none. */
+static void read_order_time(struct rollout_run *run)
 {
-    struct rk_store *store = c->r->n->store;
-    /* What is over needs no beginning. */
-    if (c->recorded >= RK_ROLLOUT_DONE) {
-        begin(c, rk_wall_ms());
+    struct rk_store *store = run->r->n->store;
+    /* A finished rollout doesn't depend on the time of its order. */
+    if (run->recorded_state >= RK_ROLLOUT_DONE) {
+        start_run(run, rk_wall_ms());
         return;
     }
-    c->busy = true;
-    store->ops->read(store, BEGUN_KIND, c->name, false, on_begun_read, c);
+    run->busy = true;
+    store->ops->read(store, ORDER_TIME_KIND, run->name, false, on_order_time_read,
+                     run);
 }
 
-/* ---- the holder: deciding ---- */
+/* ---- running a rollout ---- */
 
-static void log_finding(const struct rk_rollout *r)
+static void log_phase(const struct rk_rollout *r)
 {
     const struct rk_trial_finding *f = &r->finding;
     RK_EVENT("rollout.phase", RK_S("service", r->order.service),
@@ -217,16 +224,17 @@
              RK_N("old_pace_pct", rk_trial_pace_pct(&f->serving)));
 }
 
-static void look(const struct course *c, struct rk_rollout_view *v)
+/* Counts the VMs of both versions, and the calls in flight at the old ones. */
+static void fill_input(const struct rollout_run *run, struct rk_rollout_view *v)
 {
-    const struct rk_node *n = c->r->n;
-    const struct rk_rollout_order *order = &c->rollout.order;
+    const struct rk_node *n = run->r->n;
+    const struct rk_rollout_order *order = &run->rollout.order;
     const struct rk_vm_row *row;
     const struct rk_rollout_seen *own =
         n->report ? rk_rollout_seen_of(n->report->trials, n->report->trials_len,
                                        order->service, order->version)
                   : NULL;
-    v->old_running = own ? own->old_running : 1; /* until it is known */
+    v->old_running = own ? own->old_running : 1; /* not 0 before it is known */
     char domains[RK_HOLDING_DOMAINS][RK_ID_MAX];
     for (size_t i = 0; (row = rk_sync_vm_at(n->sync, i)); i++) {
         if (strcmp(row->service, order->service) != 0)
@@ -236,94 +244,94 @@
         if (!is_new || row->leaving)
             continue;
         v->new_vms++;
-        size_t at = 0;
-        while (at < v->new_domains && strcmp(domains[at], row->domain) != 0)
-            at++;
-        if (at == v->new_domains && at < RK_HOLDING_DOMAINS)
+        size_t d = 0;
+        while (d < v->new_domains && strcmp(domains[d], row->domain) != 0)
+            d++;
+        if (d == v->new_domains && d < RK_HOLDING_DOMAINS)
             rk_strcpy(domains[v->new_domains++], RK_ID_MAX, row->domain);
     }
 }
 
-static void decide(struct course *c)
+static void step_run(struct rollout_run *run)
 {
     struct rk_rollout_seen *seen = rk_alloc(1, sizeof(*seen));
-    rk_strcpy(seen->service, sizeof(seen->service), c->rollout.order.service);
-    rk_strcpy(seen->version, sizeof(seen->version), c->rollout.order.version);
-    rk_mesh_add_trials(c->r->n->mesh, seen);
+    rk_strcpy(seen->service, sizeof(seen->service), run->rollout.order.service);
+    rk_strcpy(seen->version, sizeof(seen->version), run->rollout.order.version);
+    rk_mesh_add_trials(run->r->n->mesh, seen);
     struct rk_rollout_view view = {.now_ms = rk_mono_ms(), .seen = &seen->rows};
-    look(c, &view);
-    enum rk_rollout_phase before = c->rollout.rule.phase;
-    rk_rollout_step(&c->rollout, &view);
-    if (c->rollout.rule.phase != before)
-        log_finding(&c->rollout);
+    fill_input(run, &view);
+    enum rk_rollout_phase old_phase = run->rollout.rule.phase;
+    rk_rollout_step(&run->rollout, &view);
+    if (run->rollout.rule.phase != old_phase)
+        log_phase(&run->rollout);
     free(seen);
 }
 
-static void on_recorded(void *ctx, enum rk_status st,
-                        const struct rk_store_object *o)
+static void on_state_recorded(void *ctx, enum rk_status st,
+                              const struct rk_store_object *o)
 {
-    struct course *c = ctx;
+    struct rollout_run *run = ctx;
     struct rk_rollout_order order;
-    c->busy = false;
-    c->again_ms = st == RK_OK ? 0 : rk_mono_ms() + RETRY_MS;
-    if (!o || !c->used)
+    run->busy = false;
+    run->retry_at_ms = st == RK_OK ? 0 : rk_mono_ms() + STORE_RETRY_MS;
+    if (!o || !run->used)
         return;
-    c->revision = o->revision;
-    /* As it is there now, also if somebody else wrote it. */
-    if (c->r->n->platform->parse_rollout(o->spec, o->status, &order) &&
-        !strcmp(order.version, c->rollout.order.version))
-        c->recorded = order.state;
+    run->revision = o->revision;
+    /* The state as the store has it now, even if another node wrote it. */
+    if (run->r->n->platform->parse_rollout(o->spec, o->status, &order) &&
+        !strcmp(order.version, run->rollout.order.version))
+        run->recorded_state = order.state;
 }
 
-static void record(struct course *c)
+static void record_state(struct rollout_run *run)
 {
-    struct rk_store *store = c->r->n->store;
-    enum rk_rollout_state state = rk_rollout_state_of(&c->rollout);
+    struct rk_store *store = run->r->n->store;
+    enum rk_rollout_state state = rk_rollout_state_of(&run->rollout);
     struct rk_buf b = {0};
-    if (c->recorded == state || c->dropped)
+    if (run->recorded_state == state || run->cancelled)
         return;
-    c->r->n->platform->rollout_status(c->rollout.order.version, state, &b);
-    RK_EVENT("rollout.record", RK_S("service", c->rollout.order.service),
+    run->r->n->platform->rollout_status(run->rollout.order.version, state, &b);
+    RK_EVENT("rollout.record", RK_S("service", run->rollout.order.service),
              RK_S("status", b.data));
-    c->busy = true;
-    store->ops->replace_status(store, c->r->n->platform->rollouts_kind, c->name,
-                               c->revision, b.data, on_recorded, c);
+    run->busy = true;
+    store->ops->replace_status(store, run->r->n->platform->rollouts_kind, run->name,
+                               run->revision, b.data, on_state_recorded, run);
     rk_buf_free(&b);
 }
 
-static void tend_course(struct course *c)
+static void update_run(struct rollout_run *run)
 {
-    bool may_call = !c->busy && rk_mono_ms() >= c->again_ms;
-    if (!c->begun) {
+    bool may_call = !run->busy && rk_mono_ms() >= run->retry_at_ms;
+    if (!run->started) {
         if (may_call)
-            read_begun(c);
+            read_order_time(run);
         return;
     }
-    decide(c);
+    step_run(run);
     if (may_call)
-        record(c);
+        record_state(run);
 }
 
-void rk_rollouts_hold(struct rk_rollouts *r)
+void rk_rollouts_update_runs(struct rk_rollouts *r)
 {
     for (size_t i = 0; i < RK_ROLLOUTS; i++)
-        if (r->courses[i].used && !r->courses[i].dropped)
-            tend_course(&r->courses[i]);
+        if (r->runs[i].used && !r->runs[i].cancelled)
+            update_run(&r->runs[i]);
 }
 
-void rk_rollouts_begin_holding(struct rk_rollouts *r)
+void rk_rollouts_begin_leading(struct rk_rollouts *r)
 {
     for (size_t i = 0; i < RK_ROLLOUTS; i++)
-        r->courses[i].used = false;
+        r->runs[i].used = false;
     r->orders.at = 0;
 }
 
-void rk_rollouts_init_orders(struct rk_rollouts *r)
+void rk_rollouts_init_order_watch(struct rk_rollouts *r)
 {
     r->orders = (struct rk_follow){.n = r->n,
                                    .kind = r->n->platform->rollouts_kind,
                                    .apply = apply_orders,
-                                   .heard = on_heard,
+                                   .heard = on_orders_answered,
                                    .ctx = r};
     rk_follow_init(&r->orders);
 }
--- a/node/rollouts_impl.h
+++ b/node/rollouts_impl.h
@@ -1,65 +1,69 @@
-/* State of roll-outs, shared by rollouts.c (the word, and going by it) and
- * rollouts_hold.c (the holder's part). Not for others. */
+/* State of rollouts, shared by rollouts.c (announcements, and the versions that may
+ * be used), rollouts_hold.c (the rollouts that the leader runs) and
+ * rollout_metrics.c. Private to these files; control thread only. */
 #ifndef RK_NODE_ROLLOUTS_IMPL_H
 #define RK_NODE_ROLLOUTS_IMPL_H
 
 #include "node/follow.h"
 #include "node/state.h"
 
-#define RK_ROLLOUTS_SERVICES 32
+#define RK_ROLLOUTS_MAX_SERVICES 32
 
-/* One roll-out at its holder. */
-struct course {
+/* A rollout at the leader. */
+struct rollout_run {
     struct rk_rollouts *r;
-    bool used;
-    bool begun;   /* when it was ordered is known */
-    bool dropped; /* the order was taken back */
-    bool busy;    /* a call to the store is under way */
-    int64_t again_ms;
-    char name[RK_ID_MAX];  /* of its object */
-    int64_t revision;      /* of its object */
-    int64_t heard_wall_ms; /* when this node heard of the order */
-    enum rk_rollout_state recorded;
+    bool used;      /* this slot holds a rollout */
+    bool started;   /* the time of the order is known and the run goes by it */
+    bool cancelled; /* the order was withdrawn */
+    bool busy;      /* a call to the store is in flight */
+    int64_t retry_at_ms;
+    char name[RK_ID_MAX];                 /* of the order's object in the store */
+    int64_t revision;                     /* of that object */
+    int64_t received_wall_ms;             /* when this node got the order */
+    enum rk_rollout_state recorded_state; /* in the store */
     struct rk_rollout rollout;
 };
 
-/* Which version serves, as seen first or moved to since. */
+/* The version that serves a service: the first one seen or the last one committed.
+ */
 struct serving {
     char service[RK_ID_MAX];
     char version[RK_VERSION_TEXT];
-    char before[RK_VERSION_TEXT]; /* "": not known */
+    char previous[RK_VERSION_TEXT]; /* "": not known */
 };
 
 struct rk_rollouts {
     struct rk_node *n;
     struct rk_follow orders;
-    bool holds;
-    int64_t epoch;
-    struct course courses[RK_ROLLOUTS];
-    struct rk_rollout_word word; /* number 0: none */
-    bool was_fresh;
-    bool bars;       /* some vms get no calls until more is known */
-    bool told;       /* the relay has the word as it stands */
-    int64_t told_at; /* known_at of the word that vms were marked by */
-    struct serving serving[RK_ROLLOUTS_SERVICES];
+    bool is_leader;
+    int64_t epoch; /* of this node's lease */
+    struct rollout_run runs[RK_ROLLOUTS];
+    struct rk_rollout_word announcement; /* the newest; number 0: none */
+    bool was_fresh;                      /* as sent to the relay last */
+    bool any_blocked;        /* VMs are blocked until more orders are known */
+    bool relay_updated;      /* the relay has the announcement's rules */
+    int64_t marked_revision; /* of the orders by which VMs were marked last */
+    struct serving serving[RK_ROLLOUTS_MAX_SERVICES];
     size_t serving_len;
-    int64_t asked_ms; /* the store, what became of one */
-    bool asking;
+    int64_t queried_ms; /* start of the last query of an order's state */
+    bool querying;      /* a query is in flight */
 };
 
-/* The rule of a service in a word; NULL: none. */
-const struct rk_rollout_rule *rk_rollout_rule_of(const struct rk_rollout_word *word,
-                                                 const char *service);
+/* Returns the rule of a service in an announcement; NULL: there is none. */
+const struct rk_rollout_rule *
+rk_rollout_announced_rule(const struct rk_rollout_word *announcement,
+                          const char *service);
 
-/* The version that serves beside one that is tried or was taken; "": not known. */
-const char *rk_rollouts_before(const struct rk_rollouts *r, const char *service,
-                               const char *version);
+/* Returns the version that another one replaces or has replaced; "": not known. */
+const char *rk_rollouts_previous_version(const struct rk_rollouts *r,
+                                         const char *service, const char *version);
 
-/* rollouts_hold.c */
-void rk_rollouts_init_orders(struct rk_rollouts *r);
-/* This node holds the duties from now on. */
-void rk_rollouts_begin_holding(struct rk_rollouts *r);
-/* Decide on each, and record it. */
-void rk_rollouts_hold(struct rk_rollouts *r);
+/* ---- rollouts_hold.c ---- */
+
+void rk_rollouts_init_order_watch(struct rk_rollouts *r);
+/* Drops all runs and lists the orders anew, as this node has just become leader. */
+void rk_rollouts_begin_leading(struct rk_rollouts *r);
+/* At the leader: advances all runs and records their states in the store. */
+void rk_rollouts_update_runs(struct rk_rollouts *r);
 
 #endif
