--- a/node/duties.c
+++ b/node/duties.c
@@ -39,8 +39,8 @@
  * the leader alone, once a second, and learn within another second who it is.
  * Without this, a window was reported with 36% of its calls. */
 #define COUNTS_COLLECTED_MS 2500
-/* This long before a report would be late, it is made of the counts that are there.
- */
+/* A report is made this long before it would be late, with the counts received by
+ * then. */
 #define REPORT_MARGIN_MS 1000
 #define USAGE_RETRY_MS   400
 #define RECENT_WINDOWS   8  /* windows whose reports are tracked */
@@ -158,8 +158,8 @@
 }
 
 /* Returns whether this node is a candidate for the lease. In a large fleet only the
- * bridges are, unless the lease stays unchanged for so long that there seems to be
- * no bridge. */
+ * bridges are, unless the lease has stayed unchanged for three lease durations, as
+ * if there were no bridge. */
 static bool is_candidate(const struct rk_duty_keeper *k)
 {
     int64_t since_ms = k->lease.seen_ms ? k->lease.seen_ms : k->started_ms;
--- a/node/engines.c
+++ b/node/engines.c
@@ -1,5 +1,6 @@
-/* What the nodes learnt of engines' speed: told with what they asked of a service,
- * merged here, and given to the relay as what to start from. */
+/* Estimates of the engines' speed by service. Nodes report theirs with their use of
+ * the service; the estimates are merged here and passed to the relay, which uses
+ * them until its own calls have given it better ones. */
 #include <string.h>
 
 #include "common/eventlog.h"
@@ -17,42 +18,43 @@
     out->samples = (float)e->samples;
 }
 
-struct rk_engine_estimate rk_engines_get(const Rillknot__EngineEstimate *told)
+struct rk_engine_estimate rk_engines_get(const Rillknot__EngineEstimate *in)
 {
     struct rk_engine_estimate e = {0};
-    if (!told)
+    if (!in)
         return e;
-    e = (struct rk_engine_estimate){.fixed_ms = told->fixed_ms,
-                                    .ktoken_ms = told->ktoken_ms,
-                                    .calm_ktoken_ms = told->calm_ktoken_ms,
-                                    .running_ms = told->running_ms,
-                                    .error_ms = told->error_ms,
-                                    .samples = told->samples};
+    e = (struct rk_engine_estimate){.fixed_ms = in->fixed_ms,
+                                    .ktoken_ms = in->ktoken_ms,
+                                    .calm_ktoken_ms = in->calm_ktoken_ms,
+                                    .running_ms = in->running_ms,
+                                    .error_ms = in->error_ms,
+                                    .samples = in->samples};
     if (rk_engine_is_sound(&e))
         return e;
     RK_WARN("engines.rejected", RK_S("from", "peer"));
     return (struct rk_engine_estimate){0};
 }
 
-static void merge(struct rk_engine_estimate *sum,
-                  const struct rk_service_use *services, size_t len,
-                  const char *service)
+static void merge_service(struct rk_engine_estimate *sum,
+                          const struct rk_service_use *services, size_t len,
+                          const char *service)
 {
     const struct rk_service_use *use = rk_service_use_find(services, len, service);
     if (use)
         rk_engine_merge(sum, &use->engine);
 }
 
-/* Of this node and those of its domain that it hears. */
+/* Merges the estimates of this node and of the reachable nodes of its domain; in a
+ * small fleet, of all reachable nodes. */
 static void merge_domain(struct rk_engine_estimate *sum, const struct rk_mesh *m,
                          const char *service, int64_t now_ms)
 {
     const struct rk_relay_report *r = m->n->report;
     if (r)
-        merge(sum, r->services, r->services_len, service);
+        merge_service(sum, r->services, r->services_len, service);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if (rk_mesh_is_heard(k, now_ms) && (m->direct || rk_mesh_is_near(k)))
-            merge(sum, k->services, k->services_len, service);
+            merge_service(sum, k->services, k->services_len, service);
 }
 
 struct rk_engine_estimate rk_engines_of(const struct rk_mesh *m,
@@ -62,14 +64,16 @@
     int64_t now_ms = rk_mono_ms();
     const struct member *source = fleet ? rk_digest_of_fleet(m, now_ms) : NULL;
     if (source) {
-        merge(&sum, source->digest.services, source->digest.services_len, service);
+        merge_service(&sum, source->digest.services, source->digest.services_len,
+                      service);
         return sum;
     }
     merge_domain(&sum, m, service, now_ms);
     for (const struct member *k = m->contacts; k && fleet && !m->direct;
          k = k->next_contact)
         if (!rk_mesh_is_near(k) && rk_digest_counts(k, now_ms))
-            merge(&sum, k->digest.services, k->digest.services_len, service);
+            merge_service(&sum, k->digest.services, k->digest.services_len,
+                          service);
     return sum;
 }
 
--- a/node/enrol.c
+++ b/node/enrol.c
@@ -1,5 +1,6 @@
-/* The list of nodes in the store: this node writes itself there at its start and
- * reads once who else is there; the rest is told by peers. */
+/* Registration in the store's node list. At its start, a node writes its own entry
+ * and reads the list to find its peers; later changes reach it by peers' reports.
+ */
 #include <json-c/json.h>
 #include <stdio.h>
 #include <string.h>
@@ -12,14 +13,24 @@
 #define NODES_KIND      "rillknot-nodes"
 #define REGISTER_MIN_MS 200
 #define REGISTER_MAX_MS 2000
-#define SPEC_MAX        192
-#define LISTS           3    /* read at the first start: others enrol meanwhile */
-#define LIST_MS         1500 /* between them */
-#define LOOK_AGAIN_MS   8000 /* the same, after nodes were forgotten */
-#define TOGETHER_MS     350  /* in which nodes of one start have all begun */
-#define SEEDS_MIN       3 /* addresses a node is told, unless the fleet is smaller */
-#define LOST_MS         60000 /* for so long */
-#define TURN_LOOK_MS    100   /* between looks whether peers told it all */
+#define SPEC_MAX        192 /* bytes of an entry */
+/* Number of reads of the list after the deployment's first start, as other nodes
+ * register meanwhile, and the time between them. */
+#define LIST_READS       3
+#define LIST_INTERVAL_MS 1500
+/* Interval of the checks whether the list has to be read again. */
+#define LIST_CHECK_MS 8000
+/* Nodes that are started together have all started within this time. */
+#define JOINT_START_MS 350
+/* A node's process file names at least this many peers, unless the fleet is
+ * smaller. */
+#define SEEDS_MIN 3
+/* For this long after a member was removed as unresponsive it may be merely cut
+ * off, and the list is read again. */
+#define REMOVED_MEMBER_MS 60000
+/* Interval of the checks, during the read delay, whether peers reported the nodes.
+ */
+#define READ_DELAY_CHECK_MS 100
 
 static void build_spec(const struct rk_mesh *m, char spec[SPEC_MAX])
 {
@@ -27,7 +38,7 @@
              rk_mesh_addr(m), m->n->file.failure_domain, (int)rk_mesh_capacity(m));
 }
 
-static void enrol_later(struct rk_mesh *m)
+static void retry_registration(struct rk_mesh *m)
 {
     uint32_t jitter = rk_rng_below(&m->n->rng, (uint32_t)m->enrol_ms + 1);
     rk_timer_start(m->n->loop, &m->enrol, m->enrol_ms / 2 + jitter);
@@ -35,9 +46,10 @@
         m->enrol_ms * 2 < REGISTER_MAX_MS ? m->enrol_ms * 2 : REGISTER_MAX_MS;
 }
 
-/* A node of the list. One that was silent so long that it was forgotten may still
- * be cut off, but isn't counted until it is heard. */
-static void learn(struct rk_mesh *m, const struct rk_store_object *o)
+/* Adds a node of the list to the members. Once a member has been removed as
+ * unresponsive, a node that the list adds may be the same one, still cut off: it
+ * isn't counted until a message from it arrives. */
+static void add_listed_node(struct rk_mesh *m, const struct rk_store_object *o)
 {
     const char *addr = rk_json_str(o->spec, "addr");
     if (!addr[0] || rk_mesh_is_self(m, o->name, addr))
@@ -52,19 +64,19 @@
         k->unproven = m->forgotten_ms != 0;
 }
 
-static void list_later(struct rk_mesh *m)
+static void schedule_list(struct rk_mesh *m)
 {
     m->lists_left = rk_mesh_count(m) < RK_MESH_DIRECT ? m->lists_left - 1 : 0;
-    int64_t wait_ms = m->lists_left > 0 ? LIST_MS : LOOK_AGAIN_MS;
-    int64_t jitter = rk_rng_below(&m->n->rng, LIST_MS);
+    int64_t wait_ms = m->lists_left > 0 ? LIST_INTERVAL_MS : LIST_CHECK_MS;
+    int64_t jitter = rk_rng_below(&m->n->rng, LIST_INTERVAL_MS);
     rk_timer_start(m->n->loop, &m->enrol, wait_ms + jitter);
 }
 
 static void create_entry(struct rk_mesh *m);
 
-/* Does the list have this node, as it is now? */
-static bool has_own(const struct rk_mesh *m, const struct rk_store_object *objects,
-                    size_t len)
+/* Returns whether the list has this node with its current address. */
+static bool has_own_entry(const struct rk_mesh *m,
+                          const struct rk_store_object *objects, size_t len)
 {
     for (size_t i = 0; i < len; i++)
         if (!strcmp(objects[i].name, m->n->file.id))
@@ -72,70 +84,73 @@
     return false;
 }
 
-static void on_nodes(void *ctx, enum rk_status st,
-                     const struct rk_store_object *objects, size_t len, int64_t at)
+static void on_node_list(void *ctx, enum rk_status st,
+                         const struct rk_store_object *objects, size_t len,
+                         int64_t revision)
 {
-    (void)at;
+    (void)revision;
     struct rk_mesh *m = ctx;
     if (st != RK_OK) {
-        enrol_later(m);
+        retry_registration(m);
         return;
     }
     m->enrol_ms = REGISTER_MIN_MS;
-    m->enrolled = m->enrolled || has_own(m, objects, len);
+    m->enrolled = m->enrolled || has_own_entry(m, objects, len);
     if (!m->enrolled) {
-        create_entry(m); /* new here, or the list is older than this node */
+        create_entry(m); /* a new node, or the list is stale */
         return;
     }
     m->listed = true;
     for (size_t i = 0; i < len; i++)
-        learn(m, &objects[i]);
+        add_listed_node(m, &objects[i]);
     RK_EVENT("mesh.enrolled", RK_N("nodes", (int64_t)len));
     rk_mesh_elect(m, rk_mono_ms());
     rk_mesh_dial(m, rk_mono_ms());
-    list_later(m);
+    schedule_list(m);
 }
 
 static void list_nodes(struct rk_mesh *m, bool stale)
 {
     struct rk_store *store = m->n->store;
-    store->ops->list(store, NODES_KIND, stale, on_nodes, m);
+    store->ops->list(store, NODES_KIND, stale, on_node_list, m);
 }
 
-/* Nodes that start together enrol first: then one list tells each of them who there
- * is, and in a large fleet nobody needs another, nor to follow the store. */
-static void list_first(struct rk_mesh *m)
+/* Reads the list for the first time. Nodes that start together wait until all of
+ * them have registered. In a large fleet each of them then gets all nodes by a
+ * single read and needn't watch the store itself for lack of known peers. */
+static void read_first_list(struct rk_mesh *m)
 {
-    bool together = m->n->file.first_start && m->n->file.peers_len >= SEEDS_MIN;
-    int64_t jitter = rk_rng_below(&m->n->rng, TOGETHER_MS);
-    if (together)
-        rk_timer_start(m->n->loop, &m->enrol, TOGETHER_MS + jitter);
+    bool started_jointly =
+        m->n->file.first_start && m->n->file.peers_len >= SEEDS_MIN;
+    int64_t jitter = rk_rng_below(&m->n->rng, JOINT_START_MS);
+    if (started_jointly)
+        rk_timer_start(m->n->loop, &m->enrol, JOINT_START_MS + jitter);
     else
         list_nodes(m, false);
 }
 
-static void on_enrolled(void *ctx, enum rk_status st,
-                        const struct rk_store_object *object)
+static void on_registered(void *ctx, enum rk_status st,
+                          const struct rk_store_object *object)
 {
     struct rk_mesh *m = ctx;
     struct rk_store *store = m->n->store;
     if (st == RK_ECONFLICT && object && !m->enrolled) {
-        /* Of an earlier life of this node. */
+        /* The entry was written by an earlier incarnation of this node. */
         char spec[SPEC_MAX];
         build_spec(m, spec);
         m->enrolled = true;
         if (strcmp(rk_json_str(object->spec, "addr"), rk_mesh_addr(m)) != 0) {
             store->ops->replace(store, NODES_KIND, m->n->file.id, object->revision,
-                                spec, on_enrolled, m);
+                                spec, on_registered, m);
             return;
         }
     } else if (st != RK_OK) {
         m->enrolled = false;
-        enrol_later(m);
+        retry_registration(m);
         return;
     }
     m->enrolled = true;
-    list_first(m);
+    read_first_list(m);
 }
 
 static void create_entry(struct rk_mesh *m)
@@ -143,18 +158,20 @@
     struct rk_store *store = m->n->store;
     char spec[SPEC_MAX];
     build_spec(m, spec);
-    store->ops->create(store, NODES_KIND, m->n->file.id, spec, on_enrolled, m);
+    store->ops->create(store, NODES_KIND, m->n->file.id, spec, on_registered, m);
 }
 
-/* After the first readings the list is read only while nodes may be cut off, by
- * those who would reach them. */
-static void tend_list(struct rk_mesh *m)
+/* After the first reads, the list is read again only while removed members may be
+ * cut off, and only by nodes that would connect to them. */
+static void check_list(struct rk_mesh *m)
 {
-    bool lost = m->forgotten_ms && rk_mono_ms() - m->forgotten_ms < LOST_MS;
-    if (!m->listed || m->lists_left > 0 || (lost && (m->direct || m->bridge)))
+    bool may_be_cut_off =
+        m->forgotten_ms && rk_mono_ms() - m->forgotten_ms < REMOVED_MEMBER_MS;
+    if (!m->listed || m->lists_left > 0 ||
+        (may_be_cut_off && (m->direct || m->bridge)))
         list_nodes(m, m->listed && !m->lists_left);
     else
-        rk_timer_start(m->n->loop, &m->enrol, LOOK_AGAIN_MS);
+        rk_timer_start(m->n->loop, &m->enrol, LIST_CHECK_MS);
 }
 
 static void on_own_entry(void *ctx, enum rk_status st,
@@ -167,44 +184,46 @@
         m->enrolled = m->listed = true;
         m->enrol_ms = REGISTER_MIN_MS;
         RK_EVENT("mesh.told", RK_N("nodes", (int64_t)rk_mesh_count(m) + 1));
-        list_later(m);
+        schedule_list(m);
     } else if (st == RK_OK || st == RK_ENOTFOUND) {
-        create_entry(m); /* new here, or moved */
+        create_entry(m); /* a new node, or its address has changed */
     } else {
-        enrol_later(m);
+        retry_registration(m);
     }
 }
 
-/* Who was told of all by peers only looks whether it is listed itself. */
+/* Reads only this node's entry, as peers have reported the other nodes. */
 static void read_own_entry(struct rk_mesh *m)
 {
     struct rk_store *store = m->n->store;
     store->ops->read(store, NODES_KIND, m->n->file.id, true, on_own_entry, m);
 }
 
-/* A node with an earlier life is on the list, and an old list will do. It waits for
- * its turn to read it, if peers don't tell it before. */
-static void enrol_again(struct rk_mesh *m)
+/* A restarted node is already on the list, and a stale copy of the list is good
+ * enough. The node reads it when its read delay is over, unless a peer reports most
+ * of the nodes before that. */
+static void register_restarted(struct rk_mesh *m)
 {
     int64_t wait_ms = rk_returning_wait_left_ms(m->n);
     if (rk_returning_is_told(m->n))
         read_own_entry(m);
     else if (wait_ms > 0)
         rk_timer_start(m->n->loop, &m->enrol,
-                       wait_ms < TURN_LOOK_MS ? wait_ms : TURN_LOOK_MS);
+                       wait_ms < READ_DELAY_CHECK_MS ? wait_ms
+                                                     : READ_DELAY_CHECK_MS);
     else
         list_nodes(m, true);
 }
 
-static void on_enrol(void *ctx)
+static void on_registration_timer(void *ctx)
 {
     struct rk_mesh *m = ctx;
     if (m->enrolled)
-        tend_list(m);
+        check_list(m);
     else if (m->n->file.first_start)
         create_entry(m);
     else
-        enrol_again(m);
+        register_restarted(m);
 }
 
 void rk_mesh_turn(struct rk_mesh *m)
@@ -216,8 +235,8 @@
 void rk_enrol_init(struct rk_mesh *m)
 {
     m->enrol_ms = REGISTER_MIN_MS;
-    m->lists_left = m->n->file.first_start ? LISTS : 1;
-    m->enrol = (struct rk_timer){.fn = on_enrol, .ctx = m};
+    m->lists_left = m->n->file.first_start ? LIST_READS : 1;
+    m->enrol = (struct rk_timer){.fn = on_registration_timer, .ctx = m};
 }
 
 void rk_enrol_start(struct rk_mesh *m)
--- a/node/remember.c
+++ b/node/remember.c
@@ -1,13 +1,14 @@
-/* What must outlast a kill of all nodes at once: the use of quotas, the counts of
- * windows that aren't reported yet, what was learnt of engines. The holder of the
- * duties writes it to the store while there is any; a process that had an earlier
- * life reads it once.
+/* Persisted state: what has to survive a kill of all nodes at once, that is the use
+ * of quotas, the counts of windows that aren't reported yet, and the estimates of
+ * the engines' speed. The leader writes it to the store; a restarted node reads it
+ * once.
  *
- * While nobody holds the duties (for a lease and more after the holder's end, or
- * the store's return) another node writes the use of quotas in its place: two kills
- * of all nodes 4 s apart let an organisation use up to 1.32 of its quota, when what
- * was used between them stood nowhere. It passes on the counts of windows as they
- * were written last: only the holder is told them. */
+ * There may be no leader for longer than a lease's duration, after the leader has
+ * ended or the store has come back. One other node then acts for the leader and
+ * writes the use of quotas. Without that, two kills of all nodes 4 s apart let an
+ * organisation use up to 1.32 of its quota, as its use between the kills was not
+ * persisted. The acting node writes the counts of windows as the store had them
+ * last, since only the leader receives new ones. */
 #include <inttypes.h>
 #include <json-c/json.h>
 #include <math.h>
@@ -20,52 +21,60 @@
 #include "node/state.h"
 #include "objects/store.h"
 
-#define QUOTAS_KIND   "rillknot-quotas"
-#define ENGINES_KIND  "rillknot-engines"
-#define NAME          "recent"
-#define QUOTAS_MS     300   /* between writes: what was used since is guessed */
-#define ENGINES_MS    10000 /* the same: what is older is unlearnt by then */
-#define SOME_SHARE    0.02  /* of a quota: less is not written */
-#define SOME_SAMPLES  20    /* calls that an estimate rests on: fewer say little */
-#define USAGE_WINDOWS 4     /* kept; those before are reported */
+#define QUOTAS_KIND  "rillknot-quotas"
+#define ENGINES_KIND "rillknot-engines"
+#define OBJECT_NAME  "recent"
+/* Intervals of writes. After a restart, the use of quotas since the last write is
+ * estimated. Engine estimates follow the calls of a busy node's last seconds, so
+ * that a new one owes little to those of the previous write. */
+#define QUOTAS_INTERVAL_MS  300
+#define ENGINES_INTERVAL_MS 10000
+/* An organisation that used less than this share of its quota is left out. */
+#define MIN_QUOTA_SHARE 0.02
+/* An estimate made of fewer calls is too uncertain to be persisted. */
+#define MIN_SAMPLES   20
+#define USAGE_WINDOWS 4 /* persisted; older ones are reported already */
 #define READ_TRIES    4
-#define READ_MS       300
+#define READ_RETRY_MS 300
 
-/* One object. */
-struct kept {
+/* An object of the store with persisted state. */
+struct object {
     struct rk_remember *m;
     const char *kind;
-    int64_t every_ms;
-    bool stale; /* what was true seconds ago will do */
-    bool (*build)(struct rk_remember *m, struct rk_buf *b); /* false: nothing */
-    void (*restore)(struct rk_remember *m, struct json_object *spec); /* or NULL */
-    int64_t revision; /* of the object; 0: not known */
-    int64_t written_ms;
-    bool busy;
-    int tries;
-    struct rk_timer again;
+    int64_t interval_ms;
+    bool allow_stale; /* it may be read from a copy that is seconds old */
+    /* Appends the contents to b. Returns false if there is nothing to persist. */
+    bool (*build)(struct rk_remember *m, struct rk_buf *b);
+    /* spec NULL: there is no object. */
+    void (*restore)(struct rk_remember *m, struct json_object *spec);
+    int64_t revision;   /* in the store; 0: not known, or no object */
+    int64_t written_ms; /* start of the last write; 0: write as soon as possible */
+    bool busy;          /* a write is in flight */
+    int tries;          /* failed reads */
+    struct rk_timer retry;
 };
 
 struct rk_remember {
     struct rk_node *n;
-    struct kept quotas, engines;
-    bool is_read; /* quotas and usage */
-    bool holds;   /* what is written now is the holder's */
-    /* Counts of windows as the store's object had them last, and when they were
-     * counted; NULL: not known. */
+    struct object quotas, engines;
+    bool is_read;   /* quotas has been read, or can't be */
+    bool is_leader; /* as of the current write */
+    /* Counts of windows as the store's object had them last, and the wall time of
+     * these counts; NULL: not known. */
     char *usage;
     int64_t usage_wall_ms;
 };
 
 /* ---- writing ---- */
 
-static double quota_of(const struct rk_node *n, const struct rk_org_info *org)
+/* Returns an organisation's quota in units per window. */
+static double quota_units(const struct rk_node *n, const struct rk_org_info *org)
 {
     return org->rate * n->file.quota_window_s + org->burst;
 }
 
-/* What all nodes used of it within the window. */
-static double used_of(const struct rk_org_use *use)
+/* Returns the units that all nodes used within the quota's window. */
+static double used_units(const struct rk_org_use *use)
 {
     double sum = 0;
     for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
@@ -73,30 +82,32 @@
     return sum;
 }
 
-static void add_parts(struct rk_buf *b, const struct rk_org_use *use)
+static void append_slices(struct rk_buf *b, const struct rk_org_use *use)
 {
     for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
         rk_buf_printf(b, "%s%.0f", i ? "," : "[", use->kept[i]);
     rk_buf_addstr(b, "]");
 }
 
-/* Was enough of it used to be kept? */
-static bool is_kept(const struct rk_node *n, const struct rk_org_use *use)
+/* Returns whether enough of the quota was used to persist the row. */
+static bool is_significant(const struct rk_node *n, const struct rk_org_use *use)
 {
     const struct rk_org_info *org =
         rk_routes_org(rk_sync_routes(n->sync), use->org);
-    return org && org->rate > 0 && used_of(use) >= quota_of(n, org) * SOME_SHARE;
+    return org && org->rate > 0 &&
+           used_units(use) >= quota_units(n, org) * MIN_QUOTA_SHARE;
 }
 
-/* Counts of one window, and of the one before it. */
+/* Counts of one window and of the previous one. */
 struct counts {
     int64_t window;
     struct rk_tally now, before;
 };
 
-/* What an organisation's calls of a window come to by the time of a kill, on
- * average: those of the current window go on as they came since the one before
- * began, while counts are on their way and for half of the time between writes. */
+/* Returns the expected number of an organisation's calls in a window at the time of
+ * a kill. In the current window, calls are taken to continue at their mean rate
+ * since the start of the previous one, for the age of the counts received here and
+ * half of the interval between writes. */
 static double expected_count(const struct rk_node *n, const struct counts *c,
                              const char *org)
 {
@@ -106,13 +117,14 @@
         return count;
     double before = rk_tally_total(&c->before, org);
     double passed_ms = (double)(size_ms + wall_ms % size_ms);
-    double lag_ms = (double)rk_mesh_usage_lag_ms(n->mesh) + QUOTAS_MS / 2.0;
+    double lag_ms =
+        (double)rk_mesh_usage_lag_ms(n->mesh) + QUOTAS_INTERVAL_MS / 2.0;
     return floor(count + (count + before) * lag_ms / passed_ms);
 }
 
-/* Counts of a window as an object; false: there are none. */
-static bool add_window(const struct rk_node *n, const struct counts *c,
-                       struct rk_buf *b)
+/* Appends a window's counts as a member. Returns false if all of them are 0. */
+static bool append_window(const struct rk_node *n, const struct counts *c,
+                          struct rk_buf *b)
 {
     const struct rk_routes *routes = rk_sync_routes(n->sync);
     bool any = false;
@@ -130,8 +142,9 @@
     return any;
 }
 
-/* Counts of the last windows, as members of an object; false: there are none. */
-static bool add_usage(const struct rk_node *n, struct rk_buf *b)
+/* Appends the counts of the last windows as members. Returns false if all of them
+ * are 0. */
+static bool append_windows(const struct rk_node *n, struct rk_buf *b)
 {
     int64_t current = rk_wall_ms() / rk_s_to_ms(n->file.usage_window_s);
     struct counts c = {.window = current - USAGE_WINDOWS};
@@ -142,20 +155,22 @@
         c = (struct counts){.window = c.window + 1, .before = c.now};
         rk_usage_sums(&n->usage, c.window, &c.now);
         rk_buf_addstr(b, i ? "," : "");
-        any = add_window(n, &c, b) || any;
+        any = append_window(n, &c, b) || any;
     }
     rk_tally_free(&c.before);
     rk_tally_free(&c.now);
     return any;
 }
 
-/* The counts as a member of an object; false: there are none. */
-static bool put_usage(const struct rk_remember *m, struct rk_buf *b)
+/* Appends the counts and their wall time as members: at the leader the current
+ * ones, at an acting node those of the store. Returns true if the leader has
+ * counts. */
+static bool append_usage(const struct rk_remember *m, struct rk_buf *b)
 {
-    if (m->holds) {
+    if (m->is_leader) {
         rk_buf_printf(b, ",\"usage_wall_ms\":%" PRId64 ",\"usage\":{",
                       rk_wall_ms());
-        bool any = add_usage(m->n, b);
+        bool any = append_windows(m->n, b);
         rk_buf_addstr(b, "}");
         return any;
     }
@@ -167,25 +182,28 @@
     return false;
 }
 
-/* When the counts of an object were true; older nodes tell one time for all. */
-static int64_t usage_time(struct json_object *spec)
+/* Returns the wall time of an object's counts. Objects of earlier versions have a
+ * single time for all their members. */
+static int64_t usage_wall_time(struct json_object *spec)
 {
     return rk_json_int(spec, "usage_wall_ms", rk_json_int(spec, "wall_ms", 0));
 }
 
-/* Note what the store has, for the case that this node is to write it. */
-static void note_usage(struct rk_remember *m, struct json_object *spec)
+/* Copies the store's counts, for the case that this node has to act for a leader.
+ */
+static void copy_usage(struct rk_remember *m, struct json_object *spec)
 {
     struct json_object *usage = rk_json_get(spec, "usage");
     if (!json_object_is_type(usage, json_type_object))
         return;
     free(m->usage);
     m->usage = rk_strdup(json_object_to_json_string(usage));
-    m->usage_wall_ms = usage_time(spec);
+    m->usage_wall_ms = usage_wall_time(spec);
 }
 
-/* For nodes that come back all at once. */
-static void add_size(const struct rk_node *n, struct rk_buf *b)
+/* Appends the fleet's size, which gives the read delay after a restart of all
+ * nodes. */
+static void append_fleet_size(const struct rk_node *n, struct rk_buf *b)
 {
     const struct rk_fleet_size size = rk_mesh_size(n->mesh);
     if (size.nodes)
@@ -193,42 +211,42 @@
                       size.nodes, size.largest, size.capacity);
 }
 
-/* What organisations used of their quotas, and ask for, as JSON; false: nothing. */
+/* Builds the object with the use of quotas and demand by organisation. */
 static bool build_quotas(struct rk_remember *m, struct rk_buf *b)
 {
     struct rk_node *n = m->n;
-    struct rk_tally asking = {0};
-    struct rk_buf asked = {0};
+    struct rk_tally demand = {0};
+    struct rk_buf demand_text = {0};
     bool any = false;
-    /* What is not all would be taken for it. */
+    /* After a restart, an incomplete history would be taken for a complete one. */
     if (!rk_sync_routes(n->sync) || !n->report || !n->report->knows_all)
         return false;
-    rk_mesh_add_asking(n->mesh, &asking);
+    rk_mesh_add_asking(n->mesh, &demand);
     rk_buf_printf(b, "{\"wall_ms\":%" PRId64, rk_wall_ms());
-    add_size(n, b);
+    append_fleet_size(n, b);
     rk_buf_addstr(b, ",\"used\":{");
     for (size_t i = 0; i < n->report->uses_len; i++) {
         const struct rk_org_use *use = &n->report->uses[i];
-        if (!is_kept(n, use))
+        if (!is_significant(n, use))
             continue;
         rk_buf_addstr(b, any ? "," : "");
         rk_buf_json_str(b, use->org);
         rk_buf_addstr(b, ":");
-        add_parts(b, use);
-        rk_buf_addstr(&asked, any ? "," : "");
-        rk_buf_json_str(&asked, use->org);
-        rk_buf_printf(&asked, ":%.0f", rk_tally_total(&asking, use->org));
+        append_slices(b, use);
+        rk_buf_addstr(&demand_text, any ? "," : "");
+        rk_buf_json_str(&demand_text, use->org);
+        rk_buf_printf(&demand_text, ":%.0f", rk_tally_total(&demand, use->org));
         any = true;
     }
-    rk_buf_printf(b, "},\"asking\":{%s}", any ? asked.data : "");
-    any = put_usage(m, b) || any;
+    rk_buf_printf(b, "},\"asking\":{%s}", any ? demand_text.data : "");
+    any = append_usage(m, b) || any;
     rk_buf_addstr(b, "}");
-    rk_buf_free(&asked);
-    rk_tally_free(&asking);
+    rk_buf_free(&demand_text);
+    rk_tally_free(&demand);
     return any;
 }
 
-/* What the nodes learnt of each engine service as JSON; false: too little. */
+/* Builds the object with the estimate of each engine service. */
 static bool build_engines(struct rk_remember *m, struct rk_buf *b)
 {
     const struct rk_routes *routes = rk_sync_routes(m->n->sync);
@@ -238,7 +256,7 @@
         const char *service = routes->services[i].name;
         struct rk_engine_estimate e =
             rk_mesh_service_use(m->n->mesh, service).engine;
-        if (!routes->services[i].engine || e.samples < SOME_SAMPLES)
+        if (!routes->services[i].engine || e.samples < MIN_SAMPLES)
             continue;
         rk_buf_addstr(b, any ? "," : "");
         rk_buf_json_str(b, service);
@@ -254,67 +272,69 @@
     return any;
 }
 
-static void on_written(void *ctx, enum rk_status st,
-                       const struct rk_store_object *o)
+static void on_object_written(void *ctx, enum rk_status st,
+                              const struct rk_store_object *o)
 {
-    struct kept *k = ctx;
-    k->busy = false;
+    struct object *p = ctx;
+    p->busy = false;
     if ((st == RK_OK || st == RK_ECONFLICT) && o)
-        k->revision = o->revision;
+        p->revision = o->revision;
     else if (st == RK_ENOTFOUND)
-        k->revision = 0;
+        p->revision = 0;
     if (st != RK_ECONFLICT)
         return;
-    k->written_ms = 0; /* another node's: now that its revision is known */
-    if (o && k == &k->m->quotas)
-        note_usage(k->m, o->spec);
+    /* Another node wrote it: write again at once, as the revision is known now. */
+    p->written_ms = 0;
+    if (o && p == &p->m->quotas)
+        copy_usage(p->m, o->spec);
 }
 
-static void write_kept(struct kept *k)
+static void write_object(struct object *p)
 {
-    struct rk_store *store = k->m->n->store;
+    struct rk_store *store = p->m->n->store;
     int64_t now_ms = rk_mono_ms();
-    if (k->busy || (k->written_ms && now_ms - k->written_ms < k->every_ms))
+    if (p->busy || (p->written_ms && now_ms - p->written_ms < p->interval_ms))
         return;
     struct rk_buf b = {0};
-    if (k->build(k->m, &b)) {
-        k->busy = true;
-        k->written_ms = now_ms;
-        if (k->revision)
-            store->ops->replace(store, k->kind, NAME, k->revision, b.data,
-                                on_written, k);
+    if (p->build(p->m, &b)) {
+        p->busy = true;
+        p->written_ms = now_ms;
+        if (p->revision)
+            store->ops->replace(store, p->kind, OBJECT_NAME, p->revision, b.data,
+                                on_object_written, p);
         else
-            store->ops->create(store, k->kind, NAME, b.data, on_written, k);
+            store->ops->create(store, p->kind, OBJECT_NAME, b.data,
+                               on_object_written, p);
     }
     rk_buf_free(&b);
 }
 
 void rk_remember_stand_in(struct rk_remember *m)
 {
-    m->holds = false;
-    write_kept(&m->quotas);
+    m->is_leader = false;
+    write_object(&m->quotas);
 }
 
 void rk_remember_tick(struct rk_remember *m)
 {
-    m->holds = true;
-    write_kept(&m->quotas);
-    write_kept(&m->engines);
+    m->is_leader = true;
+    write_object(&m->quotas);
+    write_object(&m->engines);
 }
 
 /* ---- reading ---- */
 
-static double part_at(struct json_object *parts, size_t i)
+static double slice_at(struct json_object *slices, size_t i)
 {
-    if (!json_object_is_type(parts, json_type_array))
+    if (!json_object_is_type(slices, json_type_array))
         return 0;
-    return json_object_get_double(json_object_array_get_idx(parts, i));
+    return json_object_get_double(json_object_array_get_idx(slices, i));
 }
 
 static void restore_usage(struct rk_remember *m, struct json_object *spec)
 {
     struct json_object *windows = rk_json_get(spec, "usage");
-    int64_t kept_ms = usage_time(spec);
+    int64_t counted_wall_ms = usage_wall_time(spec);
     if (!json_object_is_type(windows, json_type_object))
         return;
     json_object_object_foreach(windows, window, counts)
@@ -325,7 +345,7 @@
         {
             struct rk_usage_row row = {.node = RK_USAGE_KEPT,
                                        .window = strtoll(window, NULL, 10),
-                                       .since_ms = kept_ms};
+                                       .since_ms = counted_wall_ms};
             int64_t n = json_object_get_int64(count);
             row.count = n > 0 ? (uint64_t)n : 0;
             rk_strcpy(row.org, sizeof(row.org), org);
@@ -338,9 +358,9 @@
 {
     rk_returning_know(m->n, spec);
     restore_usage(m, spec);
-    note_usage(m, spec);
+    copy_usage(m, spec);
     struct json_object *used = rk_json_get(spec, "used");
-    struct json_object *asking = rk_json_get(spec, "asking");
+    struct json_object *demand = rk_json_get(spec, "asking");
     int64_t age_ms = rk_wall_ms() - rk_json_int(spec, "wall_ms", 0);
     if (!json_object_is_type(used, json_type_object)) {
         RK_EVENT("quota.nothing_restored", RK_N("object", spec != NULL));
@@ -349,12 +369,12 @@
     }
     size_t len = (size_t)json_object_object_length(used), n = 0;
     struct rk_org_use *uses = rk_alloc(len + 1, sizeof(*uses));
-    json_object_object_foreach(used, org, parts)
+    json_object_object_foreach(used, org, slices)
     {
         rk_strcpy(uses[n].org, sizeof(uses[n].org), org);
         for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
-            uses[n].known[i] = part_at(parts, i);
-        uses[n].asking = fmax(0, rk_json_real(asking, org));
+            uses[n].known[i] = slice_at(slices, i);
+        uses[n].asking = fmax(0, rk_json_real(demand, org));
         n++;
     }
     RK_EVENT("quota.restored", RK_N("organisations", (int64_t)n),
@@ -392,20 +412,21 @@
     rk_relay_set_engines(m->n->relay, services, n);
 }
 
-static void on_read(void *ctx, enum rk_status st, const struct rk_store_object *o)
+static void on_object_read(void *ctx, enum rk_status st,
+                           const struct rk_store_object *o)
 {
-    struct kept *k = ctx;
+    struct object *p = ctx;
     if (st == RK_OK && o) {
-        k->revision = o->revision;
-        k->restore(k->m, o->spec);
+        p->revision = o->revision;
+        p->restore(p->m, o->spec);
     } else if (st == RK_ENOTFOUND) {
-        k->restore(k->m, NULL);
-    } else if (++k->tries < READ_TRIES) {
-        rk_timer_start(k->m->n->loop, &k->again, READ_MS);
+        p->restore(p->m, NULL);
+    } else if (++p->tries < READ_TRIES) {
+        rk_timer_start(p->m->n->loop, &p->retry, READ_RETRY_MS);
         return;
     }
-    if (k == &k->m->quotas)
-        k->m->is_read = true;
+    if (p == &p->m->quotas)
+        p->m->is_read = true;
 }
 
 bool rk_remember_is_read(const struct rk_remember *m)
@@ -413,44 +434,45 @@
     return m->is_read || m->n->file.first_start;
 }
 
-static void on_again(void *ctx)
+static void read_object(void *ctx)
 {
-    struct kept *k = ctx;
-    k->m->n->store->ops->read(k->m->n->store, k->kind, NAME, k->stale, on_read, k);
+    struct object *p = ctx;
+    p->m->n->store->ops->read(p->m->n->store, p->kind, OBJECT_NAME, p->allow_stale,
+                              on_object_read, p);
 }
 
 void rk_remember_start(struct rk_remember *m)
 {
     if (m->n->file.first_start)
         return;
-    on_again(&m->quotas);
-    on_again(&m->engines);
+    read_object(&m->quotas);
+    read_object(&m->engines);
 }
 
 struct rk_remember *rk_remember_create(struct rk_node *n)
 {
     struct rk_remember *m = rk_alloc(1, sizeof(*m));
     m->n = n;
-    m->quotas = (struct kept){.m = m,
-                              .kind = QUOTAS_KIND,
-                              .every_ms = QUOTAS_MS,
-                              .build = build_quotas,
-                              .restore = restore_quotas};
-    m->engines = (struct kept){.m = m,
-                               .kind = ENGINES_KIND,
-                               .every_ms = ENGINES_MS,
-                               .stale = true,
-                               .build = build_engines,
-                               .restore = restore_engines};
-    m->quotas.again = (struct rk_timer){.fn = on_again, .ctx = &m->quotas};
-    m->engines.again = (struct rk_timer){.fn = on_again, .ctx = &m->engines};
+    m->quotas = (struct object){.m = m,
+                                .kind = QUOTAS_KIND,
+                                .interval_ms = QUOTAS_INTERVAL_MS,
+                                .build = build_quotas,
+                                .restore = restore_quotas};
+    m->engines = (struct object){.m = m,
+                                 .kind = ENGINES_KIND,
+                                 .interval_ms = ENGINES_INTERVAL_MS,
+                                 .allow_stale = true,
+                                 .build = build_engines,
+                                 .restore = restore_engines};
+    m->quotas.retry = (struct rk_timer){.fn = read_object, .ctx = &m->quotas};
+    m->engines.retry = (struct rk_timer){.fn = read_object, .ctx = &m->engines};
     return m;
 }
 
 void rk_remember_destroy(struct rk_remember *m)
 {
-    rk_timer_stop(m->n->loop, &m->quotas.again);
-    rk_timer_stop(m->n->loop, &m->engines.again);
+    rk_timer_stop(m->n->loop, &m->quotas.retry);
+    rk_timer_stop(m->n->loop, &m->engines.retry);
     free(m->usage);
     free(m);
 }
--- a/node/report.c
+++ b/node/report.c
@@ -1,5 +1,6 @@
-/* What nodes tell each other: making a report of this node, and taking in what
- * another one says of itself. */
+/* Node reports: building the report of this node and applying those of its peers. A
+ * report holds a node's state, its load by VM, its use of quotas and its counts of
+ * calls. */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -41,7 +42,8 @@
     p->report.services = p->service_ptrs;
 }
 
-/* Who else is there; in a larger fleet bridges tell. */
+/* In a small fleet, fills in the addresses of reachable nodes. In a large one, the
+ * digests of bridges have them. */
 static void fill_peers(struct rk_report *p, const struct rk_mesh *m)
 {
     int64_t now_ms = rk_mono_ms();
@@ -103,25 +105,27 @@
     free(p->peers);
 }
 
-static double read_before(const struct member *k, const char *service)
+static double last_read_tokens(const struct member *k, const char *service)
 {
-    const struct rk_service_use *before =
+    const struct rk_service_use *last =
         rk_service_use_find(k->services, k->services_len, service);
-    return before ? before->read_tokens : 0;
+    return last ? last->read_tokens : 0;
 }
 
-static void count_read(struct member *k, const char *service, double rise)
+/* Adds tokens that a member's engines have read since its last report. */
+static void add_read_tokens(struct member *k, const char *service, double increase)
 {
     struct rk_mesh *m = k->m;
-    if (!rk_report_counts(k) || rise <= 0)
+    if (!rk_report_counts(k) || increase <= 0)
         return;
-    *rk_tally_at(&m->peer_reads, service) += rise;
-    *rk_tally_at(&m->domain_reads, service) += rise;
-    *rk_tally_at(&m->fleet_reads, service) += rise;
+    *rk_tally_at(&m->peer_reads, service) += increase;
+    *rk_tally_at(&m->domain_reads, service) += increase;
+    *rk_tally_at(&m->fleet_reads, service) += increase;
 }
 
-static void take_services(struct member *k, const Rillknot__NodeReport *r,
-                          bool first)
+/* first: the node has sent no report before, so there is nothing to count from. */
+static void receive_services(struct member *k, const Rillknot__NodeReport *r,
+                             bool first)
 {
     struct rk_service_use *services =
         rk_alloc(r->n_services + 1, sizeof(*services));
@@ -132,8 +136,8 @@
         use->running = r->services[i]->running;
         use->begun = r->services[i]->begun;
         use->engine = rk_engines_get(r->services[i]->engine);
-        double before = first ? use->read_tokens : read_before(k, use->service);
-        count_read(k, use->service, use->read_tokens - before);
+        double last = first ? use->read_tokens : last_read_tokens(k, use->service);
+        add_read_tokens(k, use->service, use->read_tokens - last);
     }
     free(k->services);
     k->services = services;
@@ -143,13 +147,14 @@
 bool rk_report_take(struct member *k, const Rillknot__NodeReport *r)
 {
     bool first = !k->incarnation;
-    rk_usage_take(k->m->n, r->usage, r->n_usage); /* each life's rows are its own */
+    /* Counts of calls carry their incarnation, so those of a past one are valid. */
+    rk_usage_take(k->m->n, r->usage, r->n_usage);
     if (!rk_mesh_hears_life(k, r->incarnation))
         return false;
     rk_mesh_meet(k);
     if (k->incarnation != r->incarnation) {
         k->incarnation = r->incarnation;
-        rk_org_uses_clear(&k->uses); /* it counts from its start */
+        rk_org_uses_clear(&k->uses); /* its counters began at 0 */
         k->uses_based = !first;
         k->knows = false;
         k->services_len = 0;
@@ -166,6 +171,6 @@
     k->remembers_ms = r->remembers_ms;
     rk_report_take_uses(k, r, first);
     rk_loads_take(&k->loads, &k->loads_len, r->vms, r->n_vms);
-    take_services(k, r, first);
+    receive_services(k, r, first);
     return true;
 }
--- a/node/report_uses.c
+++ b/node/report_uses.c
@@ -1,7 +1,7 @@
-/* The use of quotas in nodes' reports. In a large fleet a node tells the bridges of
- * its domain only the rows that changed, and all of them to one that just became
- * one. What it knows of the use of all it tells to a bridge that asks: one that
- * started again and remembers less. */
+/* Quota usage in node reports. In a large fleet a node reports to the bridges of
+ * its domain, and sends only the rows that changed unless a bridge is new. Its
+ * quota history, that is the use by all nodes within the window, is added when a
+ * bridge requests it: one that has restarted and has a shorter history itself. */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,12 +9,12 @@
 #include "common/eventlog.h"
 #include "node/mesh_impl.h"
 
-#define ASK_AGAIN_MS 600 /* longer than it takes to be told */
+#define REQUEST_RETRY_MS 600 /* longer than a reply takes */
 
-/* ---- telling ---- */
+/* ---- sending ---- */
 
-/* Can each peer that is told the report do with the rows that changed? */
-static bool changes_do(const struct rk_mesh *m)
+/* Returns whether changed rows suffice for all peers that get the report. */
+static bool changes_suffice(const struct rk_mesh *m)
 {
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if (rk_mesh_is_told(k) && rk_mesh_takes(k->link) &&
@@ -23,16 +23,17 @@
     return true;
 }
 
-static void put_known(struct rk_report *p, size_t row, const struct rk_org_use *use)
+static void put_history(struct rk_report *p, size_t row,
+                        const struct rk_org_use *use)
 {
-    uint64_t *known = &p->known[row * RK_QUOTA_PARTS];
+    uint64_t *slices = &p->known[row * RK_QUOTA_PARTS];
     for (size_t j = 0; j < RK_QUOTA_PARTS; j++)
-        known[j] = (uint64_t)use->known[j];
+        slices[j] = (uint64_t)use->known[j];
     p->uses[row].n_known = RK_QUOTA_PARTS;
-    p->uses[row].known = known;
+    p->uses[row].known = slices;
 }
 
-static void put_use(struct rk_report *p, const struct rk_org_use *use)
+static void put_row(struct rk_report *p, const struct rk_org_use *use)
 {
     Rillknot__OrgUse *row = &p->uses[p->report.n_uses];
     rillknot__org_use__init(row);
@@ -45,23 +46,23 @@
 void rk_report_fill_uses(struct rk_report *p, struct rk_mesh *m,
                          const struct rk_relay_report *r)
 {
-    bool known = m->direct || m->known_wanted;
-    bool all = known || m->uses_wanted || !changes_do(m);
+    bool with_history = m->direct || m->known_wanted;
+    bool all = with_history || m->uses_wanted || !changes_suffice(m);
     p->uses = rk_alloc(r->uses_len + 1, sizeof(*p->uses));
     p->known = rk_alloc(r->uses_len * RK_QUOTA_PARTS + 1, sizeof(*p->known));
     p->use_ptrs = rk_alloc(r->uses_len + 1, sizeof(*p->use_ptrs));
     for (size_t i = 0; i < r->uses_len; i++) {
         const struct rk_org_use *use = &r->uses[i];
-        bool news = rk_org_use_is_news(use, &m->uses_told);
-        if (!news && !known && !(all && use->units != 0))
+        bool changed = rk_org_use_is_news(use, &m->uses_told);
+        if (!changed && !with_history && !(all && use->units != 0))
             continue;
-        put_use(p, use);
-        if (known)
-            put_known(p, p->report.n_uses - 1, use);
+        put_row(p, use);
+        if (with_history)
+            put_history(p, p->report.n_uses - 1, use);
     }
     p->report.uses = p->use_ptrs;
     p->report.uses_changed = !all;
-    p->report.knows = known;
+    p->report.knows = with_history;
     m->uses_wanted = m->known_wanted = false;
 }
 
@@ -76,71 +77,73 @@
     }
 }
 
-/* ---- hearing ---- */
+/* ---- receiving ---- */
 
 bool rk_report_counts(const struct member *k)
 {
     return k->m->direct || (k->m->bridge && rk_mesh_is_near(k));
 }
 
-double rk_report_asking(const Rillknot__OrgUse *told)
+double rk_report_asking(const Rillknot__OrgUse *in)
 {
-    if (isfinite(told->asking) && told->asking >= 0)
-        return (double)told->asking;
-    RK_WARN("quota.rejected", RK_S("organisation", told->org));
+    if (isfinite(in->asking) && in->asking >= 0)
+        return (double)in->asking;
+    RK_WARN("quota.rejected", RK_S("organisation", in->org));
     return 0;
 }
 
-static void count_use(struct member *k, const char *org, double rise)
+static void count_use(struct member *k, const char *org, double increase)
 {
     struct rk_mesh *m = k->m;
-    if (!rk_report_counts(k) || rise == 0)
+    if (!rk_report_counts(k) || increase == 0)
         return;
-    rk_mesh_add_news(m, org, rise);
-    *rk_tally_at(&m->domain_uses, org) += rise;
-    *rk_tally_at(&m->fleet_uses, org) += rise;
+    rk_mesh_add_news(m, org, increase);
+    *rk_tally_at(&m->domain_uses, org) += increase;
+    *rk_tally_at(&m->fleet_uses, org) += increase;
 }
 
-static void take_known(struct rk_org_use *row, const Rillknot__OrgUse *told)
+static void receive_history(struct rk_org_use *row, const Rillknot__OrgUse *in)
 {
-    for (size_t j = 0; j < told->n_known && j < RK_QUOTA_PARTS; j++)
-        row->known[j] = (double)told->known[j];
+    for (size_t j = 0; j < in->n_known && j < RK_QUOTA_PARTS; j++)
+        row->known[j] = (double)in->known[j];
 }
 
-/* What the node used since its last report goes to the relay with the next. What a
- * node heard for the first time used before is among what peers remember. */
+/* Applies the usage rows of a report. What the member used since its last report
+ * goes to the relay with the next update of peers. At a member's first report
+ * nothing is counted: what it used before is part of the peers' quota histories. */
 void rk_report_take_uses(struct member *k, const Rillknot__NodeReport *r,
                          bool first)
 {
     bool all = !r->uses_changed;
     if (!all && !k->uses_based)
-        return; /* changes of what isn't known here: it is asked for all */
+        return; /* changes to rows that are missing here: all will be requested */
     rk_org_uses_begin(&k->uses);
     for (size_t i = 0; i < r->n_uses; i++) {
-        const Rillknot__OrgUse *told = r->uses[i];
-        double rise = rk_org_uses_rise(&k->uses, told->org, told->units);
-        struct rk_org_use *row = rk_org_uses_at(&k->uses, told->org);
-        row->asking = rk_report_asking(told);
-        take_known(row, told);
+        const Rillknot__OrgUse *in = r->uses[i];
+        double increase = rk_org_uses_rise(&k->uses, in->org, in->units);
+        struct rk_org_use *row = rk_org_uses_at(&k->uses, in->org);
+        row->asking = rk_report_asking(in);
+        receive_history(row, in);
         if (k->uses_based && !first)
-            count_use(k, told->org, rise);
+            count_use(k, in->org, increase);
     }
     k->uses_based = k->uses_based || all;
-    /* Nodes of an earlier version tell it each time. */
+    /* Nodes of earlier versions send the history with each report. */
     k->knows = k->knows || r->knows || !r->takes_changes;
 }
 
 bool rk_report_lacks_uses(struct member *k, int64_t now_ms)
 {
-    bool asked = k->uses_asked_ms && now_ms - k->uses_asked_ms < ASK_AGAIN_MS;
-    if (k->uses_based || asked || !rk_report_counts(k))
+    bool pending = k->uses_asked_ms && now_ms - k->uses_asked_ms < REQUEST_RETRY_MS;
+    if (k->uses_based || pending || !rk_report_counts(k))
         return false;
     k->uses_asked_ms = now_ms;
     return true;
 }
 
-/* Does this node know less of the use of quotas than it could be told? */
-static bool lacks_known(const struct rk_mesh *m, int64_t window_ms)
+/* Returns whether this node, a bridge, has a shorter quota history than the window
+ * and has not received a complete one from a reachable member either. */
+static bool lacks_history(const struct rk_mesh *m, int64_t window_ms)
 {
     int64_t now_ms = rk_mono_ms();
     if (!m->bridge || !m->n->report || m->n->report->remembers_ms >= window_ms)
@@ -154,13 +157,14 @@
 void rk_report_ask_known(struct rk_mesh *m, int64_t now_ms)
 {
     int64_t window_ms = rk_s_to_ms(m->n->file.quota_window_s);
-    bool asked = m->known_asked_ms && now_ms - m->known_asked_ms < ASK_AGAIN_MS;
-    if (asked || !lacks_known(m, window_ms))
+    bool pending =
+        m->known_asked_ms && now_ms - m->known_asked_ms < REQUEST_RETRY_MS;
+    if (pending || !lacks_history(m, window_ms))
         return;
     for (struct member *k = m->contacts; k; k = k->next_contact) {
-        bool can_tell = rk_mesh_is_near(k) && rk_mesh_is_heard(k, now_ms) &&
-                        k->remembers_ms >= window_ms;
-        if (!can_tell || !rk_mesh_takes(k->link))
+        bool has_history = rk_mesh_is_near(k) && rk_mesh_is_heard(k, now_ms) &&
+                           k->remembers_ms >= window_ms;
+        if (!has_history || !rk_mesh_takes(k->link))
             continue;
         m->known_asked_ms = now_ms;
         rk_mesh_want_uses(k->link, true);
