--- a/node/duties.c
+++ b/node/duties.c
@@ -1,5 +1,6 @@
-/* Leader duties. The leader is the node that holds a lease in the store. It reports
- * usage to the platform and orders VMs, with the lease's epoch as fencing token.
+/* The leader's duties. The leader is the node that holds a lease in the store. It
+ * reports usage to the platform and orders VMs, with the lease's epoch as fencing
+ * token.
  *
  * A window's counts are first written to the store, only if it has none, and then
  * reported exactly as the store has them. A new leader therefore repeats the
@@ -57,7 +58,7 @@
 
 struct window {
     struct rk_duty_keeper *k;
-    int64_t number;
+    int64_t number; /* wall time divided by the size of a window */
     enum window_state state;
     int64_t retry_at_ms; /* no attempt before this time */
     char *counts;        /* JSON text, as the store has it */
@@ -83,7 +84,7 @@
 
 /* ---- the lease ---- */
 
-/* Logs when this node has acquired or lost the lease. */
+/* Updates was_held, and logs when this node has acquired or lost the lease. */
 static void update_held(struct rk_duty_keeper *k)
 {
     int64_t epoch;
@@ -169,6 +170,7 @@
            rk_mono_ms() - since_ms > 3 * (int64_t)k->n->file.lease_ms;
 }
 
+/* Reads, renews or takes the lease if that is due. */
 static void update_lease(struct rk_duty_keeper *k)
 {
     struct rk_store *store = k->n->store;
@@ -180,6 +182,7 @@
     }
     char value[RK_LEASE_VALUE_MAX];
     int64_t expect;
+    /* Only the decision to write depends on the longer waiting time. */
     k->lease.life_ms = takeover_wait_ms(k);
     bool must_write = rk_lease_wants(&k->lease, rk_mono_ms(), value, &expect);
     k->lease.life_ms = (int64_t)k->n->file.lease_ms;
@@ -255,6 +258,7 @@
 
 /* ---- usage ---- */
 
+/* Returns a window's counts by organisation as JSON text, owned by the caller. */
 static char *format_counts(const struct rk_duty_keeper *k, int64_t window)
 {
     const struct rk_routes *routes = rk_sync_routes(k->n->sync);
@@ -321,6 +325,7 @@
     (void)o; /* an object that could not be removed does no harm */
 }
 
+/* Writes a window's counts to the store, and removes those of an old window. */
 static void store_window(struct window *w)
 {
     struct rk_store *store = w->k->n->store;
@@ -356,9 +361,8 @@
     return unreachable ? REPORT_DELAY_UNREACHABLE_MS : REPORT_DELAY_MS;
 }
 
-/* Returns whether the report of a window is due that ended since_end_ms ago. It
- * waits for counts that are still on their way, as long as it does not get late by
- * that. */
+/* Returns whether to report a window that ended since_end_ms ago. Reports wait for
+ * counts that are still on their way, but not until they would be late. */
 static bool is_due(const struct rk_duty_keeper *k, int64_t since_end_ms)
 {
     const struct rk_node *n = k->n;
--- a/node/enrol.c
+++ b/node/enrol.c
@@ -1,6 +1,5 @@
 /* Registration in the store's node list. At its start, a node writes its own entry
- * and reads the list to find its peers; later changes reach it by peers' reports.
- */
+ * and reads the list to find its peers. Peers report later changes. */
 #include <json-c/json.h>
 #include <stdio.h>
 #include <string.h>
@@ -25,11 +24,10 @@
 /* A node's process file names at least this many peers, unless the fleet is
  * smaller. */
 #define SEEDS_MIN 3
-/* For this long after a member was removed as unresponsive it may be merely cut
- * off, and the list is read again. */
+/* The list is read again for this long after a member was removed as unresponsive,
+ * as it may only have been cut off. */
 #define REMOVED_MEMBER_MS 60000
-/* Interval of the checks, during the read delay, whether peers reported the nodes.
- */
+/* Interval of checks, in the read delay, whether peers have reported the nodes. */
 #define READ_DELAY_CHECK_MS 100
 
 static void build_spec(const struct rk_mesh *m, char spec[SPEC_MAX])
--- a/node/node.c
+++ b/node/node.c
@@ -26,8 +26,7 @@
 /* After BALANCER_DRAIN_MS, time during which idle connections are closed before the
  * node may stop. */
 #define IDLE_CLOSE_MS 400
-/* A stop ends this long before stop_s is over, when the platform kills the process.
- */
+/* A stop ends this long before the platform kills the process after stop_s. */
 #define STOP_MARGIN_MS 700
 
 static const struct rk_server_limits admin_limits = {
@@ -145,8 +144,7 @@
     *m = (struct report_message){.n = ctx, .report = report};
     if (rk_loop_post(m->n->loop, apply_report, m))
         return;
-    /* The control loop's queue is full. The next report includes all of this one.
-     */
+    /* The control loop's queue is full. The next report includes all of this. */
     rk_relay_report_free(report);
     free(m);
 }
@@ -181,7 +179,7 @@
     rk_loop_post(n->loop, handle_stopped, n);
 }
 
-/* Returns the longest duration of a stop. */
+/* Returns the longest duration of a stop, in ms. */
 static int64_t stop_limit_ms(const struct rk_node *n)
 {
     return rk_s_to_ms(n->file.stop_s) - STOP_MARGIN_MS;
@@ -222,6 +220,7 @@
     rk_loop_post(n->loop, begin_stop, n);
 }
 
+/* Returns the retry budget in percent of the calls. */
 static int64_t retry_pct(const struct rk_procfile *file)
 {
     return (int64_t)(file->retry_ratio * 100);
--- a/node/orders.c
+++ b/node/orders.c
@@ -25,20 +25,19 @@
 /* A service without calls for this long is idle; longer than the start of all nodes
  * takes. */
 #define IDLE_MS 4000
-/* After its start a node places no orders for this long, until it has the VM list.
- */
+/* After its start, a node gets the VM list within this time and orders nothing. */
 #define START_DELAY_MS 2000
 /* A restarted node gives up no VM for this long: nodes get each other's reports
  * within 3 s, and callers whose calls were lost retry within a few seconds more.
  * Without this, 72 VMs were given up at once after all nodes of a fleet of 86 had
  * been killed. */
 #define RESTART_KEEP_MS 10000
-/* VMs register for this long after the deployment's first start. On-demand VMs are
- * ordered only after that, so that an incomplete list makes none of them be given
- * up. Reclaimable VMs are ordered at once, as they take seconds to boot. */
+/* After the deployment's first start, VMs register during this time. Orders for
+ * on-demand VMs wait for it: they would give some of them up by an incomplete list.
+ * Reclaimable VMs are ordered at once, as they take seconds to boot. */
 #define VM_REGISTRATION_MS 4500
-/* Without a call for this long, the initial number of VMs is no estimate of the
- * need any more. */
+/* If no call arrives within this time, the initial number of VMs is no longer an
+ * estimate of the need. */
 #define INITIAL_ESTIMATE_MS 30000
 
 /* The last order for one kind of VMs in one domain. */
@@ -132,8 +131,8 @@
 }
 
 /* Until the first calls arrive, takes the initial number of on-demand VMs as the
- * need. The quotas of all organisations cap it: without the cap, each of thousands
- * of idle VMs would be ordered a second time. */
+ * need, up to what the quotas of all organisations allow. Without this limit, each
+ * of thousands of idle VMs would be ordered a second time. */
 static void apply_initial_estimate(struct service *s, int64_t now_ms)
 {
     const struct rk_node *n = s->o->n;
@@ -252,9 +251,9 @@
     send_order(order, info, token, held, target);
 }
 
-/* Counts the VMs held by domain and kind. Those of the new version of
- * a rollout in progress go into canaries[d]: they aren't capacity for the plan yet,
- * but the platform counts them. */
+/* Counts the VMs held by domain and kind. VMs of the new version of a rollout in
+ * progress are counted in canaries[d] instead: they are no capacity for the plan
+ * yet, but the platform's counts include them. */
 static void count_held(const struct rk_node *n, const struct rk_service_info *info,
                        struct rk_holding_input *in,
                        struct rk_holding_target canaries[RK_HOLDING_DOMAINS])
@@ -294,8 +293,8 @@
     in->none = rk_reclaims_none(s->reclaims, in->domains_len);
 }
 
-/* Fills in the on-demand VMs that are ordered and still boot. A plan that left them
- * out would cancel their order. */
+/* Fills in the on-demand VMs that were ordered and are still booting. A plan that
+ * left them out would cancel their order. */
 static void count_booting(struct service *s, const struct rk_service_info *info,
                           struct rk_holding_input *in,
                           const struct rk_holding_target *canaries)
@@ -303,14 +302,14 @@
     for (size_t i = 0; i < in->domains_len; i++) {
         const struct order *order = &s->orders[i][0];
         struct rk_holding_domain *d = &in->domains[i];
-        int there = d->on_demand + canaries[i].on_demand;
-        if (may_be_booting(order, info) && order->target > there)
-            d->booting = order->target - there;
+        int present = d->on_demand + canaries[i].on_demand;
+        if (may_be_booting(order, info) && order->target > present)
+            d->booting = order->target - present;
     }
 }
 
-/* Returns whether no call has run for IDLE_MS, or since the start: what runs isn't
- * known just after a start. */
+/* Returns whether no call has run for IDLE_MS. This time is counted from the node's
+ * start at the earliest, as the node doesn't know at first what runs elsewhere. */
 static bool is_idle(struct service *s)
 {
     int64_t now_ms = rk_mono_ms();
@@ -386,8 +385,8 @@
 {
     const struct rk_routes *routes = rk_sync_routes(o->n->sync);
     rk_orders_watch(o);
-    /* The delay counts from the node's start only: a new leader already knows the
-     * list, so VMs that it doesn't have are missing indeed. */
+    /* The delay is counted from the node's start: a node that becomes the leader
+     * later already knows the list, and orders missing VMs at once. */
     if (!token || !routes || !rk_sync_ready(o->n->sync) ||
         rk_mono_ms() - o->n->started_ms < START_DELAY_MS)
         return;
--- a/node/remember.c
+++ b/node/remember.c
@@ -38,7 +38,7 @@
 #define READ_RETRY_MS 300
 
 /* An object of the store with persisted state. */
-struct object {
+struct persisted_object {
     struct rk_remember *m;
     const char *kind;
     int64_t interval_ms;
@@ -56,7 +56,7 @@
 
 struct rk_remember {
     struct rk_node *n;
-    struct object quotas, engines;
+    struct persisted_object quotas, engines;
     bool is_read;   /* quotas has been read, or can't be */
     bool is_leader; /* as of the current write */
     /* Counts of windows as the store's object had them last, and the wall time of
@@ -99,31 +99,31 @@
 }
 
 /* Counts of one window and of the previous one. */
-struct counts {
+struct window_counts {
     int64_t window;
-    struct rk_tally now, before;
+    struct rk_tally totals, previous;
 };
 
 /* Returns the expected number of an organisation's calls in a window at the time of
  * a kill. In the current window, calls are taken to continue at their mean rate
  * since the start of the previous one, for the age of the counts received here and
  * half of the interval between writes. */
-static double expected_count(const struct rk_node *n, const struct counts *c,
+static double expected_count(const struct rk_node *n, const struct window_counts *c,
                              const char *org)
 {
     int64_t size_ms = rk_s_to_ms(n->file.usage_window_s), wall_ms = rk_wall_ms();
-    double count = rk_tally_total(&c->now, org);
+    double count = rk_tally_total(&c->totals, org);
     if (c->window != wall_ms / size_ms)
         return count;
-    double before = rk_tally_total(&c->before, org);
+    double previous = rk_tally_total(&c->previous, org);
     double passed_ms = (double)(size_ms + wall_ms % size_ms);
     double lag_ms =
         (double)rk_mesh_usage_lag_ms(n->mesh) + QUOTAS_INTERVAL_MS / 2.0;
-    return floor(count + (count + before) * lag_ms / passed_ms);
+    return floor(count + (count + previous) * lag_ms / passed_ms);
 }
 
 /* Appends a window's counts as a member. Returns false if all of them are 0. */
-static bool append_window(const struct rk_node *n, const struct counts *c,
+static bool append_window(const struct rk_node *n, const struct window_counts *c,
                           struct rk_buf *b)
 {
     const struct rk_routes *routes = rk_sync_routes(n->sync);
@@ -147,18 +147,18 @@
 static bool append_windows(const struct rk_node *n, struct rk_buf *b)
 {
     int64_t current = rk_wall_ms() / rk_s_to_ms(n->file.usage_window_s);
-    struct counts c = {.window = current - USAGE_WINDOWS};
+    struct window_counts c = {.window = current - USAGE_WINDOWS};
     bool any = false;
-    rk_usage_sums(&n->usage, c.window, &c.now);
+    rk_usage_sums(&n->usage, c.window, &c.totals);
     for (int i = 0; i < USAGE_WINDOWS; i++) {
-        rk_tally_free(&c.before);
-        c = (struct counts){.window = c.window + 1, .before = c.now};
-        rk_usage_sums(&n->usage, c.window, &c.now);
+        rk_tally_free(&c.previous);
+        c = (struct window_counts){.window = c.window + 1, .previous = c.totals};
+        rk_usage_sums(&n->usage, c.window, &c.totals);
         rk_buf_addstr(b, i ? "," : "");
         any = append_window(n, &c, b) || any;
     }
-    rk_tally_free(&c.before);
-    rk_tally_free(&c.now);
+    rk_tally_free(&c.previous);
+    rk_tally_free(&c.totals);
     return any;
 }
 
@@ -189,8 +189,7 @@
     return rk_json_int(spec, "usage_wall_ms", rk_json_int(spec, "wall_ms", 0));
 }
 
-/* Copies the store's counts, for the case that this node has to act for a leader.
- */
+/* Copies the store's counts, for when this node has to act for the leader. */
 static void copy_usage(struct rk_remember *m, struct json_object *spec)
 {
     struct json_object *usage = rk_json_get(spec, "usage");
@@ -218,7 +217,7 @@
     struct rk_tally demand = {0};
     struct rk_buf demand_text = {0};
     bool any = false;
-    /* After a restart, an incomplete history would be taken for a complete one. */
+    /* After a restart, persisted usage is taken to be complete. */
     if (!rk_sync_routes(n->sync) || !n->report || !n->report->knows_all)
         return false;
     rk_mesh_add_asking(n->mesh, &demand);
@@ -275,7 +274,7 @@
 static void on_object_written(void *ctx, enum rk_status st,
                               const struct rk_store_object *o)
 {
-    struct object *p = ctx;
+    struct persisted_object *p = ctx;
     p->busy = false;
     if ((st == RK_OK || st == RK_ECONFLICT) && o)
         p->revision = o->revision;
@@ -289,7 +288,7 @@
         copy_usage(p->m, o->spec);
 }
 
-static void write_object(struct object *p)
+static void write_object(struct persisted_object *p)
 {
     struct rk_store *store = p->m->n->store;
     int64_t now_ms = rk_mono_ms();
@@ -415,7 +414,7 @@
 static void on_object_read(void *ctx, enum rk_status st,
                            const struct rk_store_object *o)
 {
-    struct object *p = ctx;
+    struct persisted_object *p = ctx;
     if (st == RK_OK && o) {
         p->revision = o->revision;
         p->restore(p->m, o->spec);
@@ -436,7 +435,7 @@
 
 static void read_object(void *ctx)
 {
-    struct object *p = ctx;
+    struct persisted_object *p = ctx;
     p->m->n->store->ops->read(p->m->n->store, p->kind, OBJECT_NAME, p->allow_stale,
                               on_object_read, p);
 }
@@ -453,17 +452,17 @@
 {
     struct rk_remember *m = rk_alloc(1, sizeof(*m));
     m->n = n;
-    m->quotas = (struct object){.m = m,
-                                .kind = QUOTAS_KIND,
-                                .interval_ms = QUOTAS_INTERVAL_MS,
-                                .build = build_quotas,
-                                .restore = restore_quotas};
-    m->engines = (struct object){.m = m,
-                                 .kind = ENGINES_KIND,
-                                 .interval_ms = ENGINES_INTERVAL_MS,
-                                 .allow_stale = true,
-                                 .build = build_engines,
-                                 .restore = restore_engines};
+    m->quotas = (struct persisted_object){.m = m,
+                                          .kind = QUOTAS_KIND,
+                                          .interval_ms = QUOTAS_INTERVAL_MS,
+                                          .build = build_quotas,
+                                          .restore = restore_quotas};
+    m->engines = (struct persisted_object){.m = m,
+                                           .kind = ENGINES_KIND,
+                                           .interval_ms = ENGINES_INTERVAL_MS,
+                                           .allow_stale = true,
+                                           .build = build_engines,
+                                           .restore = restore_engines};
     m->quotas.retry = (struct rk_timer){.fn = read_object, .ctx = &m->quotas};
     m->engines.retry = (struct rk_timer){.fn = read_object, .ctx = &m->engines};
     return m;
--- a/node/report.c
+++ b/node/report.c
@@ -112,7 +112,7 @@
     return last ? last->read_tokens : 0;
 }
 
-/* Adds tokens that a member's engines have read since its last report. */
+/* Adds the prompt tokens that engines read for a member since its last report. */
 static void add_read_tokens(struct member *k, const char *service, double increase)
 {
     struct rk_mesh *m = k->m;
--- a/node/report_uses.c
+++ b/node/report_uses.c
@@ -1,7 +1,7 @@
 /* Quota usage in node reports. In a large fleet a node reports to the bridges of
- * its domain, and sends only the rows that changed unless a bridge is new. Its
- * quota history, that is the use by all nodes within the window, is added when a
- * bridge requests it: one that has restarted and has a shorter history itself. */
+ * its domain. It sends only the rows that changed, unless a bridge is new or lacks
+ * rows. A bridge that has restarted requests the quota history of another node: the
+ * use by all nodes within the quota's window. */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -92,6 +92,7 @@
     return 0;
 }
 
+/* Adds units that a member used to the sums for the relay and for digests. */
 static void count_use(struct member *k, const char *org, double increase)
 {
     struct rk_mesh *m = k->m;
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -120,8 +120,9 @@
     return rule && rule->phase < RK_ROLLOUT_TAKEN ? rule : NULL;
 }
 
+/* first_revision: the store's revision at which the VM was first seen. */
 static bool is_blocked(struct rk_rollouts *r, const struct rk_vm_row *row,
-                       int64_t since)
+                       int64_t first_revision)
 {
     const struct serving *s = find_serving(r, row->service);
     const struct rk_rollout_rule *rule =
@@ -132,7 +133,7 @@
         return rule->phase == RK_ROLLOUT_GIVEN_BACK;
     /* If no order for the service was there when the VM appeared, the platform has
      * replaced the version itself, and the VM may be used. */
-    return rule || r->announcement.known_at < since;
+    return rule || r->announcement.known_at < first_revision;
 }
 
 void rk_rollouts_mark(struct rk_rollouts *r, struct rk_vm_row *rows,
@@ -219,7 +220,7 @@
 {
     bool changed = r->announcement.epoch != announcement->epoch ||
                    !same_rules(&r->announcement, announcement);
-    bool known = announcement->known_at != r->marked_revision;
+    bool revision_changed = announcement->known_at != r->marked_revision;
     r->announcement = *announcement;
     r->marked_revision = announcement->known_at;
     if (changed) {
@@ -227,7 +228,7 @@
         r->relay_updated = false;
     }
     update_relay(r);
-    if (changed || (known && r->any_blocked))
+    if (changed || (revision_changed && r->any_blocked))
         rk_sync_publish(r->n->sync);
 }
 
@@ -271,9 +272,9 @@
         set_announcement(r, &announcement, "store");
 }
 
-/* Reads the state of a rollout in progress when there were no announcements for
- * long. A node that is cut off from its peers, but not from the store, learns by
- * this whether the old VMs are gone. */
+/* Reads the state of a rollout in progress if there were no announcements for long.
+ * A node that is cut off from its peers but not from the store thus learns whether
+ * the rollout was committed and the old VMs are gone. */
 static void query_store(struct rk_rollouts *r)
 {
     int64_t now_ms = rk_mono_ms();
--- a/node/rollouts_hold.c
+++ b/node/rollouts_hold.c
@@ -127,9 +127,10 @@
         apply_order(r, &objects[i]);
 }
 
+/* Only the watches of settings and VMs track how fresh the store's answers are. */
 static void on_orders_answered(void *ctx)
 {
-    (void)ctx; /* the age of the orders is not tracked */
+    (void)ctx;
 }
 
 /* ---- the time of an order ---- */
@@ -225,7 +226,7 @@
 }
 
 /* Counts the VMs of both versions, and the calls in flight at the old ones. */
-static void fill_input(const struct rollout_run *run, struct rk_rollout_view *v)
+static void fill_input(const struct rollout_run *run, struct rk_rollout_view *in)
 {
     const struct rk_node *n = run->r->n;
     const struct rk_rollout_order *order = &run->rollout.order;
@@ -234,37 +235,37 @@
         n->report ? rk_rollout_seen_of(n->report->trials, n->report->trials_len,
                                        order->service, order->version)
                   : NULL;
-    v->old_running = own ? own->old_running : 1; /* not 0 before it is known */
+    in->old_running = own ? own->old_running : 1; /* not 0 before it is known */
     char domains[RK_HOLDING_DOMAINS][RK_ID_MAX];
     for (size_t i = 0; (row = rk_sync_vm_at(n->sync, i)); i++) {
         if (strcmp(row->service, order->service) != 0)
             continue;
         bool is_new = !strcmp(row->version, order->version);
-        v->old_vms += !is_new && !row->leaving;
+        in->old_vms += !is_new && !row->leaving;
         if (!is_new || row->leaving)
             continue;
-        v->new_vms++;
+        in->new_vms++;
         size_t d = 0;
-        while (d < v->new_domains && strcmp(domains[d], row->domain) != 0)
+        while (d < in->new_domains && strcmp(domains[d], row->domain) != 0)
             d++;
-        if (d == v->new_domains && d < RK_HOLDING_DOMAINS)
-            rk_strcpy(domains[v->new_domains++], RK_ID_MAX, row->domain);
+        if (d == in->new_domains && d < RK_HOLDING_DOMAINS)
+            rk_strcpy(domains[in->new_domains++], RK_ID_MAX, row->domain);
     }
 }
 
 static void step_run(struct rollout_run *run)
 {
-    struct rk_rollout_seen *seen = rk_alloc(1, sizeof(*seen));
-    rk_strcpy(seen->service, sizeof(seen->service), run->rollout.order.service);
-    rk_strcpy(seen->version, sizeof(seen->version), run->rollout.order.version);
-    rk_mesh_add_trials(run->r->n->mesh, seen);
-    struct rk_rollout_view view = {.now_ms = rk_mono_ms(), .seen = &seen->rows};
-    fill_input(run, &view);
+    struct rk_rollout_seen *stats = rk_alloc(1, sizeof(*stats));
+    rk_strcpy(stats->service, sizeof(stats->service), run->rollout.order.service);
+    rk_strcpy(stats->version, sizeof(stats->version), run->rollout.order.version);
+    rk_mesh_add_trials(run->r->n->mesh, stats);
+    struct rk_rollout_view input = {.now_ms = rk_mono_ms(), .seen = &stats->rows};
+    fill_input(run, &input);
     enum rk_rollout_phase old_phase = run->rollout.rule.phase;
-    rk_rollout_step(&run->rollout, &view);
+    rk_rollout_step(&run->rollout, &input);
     if (run->rollout.rule.phase != old_phase)
         log_phase(&run->rollout);
-    free(seen);
+    free(stats);
 }
 
 static void on_state_recorded(void *ctx, enum rk_status st,
--- a/node/rollouts_impl.h
+++ b/node/rollouts_impl.h
@@ -24,8 +24,7 @@
     struct rk_rollout rollout;
 };
 
-/* The version that serves a service: the first one seen or the last one committed.
- */
+/* The version that serves a service: the first seen or the last committed one. */
 struct serving {
     char service[RK_ID_MAX];
     char version[RK_VERSION_TEXT];
@@ -34,7 +33,7 @@
 
 struct rk_rollouts {
     struct rk_node *n;
-    struct rk_follow orders;
+    struct rk_follow orders; /* the watch of orders; on at the leader only */
     bool is_leader;
     int64_t epoch; /* of this node's lease */
     struct rollout_run runs[RK_ROLLOUTS];
--- a/node/sync.c
+++ b/node/sync.c
@@ -1,15 +1,14 @@
 /* Settings and the VM list. A few nodes of each failure domain watch them in the
  * store and send the changes to the others; a node that gets none watches the store
- * itself. This file decides whether to watch, tracks how old the known state is,
- * and exchanges it with peers. */
+ * itself. This file decides whether to watch, tracks the age of settings and list,
+ * and exchanges both with peers. */
 #include <stdlib.h>
 
 #include "common/eventlog.h"
 #include "core/following.h"
 #include "node/sync_impl.h"
 
-/* In a large fleet, least time from a watch that brought changes to the next one.
- */
+/* In a large fleet, least time from an answer with changes to the next watch. */
 #define WATCH_INTERVAL_MS 200
 /* The same at a node without the list of nodes: longer than the time until it
  * decides again whether it should watch. */
@@ -62,8 +61,7 @@
 }
 
 /* Notes a settings version that a peer reported. If it is newer, this node is
- * behind until it has that version itself, even if other peers report older ones.
- */
+ * behind until it has that version, even if other peers report older ones. */
 static void note_reported_version(struct rk_sync *s, int64_t version)
 {
     if (version > s->newest_reported)
--- a/node/sync_impl.h
+++ b/node/sync_impl.h
@@ -19,9 +19,8 @@
     char *text;             /* JSON contents, for peers */
     int64_t revision;       /* in the store */
     int64_t first_revision; /* at which this incarnation of the VM was first seen */
-    /* If the entry expired in the store: the VM is used until then. 0: it did not.
-     */
-    int64_t grace_until_ms;
+    int64_t
+        grace_until_ms; /* the entry expired, its VM is used until then; 0: no */
     bool needs_publish; /* the relay lacks the current row */
     struct rk_vm_row row;
 };
--- a/node/sync_list.c
+++ b/node/sync_list.c
@@ -265,7 +265,7 @@
     if (s->gap_to > from && s->gap_from < from)
         from = s->gap_from; /* the gaps overlap, so they become one */
     else if (s->gap_to > s->removed_since)
-        s->removed_since = s->gap_to;
+        s->removed_since = s->gap_to; /* only one gap is kept */
     s->gap_from = from;
     s->gap_to = to;
 }
@@ -299,8 +299,9 @@
     rk_mesh_report(s->n->mesh);
 }
 
-/* Returns the revision up to which an answer of the store tells all changes of the
- * list. A removal may have no revision of its own; the answer's counts then. */
+/* Returns the revision up to which an answer of the store covers all changes of the
+ * list. For a removal, which may have no revision of its own, it is the answer's.
+ */
 static int64_t known_revision(const struct rk_store_object *objects, size_t len,
                               bool all, int64_t store_revision)
 {
--- a/node/sync_publish.c
+++ b/node/sync_publish.c
@@ -24,7 +24,7 @@
 
 /* Notes an update of the relay. If its queue was full, the next update has the
  * whole list. */
-static void note_update(struct rk_sync *s, bool queued)
+static void note_relay_update(struct rk_sync *s, bool queued)
 {
     s->published = queued;
     s->unsent_removed_len = 0;
@@ -43,7 +43,7 @@
     }
     rk_rollouts_mark(s->n->rollouts, rows, first_revisions, s->entries_len);
     free(first_revisions);
-    note_update(s, rk_relay_set_vms(s->n->relay, rows, s->entries_len));
+    note_relay_update(s, rk_relay_set_vms(s->n->relay, rows, s->entries_len));
 }
 
 static size_t take_changes(struct rk_sync *s, struct rk_vm_row **rows)
@@ -74,6 +74,6 @@
     char(*removed)[RK_ID_MAX] = rk_alloc(removed_len + 1, sizeof(*removed));
     if (removed_len)
         memcpy(removed, s->unsent_removed, removed_len * sizeof(*removed));
-    note_update(s,
-                rk_relay_change_vms(s->n->relay, rows, len, removed, removed_len));
+    note_relay_update(
+        s, rk_relay_change_vms(s->n->relay, rows, len, removed, removed_len));
 }
