--- a/objects/objects.c
+++ b/objects/objects.c
@@ -17,7 +17,7 @@
     char base[RK_ADDR_MAX * 2];
 };
 
-/* One call under way; freed when it ends. */
+/* A call in flight; one of the callbacks is set. */
 struct op {
     rk_object_read_fn *on_read;
     rk_object_list_fn *on_list;
@@ -39,7 +39,7 @@
     free(o);
 }
 
-static void end_list(struct op *op, const struct rk_rest_answer *answer)
+static void finish_list(struct op *op, const struct rk_rest_answer *answer)
 {
     enum rk_status st = answer->status;
     struct json_object *array =
@@ -47,15 +47,16 @@
     if (st == RK_OK && !json_object_is_type(array, json_type_array))
         st = RK_EPROTO;
     size_t len = st == RK_OK ? json_object_array_length(array) : 0;
-    struct rk_object *os = rk_alloc(len + 1, sizeof(*os));
+    struct rk_object *objects = rk_alloc(len + 1, sizeof(*objects));
     for (size_t i = 0; i < len; i++) {
         struct json_object *row = json_object_array_get_idx(array, i);
-        rk_strcpy(os[i].name, sizeof(os[i].name), rk_json_str(row, "name"));
-        os[i].version = rk_json_int(row, "version", 0);
-        os[i].value = rk_json_str(row, "value");
+        rk_strcpy(objects[i].name, sizeof(objects[i].name),
+                  rk_json_str(row, "name"));
+        objects[i].version = rk_json_int(row, "version", 0);
+        objects[i].value = rk_json_str(row, "value");
     }
-    op->on_list(op->ctx, st, os, len, answer->revision);
-    free(os);
+    op->on_list(op->ctx, st, objects, len, answer->revision);
+    free(objects);
     json_object_put(array);
 }
 
@@ -65,7 +66,7 @@
     if (op->on_write) {
         op->on_write(op->ctx, answer->status, answer->version);
     } else if (op->on_list) {
-        end_list(op, answer);
+        finish_list(op, answer);
     } else {
         struct rk_object o = {.version = answer->version, .value = answer->body};
         rk_strcpy(o.name, sizeof(o.name), op->name);
@@ -117,15 +118,16 @@
     get(o, op, url, wait_ms);
 }
 
-void rk_objects_write(struct rk_objects *o, const char *name, int64_t expect,
-                      const char *value, rk_object_write_fn *fn, void *ctx)
+void rk_objects_write(struct rk_objects *o, const char *name,
+                      int64_t expected_version, const char *value,
+                      rk_object_write_fn *fn, void *ctx)
 {
     struct op *op = rk_alloc(1, sizeof(*op));
     *op = (struct op){.on_write = fn, .ctx = ctx};
     char url[URL_MAX], match[64];
     snprintf(url, sizeof(url), "%s/objects/%s", o->base, name);
-    if (expect)
-        snprintf(match, sizeof(match), "If-Match: %" PRId64, expect);
+    if (expected_version)
+        snprintf(match, sizeof(match), "If-Match: %" PRId64, expected_version);
     else
         snprintf(match, sizeof(match), "If-None-Match: *");
     const struct rk_rest_call call = {
--- a/objects/objects.h
+++ b/objects/objects.h
@@ -1,6 +1,7 @@
-/* Client of the platform's object API, and of what else the platform shows by
- * versions and waiting watches. Thin: names, versions, values in; status out.
- * The dialect lives here and nowhere else. Loop thread only. */
+/* Client of the platform's object API: reads, lists, watches and conditionally
+ * writes named, versioned objects. Only this module knows the API's URLs and
+ * headers. Calls are asynchronous; a callback runs exactly once, never before the
+ * call returns. Loop thread only. */
 #ifndef RK_OBJECTS_OBJECTS_H
 #define RK_OBJECTS_OBJECTS_H
 
@@ -12,40 +13,51 @@
 struct rk_http;
 struct rk_objects;
 
-#define RK_OBJECT_NAME_MAX 160
+#define RK_OBJECT_NAME_MAX 160 /* bytes, with the terminating NUL */
 
 struct rk_object {
     char name[RK_OBJECT_NAME_MAX];
     int64_t version;
-    const char *value; /* valid during the callback */
+    const char *value; /* valid during the callback only */
 };
 
-/* Ends of calls. RK_EUNKNOWN: the call may have taken effect; RK_EUNAVAILABLE:
- * it did not. */
+/* Results of the calls below. RK_EUNAVAILABLE: the call took no effect.
+ * RK_EUNKNOWN: it may have taken effect. */
+
+/* o is never NULL. RK_ENOTFOUND: there is no such object. */
 typedef void rk_object_read_fn(void *ctx, enum rk_status st,
                                const struct rk_object *o);
+/* objects is valid during the callback only; revision is the one to watch from. */
 typedef void rk_object_list_fn(void *ctx, enum rk_status st,
-                               const struct rk_object *os, size_t len,
+                               const struct rk_object *objects, size_t len,
                                int64_t revision);
+/* version is the object's new version if st is RK_OK. */
 typedef void rk_object_write_fn(void *ctx, enum rk_status st, int64_t version);
 
-/* base: "http://ip:port" */
+/* base is the API's URL, "http://ip:port"; it is copied. http is borrowed. */
 struct rk_objects *rk_objects_create(struct rk_http *http, const char *base);
+
+/* Frees the client. Calls in flight are not cancelled; they do not use it. */
 void rk_objects_destroy(struct rk_objects *o);
 
+/* Reads one object. */
 void rk_objects_read(struct rk_objects *o, const char *name, rk_object_read_fn *fn,
                      void *ctx);
 
-/* All objects under a prefix, after a name ("" for all), in order of names. */
+/* Lists the objects under a prefix in order of their names, from the first name
+ * that sorts behind after ("" lists all). */
 void rk_objects_list(struct rk_objects *o, const char *prefix, const char *after,
                      rk_object_list_fn *fn, void *ctx);
 
-/* Wait until something under the prefix changes after a revision. */
+/* Waits up to wait_ms for objects under a prefix that changed after the revision
+ * since, and reports those. */
 void rk_objects_watch(struct rk_objects *o, const char *prefix, int64_t since,
                       int64_t wait_ms, rk_object_list_fn *fn, void *ctx);
 
-/* expect 0: only if absent. RK_ECONFLICT when another version is there. */
-void rk_objects_write(struct rk_objects *o, const char *name, int64_t expect,
-                      const char *value, rk_object_write_fn *fn, void *ctx);
+/* Writes an object if its version is still expected_version, or if it does not
+ * exist and expected_version is 0. RK_ECONFLICT: the condition does not hold. */
+void rk_objects_write(struct rk_objects *o, const char *name,
+                      int64_t expected_version, const char *value,
+                      rk_object_write_fn *fn, void *ctx);
 
 #endif
--- a/objects/store.h
+++ b/objects/store.h
@@ -1,7 +1,7 @@
-/* The platform's store of objects, as the product asks of it: named objects of a
- * kind, each with a revision that rises with every change, read and watched, and
- * written under a condition. A driver of the platform's dialect fills the
- * operations. Loop thread only. */
+/* Interface to the platform's object store: named objects of a kind, each with a
+ * revision that rises with every change. Objects are read, watched, and written on
+ * condition of their revision. A platform driver implements the operations. Loop
+ * thread only. */
 #ifndef RK_OBJECTS_STORE_H
 #define RK_OBJECTS_STORE_H
 
@@ -14,54 +14,66 @@
 struct json_object;
 struct rk_store;
 
+/* An object as the store returned it; valid during the callback only. */
 struct rk_store_object {
     const char *name;
     int64_t revision;
-    bool gone;                  /* of a watch: it was removed */
-    struct json_object *spec;   /* its contents, borrowed; may be NULL */
-    struct json_object *status; /* what became of it, the same way */
+    bool gone;                  /* the object was removed; set by watches only */
+    struct json_object *spec;   /* desired state; borrowed, may be NULL */
+    struct json_object *status; /* reported state; borrowed, may be NULL */
 };
 
-/* Each callback comes exactly once, never before the call returned. Statuses:
- * RK_EUNAVAILABLE: nothing was done; RK_EUNKNOWN: it may have been done, or be
- * done later; RK_EGONE: the history asked for is forgotten; RK_ECONFLICT,
- * RK_ENOTFOUND. at: the store's revision that the answer is true of. */
+/* Results of the operations below. Each callback runs exactly once, never before
+ * the call returns.
+ * RK_EUNAVAILABLE: the call took no effect.
+ * RK_EUNKNOWN: the call may have taken effect, or may do so later.
+ * RK_EGONE: the store no longer has the requested history.
+ * RK_ECONFLICT: the condition of a write does not hold.
+ * RK_ENOTFOUND: there is no such object. */
+
+/* at is the store's revision that the list reflects. */
 typedef void rk_store_list_fn(void *ctx, enum rk_status st,
                               const struct rk_store_object *objects, size_t len,
                               int64_t at);
-/* object: as it is now, also with RK_ECONFLICT; NULL when not told. */
+/* object is the current object, with RK_ECONFLICT, too; NULL if the response does
+ * not contain it. */
 typedef void rk_store_one_fn(void *ctx, enum rk_status st,
                              const struct rk_store_object *object);
 
 struct rk_store_ops {
-    /* stale: an answer that is seconds old will do, and costs the store less. */
+    /* Lists all objects of a kind. stale accepts a result that is seconds old,
+     * which costs the store less. */
     void (*list)(struct rk_store *s, const char *kind, bool stale,
                  rk_store_list_fn *fn, void *ctx);
-    /* Changes after a revision, as soon as there are any; empty after wait_ms. */
+    /* Reports changes after the revision since, as soon as there are any; reports
+     * an empty list after wait_ms without a change. */
     void (*watch)(struct rk_store *s, const char *kind, int64_t since,
                   int64_t wait_ms, rk_store_list_fn *fn, void *ctx);
+    /* Reads one object. stale: as for list. */
     void (*read)(struct rk_store *s, const char *kind, const char *name, bool stale,
                  rk_store_one_fn *fn, void *ctx);
-    /* Conflict if it is there. spec: JSON text. */
+    /* Creates an object from spec, a JSON text. RK_ECONFLICT: it exists. */
     void (*create)(struct rk_store *s, const char *kind, const char *name,
                    const char *spec, rk_store_one_fn *fn, void *ctx);
-    /* Conflict if its revision is another. */
+    /* Replaces the spec. RK_ECONFLICT: the object has another revision. */
     void (*replace)(struct rk_store *s, const char *kind, const char *name,
                     int64_t revision, const char *spec, rk_store_one_fn *fn,
                     void *ctx);
-    /* Replaces only what became of it. Conflict if its revision is another. */
+    /* Replaces only the status. RK_ECONFLICT: the object has another revision. */
     void (*replace_status)(struct rk_store *s, const char *kind, const char *name,
                            int64_t revision, const char *status,
                            rk_store_one_fn *fn, void *ctx);
+    /* Removes the object, whatever its revision. */
     void (*remove)(struct rk_store *s, const char *kind, const char *name,
                    rk_store_one_fn *fn, void *ctx);
     void (*destroy)(struct rk_store *s);
 };
 
+/* Base of a platform driver's own struct. */
 struct rk_store {
     const struct rk_store_ops *ops;
-    /* While a callback runs: when the first byte of its answer came; 0: none did.
-     */
+    /* While a callback runs: the monotonic time at which the first byte of its
+     * response arrived, or 0 if none did. */
     int64_t began_ms;
 };
 
--- a/vmlist/vmlist.c
+++ b/vmlist/vmlist.c
@@ -12,12 +12,13 @@
 
 #define URL_MAX 256
 
+/* A call in flight. */
 struct op {
     rk_vmlist_fn *fn;
     void *ctx;
 };
 
-/* A state by its name in the platform's dialect. */
+/* Maps the platform's name of a state; an unknown one counts as gone. */
 static enum rk_vm_state parse_state(const char *s)
 {
     if (!strcmp(s, "live"))
--- a/vmlist/vmlist.h
+++ b/vmlist/vmlist.h
@@ -1,5 +1,6 @@
-/* Client of the platform's VM list: which upstream vms live and which are
- * leaving. It lags; core/members.h guards against what that could undo. */
+/* Client of the platform's VM list: which upstream VMs are live and which are
+ * leaving. The list lags behind reclaim notices; the merge rules of core/members.h
+ * keep an outdated row from making a leaving VM live again. */
 #ifndef RK_VMLIST_VMLIST_H
 #define RK_VMLIST_VMLIST_H
 
@@ -11,11 +12,14 @@
 
 struct rk_http;
 
+/* Receives the changed rows, valid during the callback only, and the revision to
+ * continue from. len is 0 unless st is RK_OK. */
 typedef void rk_vmlist_fn(void *ctx, enum rk_status st, const struct rk_vm *vms,
                           size_t len, int64_t revision);
 
-/* Wait for rows changed after a revision (-1: all rows, at once). fn is called
- * once. Loop thread only. */
+/* Waits up to wait_ms for rows that changed after the revision since; -1 requests
+ * all rows at once. base is the platform's URL, "http://ip:port". fn is called
+ * exactly once, after this returns. Loop thread only. */
 void rk_vmlist_watch(struct rk_http *http, const char *base, int64_t since,
                      int64_t wait_ms, rk_vmlist_fn *fn, void *ctx);
 
