--- a/operators/session.c
+++ b/operators/session.c
@@ -13,10 +13,10 @@
 #include "common/util.h"
 #include "objects/objects.h"
 
-#define WRITE_TRIES 5
-#define RACE_TRIES  64 /* lost races against unrelated changes */
-#define STEP_MS     1000
-#define URL_MAX     256
+#define WRITE_TRIES    5
+#define CONFLICT_TRIES 64 /* conflicts with changes of other paths */
+#define LOOP_STEP_MS   1000
+#define URL_MAX        256
 
 struct rk_session {
     struct rk_loop *loop;
@@ -24,9 +24,9 @@
     struct rk_objects *objects;
     struct rk_changelog *log;
     struct rk_rng rng;
-    /* The answer being waited for. */
+    /* Result of the call in flight. */
     bool done;
-    enum rk_status st;
+    enum rk_status status;
     char *value;
 };
 
@@ -60,14 +60,15 @@
     return s->log;
 }
 
-static enum rk_status wait_done(struct rk_session *s)
+/* Runs the loop until the call in flight has ended. */
+static enum rk_status wait_for_result(struct rk_session *s)
 {
     while (!s->done)
-        rk_loop_step(s->loop, STEP_MS);
-    return s->st;
+        rk_loop_step(s->loop, LOOP_STEP_MS);
+    return s->status;
 }
 
-static void begin(struct rk_session *s)
+static void clear_result(struct rk_session *s)
 {
     s->done = false;
     free(s->value);
@@ -79,36 +80,38 @@
 static void on_read(void *ctx, enum rk_status st, const struct rk_object *o)
 {
     struct rk_session *s = ctx;
-    s->st = st;
+    s->status = st;
     s->value = rk_strdup(o->value);
     s->done = true;
 }
 
 static enum rk_status read_object(struct rk_session *s, const char *name)
 {
-    begin(s);
+    clear_result(s);
     rk_objects_read(s->objects, name, on_read, s);
-    return wait_done(s);
+    return wait_for_result(s);
 }
 
-static void on_list(void *ctx, enum rk_status st, const struct rk_object *os,
+static void on_list(void *ctx, enum rk_status st, const struct rk_object *objects,
                     size_t len, int64_t revision)
 {
     (void)revision;
     struct rk_session *s = ctx;
-    s->st = st;
+    s->status = st;
     for (size_t i = 0; i < len; i++)
-        rk_changelog_take(s->log, rk_change_number(os[i].name), os[i].value);
+        rk_changelog_take(s->log, rk_change_number(objects[i].name),
+                          objects[i].value);
     s->done = true;
 }
 
+/* Reads the changes behind the log's head. */
 static enum rk_status read_changes(struct rk_session *s)
 {
     char after[RK_CHANGE_NAME_MAX];
     rk_change_name(after, rk_changelog_head(s->log));
-    begin(s);
+    clear_result(s);
     rk_objects_list(s->objects, RK_CHANGES_PREFIX, after, on_list, s);
-    if (wait_done(s) != RK_OK)
+    if (wait_for_result(s) != RK_OK)
         return rk_fail(RK_EUNAVAILABLE, "the platform doesn't answer");
     return RK_OK;
 }
@@ -129,10 +132,11 @@
 {
     (void)version;
     struct rk_session *s = ctx;
-    s->st = st;
+    s->status = st;
     s->done = true;
 }
 
+/* Returns whether a change's text has the id. */
 static bool has_id(const char *change, const char *id)
 {
     struct json_object *o = json_tokener_parse(change), *v;
@@ -142,29 +146,31 @@
     return same;
 }
 
-/* Create change n. RK_ECONFLICT: n is somebody else's (its text in s->value).
- * An answer that was lost is settled by reading n back. */
+/* Creates change n. Returns RK_ECONFLICT if n is another author's change, whose
+ * text is then in s->value. If the response to the write was lost, reading n back
+ * tells whether it took effect. */
 static enum rk_status write_change(struct rk_session *s, int64_t n,
                                    const char *text, const char *id)
 {
     char name[RK_CHANGE_NAME_MAX];
     rk_change_name(name, n);
-    bool maybe = false; /* an earlier write of ours may have stood */
+    bool may_be_written = false; /* an earlier try may have taken effect */
     for (int i = 0; i < WRITE_TRIES; i++) {
-        begin(s);
+        clear_result(s);
         rk_objects_write(s->objects, name, 0, text, on_written, s);
-        enum rk_status st = wait_done(s);
+        enum rk_status st = wait_for_result(s);
         if (st == RK_OK)
             return RK_OK;
-        maybe = maybe || st == RK_EUNKNOWN;
+        may_be_written = may_be_written || st == RK_EUNKNOWN;
         if (st == RK_EUNAVAILABLE)
             continue;
         st = read_object(s, name);
         if (st == RK_OK)
             return has_id(s->value, id) ? RK_OK : RK_ECONFLICT;
-        /* A read may be stale: absent proves nothing, the same write is safe. */
+        /* A read may be stale, so absence proves nothing. Repeating the write is
+         * safe. */
     }
-    return maybe ? RK_EUNKNOWN : RK_EUNAVAILABLE;
+    return may_be_written ? RK_EUNKNOWN : RK_EUNAVAILABLE;
 }
 
 static char *change_text(const char *id, const char *author, int64_t base,
@@ -178,9 +184,9 @@
     return b.data;
 }
 
-/* Check the change on the newest tree known; see whether it still applies. */
-static enum rk_status check(const struct rk_session *s, const char *text,
-                            struct rk_problems *problems)
+/* Validates the change against the newest tree known. */
+static enum rk_status validate(const struct rk_session *s, const char *text,
+                               struct rk_problems *problems)
 {
     struct rk_settings *tree;
     enum rk_status st =
@@ -199,8 +205,8 @@
              rk_rng_next(&s->rng) ^ (uint64_t)rk_wall_ms());
     char *text = change_text(id, author, rk_changelog_head(s->log), set);
     enum rk_status st = RK_ECONFLICT;
-    for (int i = 0; i < RACE_TRIES && st == RK_ECONFLICT; i++) {
-        st = check(s, text, problems);
+    for (int i = 0; i < CONFLICT_TRIES && st == RK_ECONFLICT; i++) {
+        st = validate(s, text, problems);
         if (st != RK_OK)
             break;
         *number = rk_changelog_head(s->log) + 1;
@@ -216,7 +222,9 @@
         }
     }
     if (st == RK_EUNKNOWN)
-        rk_fail(st, "it may have been accepted as change %" PRId64 ", id %s",
+        rk_fail(st,
+                "no response: the change may have been accepted as change %" PRId64
+                ", id %s",
                 *number, id);
     else if (st == RK_EUNAVAILABLE)
         rk_fail(st, "the platform can't be reached; nothing was changed");
@@ -226,6 +234,7 @@
 
 /* ---- difference of two trees ---- */
 
+/* Appends a path and its value, or null if v is NULL, to a JSON object. */
 static void add_path(struct rk_buf *out, const char *path, struct json_object *v)
 {
     rk_buf_addstr(out, out->len > 1 ? "," : "");
@@ -233,17 +242,18 @@
     rk_buf_printf(out, ":%s", v ? json_object_to_json_string(v) : "null");
 }
 
+/* Appends what turns the node from into the node to; path is that of both. */
 static void diff_node(const char *path, struct json_object *from,
                       struct json_object *to, struct rk_buf *out)
 {
     char sub[RK_SETTING_PATH_MAX];
     struct json_object *other;
-    json_object_object_foreach(from, gone, old)
+    json_object_object_foreach(from, removed, old)
     {
         (void)old;
-        if (json_object_object_get_ex(to, gone, &other))
+        if (json_object_object_get_ex(to, removed, &other))
             continue;
-        snprintf(sub, sizeof(sub), "%s/%s", path, gone);
+        snprintf(sub, sizeof(sub), "%s/%s", path, removed);
         add_path(out, sub, NULL);
     }
     json_object_object_foreach(to, key, v)
@@ -270,10 +280,10 @@
 
 /* ---- pages ---- */
 
-static void on_page(void *ctx, const struct rk_rest_answer *a)
+static void on_page_read(void *ctx, const struct rk_rest_answer *a)
 {
     struct rk_session *s = ctx;
-    s->st = a->http_status ? RK_OK : a->status;
+    s->status = a->http_status ? RK_OK : a->status;
     s->value = rk_strdup(a->body);
     s->done = true;
 }
@@ -284,9 +294,9 @@
     char url[URL_MAX];
     snprintf(url, sizeof(url), "http://%s%s", entry, path);
     const struct rk_rest_call call = {.method = "GET", .url = url};
-    begin(s);
-    rk_rest_start(s->http, &call, on_page, s);
-    if (wait_done(s) != RK_OK)
+    clear_result(s);
+    rk_rest_start(s->http, &call, on_page_read, s);
+    if (wait_for_result(s) != RK_OK)
         return rk_fail(RK_EUNAVAILABLE, "%s doesn't answer", entry);
     *body = s->value;
     s->value = NULL;
