--- a/engines/attempt.c
+++ b/engines/attempt.c
@@ -23,15 +23,17 @@
     void *ctx;
     char request_id[RK_ID_MAX];
     struct rk_sse sse;
-    struct rk_timer silence;
-    int64_t silence_ms;
-    int64_t rest_ms; /* that the answer asks for; -1: it can't be read */
-    bool crossed, whole, unwanted;
+    struct rk_timer idle_timer;
+    int64_t idle_timeout_ms;
+    int64_t cooldown_ms; /* from Retry-After; -1: it can't be parsed */
+    bool wrong_request;  /* the response belongs to another request */
+    bool complete;       /* the end marker came */
+    bool rejected;       /* on_chunk returned false */
 };
 
 static void free_attempt(struct rk_engine_attempt *a)
 {
-    rk_timer_stop(a->loop, &a->silence);
+    rk_timer_stop(a->loop, &a->idle_timer);
     rk_sse_free(&a->sse);
     free(a);
 }
@@ -40,11 +42,12 @@
 {
     struct rk_engine_attempt *a = ctx;
     if (!strcmp(name, "x-request-id") && strcmp(value, a->request_id) != 0)
-        a->crossed = true;
+        a->wrong_request = true;
     else if (!strcmp(name, "retry-after"))
-        a->rest_ms = rk_retry_after_ms(value);
+        a->cooldown_ms = rk_retry_after_ms(value);
 }
 
+/* Handles one server-sent event. Returns false to abort the request. */
 static bool on_event(void *ctx, const char *text)
 {
     struct rk_engine_attempt *a = ctx;
@@ -52,60 +55,60 @@
     if (rk_chunk_parse(text, &chunk) != RK_OK)
         return false;
     if (chunk.done) {
-        a->whole = true;
+        a->complete = true;
         return true;
     }
     if (strcmp(chunk.id, a->request_id) != 0) {
-        a->crossed = true;
+        a->wrong_request = true;
         return false;
     }
     if (a->handlers.on_chunk(a->ctx, &chunk, text))
         return true;
-    a->unwanted = true;
+    a->rejected = true;
     return false;
 }
 
 static bool on_data(void *ctx, const char *data, size_t len)
 {
     struct rk_engine_attempt *a = ctx;
-    if (a->crossed)
+    if (a->wrong_request)
         return false;
-    rk_timer_start(a->loop, &a->silence, a->silence_ms);
+    rk_timer_start(a->loop, &a->idle_timer, a->idle_timeout_ms);
     return rk_sse_feed(&a->sse, data, len, on_event, a);
 }
 
-static void end(struct rk_engine_attempt *a, const struct rk_attempt_end *e,
-                bool whole, const char *detail)
+static void finish(struct rk_engine_attempt *a, const struct rk_attempt_end *e,
+                   bool complete, const char *detail)
 {
-    if (a->crossed)
+    if (a->wrong_request)
         rk_count(RK_C_CROSSED, 1);
-    a->handlers.on_end(a->ctx, e, whole, detail);
+    a->handlers.on_end(a->ctx, e, complete, detail);
     free_attempt(a);
 }
 
-static void on_done(void *ctx, const struct rk_http_result *res)
+static void on_http_done(void *ctx, const struct rk_http_result *res)
 {
     struct rk_engine_attempt *a = ctx;
-    bool whole =
-        !res->curl_code && res->status == HTTP_OK && a->whole && !a->crossed;
+    bool complete = !res->curl_code && res->status == HTTP_OK && a->complete &&
+                    !a->wrong_request;
     struct rk_attempt_end e = {
         .handed = res->handed,
-        .answered =
-            whole || (!res->curl_code && res->status != HTTP_OK && !a->crossed),
+        .answered = complete || (!res->curl_code && res->status != HTTP_OK &&
+                                 !a->wrong_request),
         .http_status = (int)res->status,
-        .rest_ms = rk_attempt_rest_ms(res->status, a->rest_ms),
+        .rest_ms = rk_attempt_rest_ms(res->status, a->cooldown_ms),
     };
-    const char *detail = a->crossed    ? "an answer to another request"
-                         : a->unwanted ? "a gap in the tokens"
-                                       : res->error;
-    end(a, &e, whole, whole ? "whole" : detail);
+    const char *detail = a->wrong_request ? "an answer to another request"
+                         : a->rejected    ? "a gap in the tokens"
+                                          : res->error;
+    finish(a, &e, complete, complete ? "whole" : detail);
 }
 
-static void on_silence(void *ctx)
+static void on_idle_timeout(void *ctx)
 {
     struct rk_engine_attempt *a = ctx;
     struct rk_attempt_end e = {.handed = rk_http_cancel(a->req)};
-    end(a, &e, false, "silent for too long");
+    finish(a, &e, false, "silent for too long");
 }
 
 struct rk_engine_attempt *
@@ -114,10 +117,12 @@
                         const struct rk_engine_handlers *h, void *ctx)
 {
     struct rk_engine_attempt *a = rk_alloc(1, sizeof(*a));
-    *a = (struct rk_engine_attempt){
-        .loop = loop, .handlers = *h, .ctx = ctx, .silence_ms = spec->silence_ms};
+    *a = (struct rk_engine_attempt){.loop = loop,
+                                    .handlers = *h,
+                                    .ctx = ctx,
+                                    .idle_timeout_ms = spec->silence_ms};
     rk_strcpy(a->request_id, sizeof(a->request_id), spec->request_id);
-    a->silence = (struct rk_timer){.fn = on_silence, .ctx = a};
+    a->idle_timer = (struct rk_timer){.fn = on_idle_timeout, .ctx = a};
     char url[URL_MAX], id[HEADER_MAX], attempt[HEADER_MAX], priority[HEADER_MAX],
         resume[HEADER_MAX];
     snprintf(url, sizeof(url), "http://%s%s", spec->addr, spec->path);
@@ -137,11 +142,11 @@
         .once = spec->once,
         .handlers = {.on_header = on_header,
                      .on_data = on_data,
-                     .on_done = on_done},
+                     .on_done = on_http_done},
         .ctx = a,
     };
     a->req = rk_http_start(http, &http_spec);
-    rk_timer_start(loop, &a->silence, spec->silence_ms);
+    rk_timer_start(loop, &a->idle_timer, spec->silence_ms);
     return a;
 }
 
--- a/engines/attempt.h
+++ b/engines/attempt.h
@@ -1,6 +1,7 @@
-/* One attempt of a completion at one model engine: sends it as a stream, checks
- * that each chunk is this request's, and reports tokens and the end. Which
- * tokens the caller still needs is decided above (core/stream.h). */
+/* One attempt to run a completion at one model engine. Sends the request, reads
+ * the streamed response, checks that every chunk belongs to this request, and
+ * reports the chunks and the end. core/stream.h decides which tokens the caller
+ * still needs. Loop thread only. */
 #ifndef RK_ENGINES_ATTEMPT_H
 #define RK_ENGINES_ATTEMPT_H
 
@@ -15,33 +16,39 @@
 struct rk_engine_attempt;
 struct rk_chunk;
 
+/* Parameters of an attempt; copied. */
 struct rk_engine_spec {
     const char *addr; /* ip:port */
     const char *path; /* /v1/completions or /v1/chat/completions */
     const char *request_id;
-    int attempt;
-    int priority;        /* 0 first */
+    int attempt;         /* number of this attempt, sent to the engine */
+    int priority;        /* 0 is the highest */
     const char *body;    /* JSON with "stream": true */
-    int64_t resume_from; /* first token index wanted */
-    int64_t connect_ms;
-    int64_t silence_ms; /* longest time between bytes */
-    bool once;          /* never sent twice by the library */
+    int64_t resume_from; /* index of the first token to generate */
+    int64_t connect_ms;  /* connect time-out */
+    int64_t silence_ms;  /* longest time without a body byte, the first included */
+    bool once; /* send on a new connection, so that libcurl never resends */
 };
 
 struct rk_engine_handlers {
-    /* False: the attempt is no longer wanted (a gap): on_end still comes. */
+    /* Receives a chunk and its JSON text, both valid during the call only. Returns
+     * false to abort the attempt, because tokens are missing before this chunk;
+     * on_end still follows. */
     bool (*on_chunk)(void *ctx, const struct rk_chunk *chunk, const char *raw);
-    /* whole: the end mark came. detail: for logs. The attempt is gone after. */
-    void (*on_end)(void *ctx, const struct rk_attempt_end *end, bool whole,
+    /* Receives the end of the attempt, which is freed after the call. complete: the
+     * whole stream was received, its end marker included. detail is the reason of
+     * the end, for logs; valid during the call only. */
+    void (*on_end)(void *ctx, const struct rk_attempt_end *end, bool complete,
                    const char *detail);
 };
 
+/* Starts an attempt. No handler runs before this returns. */
 struct rk_engine_attempt *
 rk_engine_attempt_start(struct rk_loop *loop, struct rk_http *http,
                         const struct rk_engine_spec *spec,
                         const struct rk_engine_handlers *h, void *ctx);
 
-/* Give it up: no callback comes any more. */
+/* Cancels the attempt and frees it. No handler runs any more. */
 void rk_engine_attempt_cancel(struct rk_engine_attempt *a);
 
 #endif
