--- a/cloud/cloud.c
+++ b/cloud/cloud.c
@@ -9,23 +9,24 @@
 #include "common/rest.h"
 
 #define URL_MAX          256
-#define HTTP_NO_CAPACITY 503
+#define HTTP_UNAVAILABLE 503 /* no capacity for the VM */
 
+/* A call in flight; either on_notices or on_vm is set. */
 struct op {
-    rk_notices_fn *on_notices;
-    rk_cloud_fn *fn;
+    rk_reclaim_notices_fn *on_notices;
+    rk_cloud_vm_fn *on_vm;
     void *ctx;
 };
 
-static void parse_notice(struct json_object *o, struct rk_notice *n)
+static void parse_notice(struct json_object *o, struct rk_reclaim_notice *n)
 {
     n->seq = rk_json_int(o, "seq", 0);
     n->incarnation = (uint64_t)rk_json_int(o, "incarnation", 0);
-    n->in_ms = rk_json_int(o, "in_ms", 0);
+    n->remaining_ms = rk_json_int(o, "in_ms", 0);
     rk_strcpy(n->vm, sizeof(n->vm), rk_json_str(o, "id"));
 }
 
-static void end_notices(struct op *op, const struct rk_rest_answer *answer)
+static void finish_notices(struct op *op, const struct rk_rest_answer *answer)
 {
     enum rk_status st = answer->status;
     struct json_object *array =
@@ -33,7 +34,7 @@
     if (st == RK_OK && !json_object_is_type(array, json_type_array))
         st = RK_EPROTO;
     size_t len = st == RK_OK ? json_object_array_length(array) : 0;
-    struct rk_notice *notices = rk_alloc(len + 1, sizeof(*notices));
+    struct rk_reclaim_notice *notices = rk_alloc(len + 1, sizeof(*notices));
     for (size_t i = 0; i < len; i++)
         parse_notice(json_object_array_get_idx(array, i), &notices[i]);
     op->on_notices(op->ctx, st, notices, len);
@@ -41,12 +42,12 @@
     json_object_put(array);
 }
 
-static void end_order(struct op *op, const struct rk_rest_answer *answer)
+static void finish_vm_call(struct op *op, const struct rk_rest_answer *answer)
 {
     struct json_object *o = json_tokener_parse(answer->body);
-    bool refused = answer->http_status == HTTP_NO_CAPACITY;
-    op->fn(op->ctx, refused ? RK_EUNAVAILABLE : answer->status,
-           rk_json_str(o, "id"));
+    bool refused = answer->http_status == HTTP_UNAVAILABLE;
+    op->on_vm(op->ctx, refused ? RK_EUNAVAILABLE : answer->status,
+              rk_json_str(o, "id"));
     json_object_put(o);
 }
 
@@ -54,20 +55,21 @@
 {
     struct op *op = ctx;
     if (op->on_notices)
-        end_notices(op, answer);
+        finish_notices(op, answer);
     else
-        end_order(op, answer);
+        finish_vm_call(op, answer);
     free(op);
 }
 
-void rk_cloud_notices(struct rk_http *http, const char *base, int64_t after,
-                      int64_t wait_ms, rk_notices_fn *fn, void *ctx)
+void rk_cloud_watch_notices(struct rk_http *http, const char *base,
+                            int64_t after_seq, int64_t wait_ms,
+                            rk_reclaim_notices_fn *fn, void *ctx)
 {
     struct op *op = rk_alloc(1, sizeof(*op));
     *op = (struct op){.on_notices = fn, .ctx = ctx};
     char url[URL_MAX];
     snprintf(url, sizeof(url),
-             "%s/cloud/notices?after=%" PRId64 "&wait_ms=%" PRId64, base, after,
+             "%s/cloud/notices?after=%" PRId64 "&wait_ms=%" PRId64, base, after_seq,
              wait_ms);
     const struct rk_rest_call call = {
         .method = "GET", .url = url, .wait_ms = wait_ms};
@@ -76,25 +78,26 @@
 }
 
 void rk_cloud_start_vm(struct rk_http *http, const char *base,
-                       const struct rk_vm_order *order, rk_cloud_fn *fn, void *ctx)
+                       const struct rk_vm_start_request *request,
+                       rk_cloud_vm_fn *fn, void *ctx)
 {
     struct op *op = rk_alloc(1, sizeof(*op));
-    *op = (struct op){.fn = fn, .ctx = ctx};
+    *op = (struct op){.on_vm = fn, .ctx = ctx};
     char url[URL_MAX], body[URL_MAX * 2];
     snprintf(url, sizeof(url), "%s/cloud/vms", base);
     snprintf(body, sizeof(body),
              "{\"vm_class\":\"%s\",\"failure_domain\":\"%s\",\"service\":\"%s\","
              "\"token\":\"%s\"}",
-             order->vm_class, order->domain, order->service, order->token);
+             request->vm_class, request->domain, request->service, request->token);
     const struct rk_rest_call call = {.method = "POST", .url = url, .body = body};
     rk_rest_start(http, &call, on_answer, op);
 }
 
 void rk_cloud_stop_vm(struct rk_http *http, const char *base, const char *vm,
-                      rk_cloud_fn *fn, void *ctx)
+                      rk_cloud_vm_fn *fn, void *ctx)
 {
     struct op *op = rk_alloc(1, sizeof(*op));
-    *op = (struct op){.fn = fn, .ctx = ctx};
+    *op = (struct op){.on_vm = fn, .ctx = ctx};
     char url[URL_MAX];
     snprintf(url, sizeof(url), "%s/cloud/vms/%s", base, vm);
     const struct rk_rest_call call = {.method = "DELETE", .url = url};
--- a/cloud/duties.h
+++ b/cloud/duties.h
@@ -1,7 +1,7 @@
-/* Calls to the platform's cloud API that are the duty of one node at a time, as
- * the product asks for them. Each carries the holder's name and its fencing
- * token. A driver of the platform's dialect fills the operations. Loop thread
- * only. */
+/* Interface to those calls of the platform's cloud API that only one node, the
+ * leader, may make at a time: usage reports and VM counts. Each call carries the
+ * leader's name and its fencing token, by which the platform rejects an outdated
+ * leader. A platform driver implements the operations. Loop thread only. */
 #ifndef RK_CLOUD_DUTIES_H
 #define RK_CLOUD_DUTIES_H
 
@@ -13,33 +13,41 @@
 
 struct rk_duties;
 
+/* Identifies the leader and its term. */
 struct rk_duty_token {
-    const char *holder;
-    int64_t fence;
+    const char *holder; /* node id of the leader; borrowed */
+    int64_t fence;      /* fencing token, rises with every change of leader */
 };
 
-/* How many vms of a service a failure domain shall have. */
+/* Number of VMs of a service that a failure domain should have. */
 struct rk_vm_target {
     const char *service;
     const char *domain;
     int64_t count;
-    bool reclaimable; /* of the kind that may be taken away */
+    bool reclaimable; /* counts reclaimable VMs; false: on-demand VMs */
 };
 
-/* RK_ECONFLICT: a higher token was seen, or, for vms, none can be had now;
- * RK_EUNAVAILABLE: nothing was done; RK_EUNKNOWN: it may be done, maybe later. */
+/* Receives the result of a call, exactly once. detail is the text of the response,
+ * "" if there is none, and valid during the callback only.
+ * RK_ECONFLICT: the platform has seen a higher fencing token or, for VM counts, has
+ * no capacity now.
+ * RK_EUNAVAILABLE: the call took no effect.
+ * RK_EUNKNOWN: the call may have taken effect, or may do so later. */
 typedef void rk_duty_fn(void *ctx, enum rk_status st, const char *detail);
 
 struct rk_duties_ops {
-    /* counts: JSON text of organisation to number; told exactly as it is. */
+    /* Reports the usage of a window. counts is the text of a JSON object that maps
+     * organisation to count; it is sent unchanged. */
     void (*report_usage)(struct rk_duties *d, const struct rk_duty_token *token,
                          int64_t window, const char *counts, rk_duty_fn *fn,
                          void *ctx);
+    /* Sets the number of VMs of one service and kind in one failure domain. */
     void (*order_vms)(struct rk_duties *d, const struct rk_duty_token *token,
                       const struct rk_vm_target *target, rk_duty_fn *fn, void *ctx);
     void (*destroy)(struct rk_duties *d);
 };
 
+/* Base of a platform driver's own struct. */
 struct rk_duties {
     const struct rk_duties_ops *ops;
 };
--- a/control/claims_io.c
+++ b/control/claims_io.c
@@ -1,5 +1,6 @@
-/* The claims of the shards this node answers for: messages from traffic in,
- * decisions out, and the object API between (core/claims.h decides). */
+/* Handles claims of idempotency keys for the shards that this node owns. Receives
+ * the traffic threads' requests as messages, passes them to core/claims.h, makes
+ * the object API calls which that requests, and sends its decisions back. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,25 +11,25 @@
 #include "objects/objects.h"
 #include "serve/traffic.h"
 
-#define PATIENCE_MS  1500
-#define AWAY_AFTER   3
-#define ANSWER_BYTES (2 * 1024 * 1024) /* kept for each shard */
-#define MAX_TICKETS  4096
-#define THREAD_SHIFT 56 /* a ticket's top byte names its traffic thread */
+#define CLAIM_TIMEOUT_MS    1500 /* wait of a claim for the platform */
+#define MAX_UNANSWERED      3    /* calls until the platform counts as down */
+#define MAX_ANSWER_BYTES    (2 * 1024 * 1024) /* stored answers of one shard */
+#define MAX_TICKETS         4096              /* waiting claims of one shard */
+#define TICKET_THREAD_SHIFT 56 /* a ticket's top byte is its thread's index */
 
 struct shard {
     struct rk_claims_io *io;
-    struct rk_claims *claims; /* NULL until a key comes */
+    struct rk_claims *claims; /* NULL until the first request */
 };
 
 struct rk_claims_io {
     struct rk_control *c;
     struct shard shards[RK_MAX_SHARDS];
-    struct rk_timer tick;
-    int failures; /* calls in a row that got no answer, over all shards */
+    struct rk_timer tick_timer;
+    int unanswered; /* consecutive unanswered calls, over all shards */
 };
 
-/* One object API call for a shard. */
+/* An object API call in flight. */
 struct op {
     struct shard *s;
 };
@@ -40,43 +41,47 @@
     return op;
 }
 
-static void wake_tick(struct rk_claims_io *io)
+/* Schedules a tick after the commit interval, in which claims are collected for one
+ * write. */
+static void schedule_tick(struct rk_claims_io *io)
 {
-    if (io->tick.slot)
+    if (io->tick_timer.slot)
         return;
-    int64_t pause = io->c->config->claim_commit_ms;
-    rk_timer_start(io->c->loop, &io->tick, pause > 1 ? pause : 1);
+    int64_t delay_ms = io->c->config->claim_commit_ms;
+    rk_timer_start(io->c->loop, &io->tick_timer, delay_ms > 1 ? delay_ms : 1);
 }
 
-/* ---- ops ---- */
+/* ---- object API calls ---- */
 
-static void note_answer(struct rk_claims_io *io, enum rk_status st)
+static void count_unanswered(struct rk_claims_io *io, enum rk_status st)
 {
     bool lost = st == RK_EUNKNOWN || st == RK_EUNAVAILABLE;
-    io->failures = lost ? io->failures + 1 : 0;
+    io->unanswered = lost ? io->unanswered + 1 : 0;
 }
 
-static void object_name(char out[RK_OBJECT_NAME_MAX], uint32_t shard, unsigned slot)
+/* Formats the name of the object that holds a slot. */
+static void slot_name(char out[RK_OBJECT_NAME_MAX], uint32_t shard, unsigned slot)
 {
     snprintf(out, RK_OBJECT_NAME_MAX, "claims/%03u/%02u", shard, slot);
 }
 
-static void on_ring(void *ctx, enum rk_status st, const struct rk_object *os,
-                    size_t len, int64_t revision)
+static void on_ring_read(void *ctx, enum rk_status st,
+                         const struct rk_object *objects, size_t len,
+                         int64_t revision)
 {
     (void)revision;
     struct op *op = ctx;
-    note_answer(op->s->io, st);
+    count_unanswered(op->s->io, st);
     struct rk_slot_read *slots = rk_alloc(len + 1, sizeof(*slots));
     for (size_t i = 0; i < len; i++) {
-        const char *slash = strrchr(os[i].name, '/');
-        slots[i] =
-            (struct rk_slot_read){.version = os[i].version, .value = os[i].value};
+        const char *slash = strrchr(objects[i].name, '/');
+        slots[i] = (struct rk_slot_read){.version = objects[i].version,
+                                         .value = objects[i].value};
         slots[i].slot =
             slash ? (unsigned)strtoul(slash + 1, NULL, 10) : RK_CLAIM_SLOTS;
     }
     rk_claims_on_ring(op->s->claims, st, slots, len, rk_mono_ms(), rk_wall_ms());
-    wake_tick(op->s->io);
+    schedule_tick(op->s->io);
     free(slots);
     free(op);
 }
@@ -86,39 +91,39 @@
     struct shard *s = ctx;
     char prefix[RK_OBJECT_NAME_MAX];
     snprintf(prefix, sizeof(prefix), "claims/%03u/", shard);
-    rk_objects_list(s->io->c->objects, prefix, "", on_ring, make_op(s));
+    rk_objects_list(s->io->c->objects, prefix, "", on_ring_read, make_op(s));
 }
 
 static void on_written(void *ctx, enum rk_status st, int64_t version)
 {
     struct op *op = ctx;
-    note_answer(op->s->io, st);
+    count_unanswered(op->s->io, st);
     if (st == RK_OK)
         rk_count(RK_C_CLAIM_COMMITS, 1);
     else if (st == RK_ECONFLICT)
         RK_WARN("claims.stepped_down", RK_N("shard", op->s - op->s->io->shards));
     rk_claims_on_written(op->s->claims, st, version, rk_mono_ms(), rk_wall_ms());
-    wake_tick(op->s->io);
+    schedule_tick(op->s->io);
     free(op);
 }
 
-static void write_slot(void *ctx, uint32_t shard, unsigned slot, int64_t expect,
-                       const char *value)
+static void write_slot(void *ctx, uint32_t shard, unsigned slot,
+                       int64_t expected_version, const char *value)
 {
     struct shard *s = ctx;
     char name[RK_OBJECT_NAME_MAX];
-    object_name(name, shard, slot);
-    rk_objects_write(s->io->c->objects, name, expect, value, on_written,
+    slot_name(name, shard, slot);
+    rk_objects_write(s->io->c->objects, name, expected_version, value, on_written,
                      make_op(s));
 }
 
-static void on_slot(void *ctx, enum rk_status st, const struct rk_object *o)
+static void on_slot_read(void *ctx, enum rk_status st, const struct rk_object *o)
 {
     struct op *op = ctx;
-    note_answer(op->s->io, st);
+    count_unanswered(op->s->io, st);
     rk_claims_on_slot(op->s->claims, st, o->version, o->value, rk_mono_ms(),
                       rk_wall_ms());
-    wake_tick(op->s->io);
+    schedule_tick(op->s->io);
     free(op);
 }
 
@@ -126,15 +131,16 @@
 {
     struct shard *s = ctx;
     char name[RK_OBJECT_NAME_MAX];
-    object_name(name, shard, slot);
-    rk_objects_read(s->io->c->objects, name, on_slot, make_op(s));
+    slot_name(name, shard, slot);
+    rk_objects_read(s->io->c->objects, name, on_slot_read, make_op(s));
 }
 
-static void decided(void *ctx, uint64_t ticket, const struct rk_claim_result *r)
+/* Sends a decision to the traffic thread of the ticket. */
+static void on_decided(void *ctx, uint64_t ticket, const struct rk_claim_result *r)
 {
     struct shard *s = ctx;
     struct rk_claim_reply reply = {
-        .ticket = ticket & ((1ULL << THREAD_SHIFT) - 1),
+        .ticket = ticket & ((1ULL << TICKET_THREAD_SHIFT) - 1),
         .shard = (uint32_t)(s - s->io->shards),
         .decision = r->decision,
         .verdict = r->verdict,
@@ -149,17 +155,19 @@
         reply.answer.body = rk_alloc(1, r->answer->len + 1);
         memcpy(reply.answer.body, r->answer->body, r->answer->len);
     }
-    rk_traffic_claim_decided(s->io->c->traffic[ticket >> THREAD_SHIFT], &reply);
+    rk_traffic_claim_decided(s->io->c->traffic[ticket >> TICKET_THREAD_SHIFT],
+                             &reply);
 }
 
 static const struct rk_claims_ops ops = {
     .read_ring = read_ring,
     .write_slot = write_slot,
     .read_slot = read_slot,
-    .decided = decided,
+    .decided = on_decided,
 };
 
-static struct rk_claims *claims_of(struct rk_claims_io *io, uint32_t shard)
+/* Returns the claims of a shard, created on first use. */
+static struct rk_claims *get_claims(struct rk_claims_io *io, uint32_t shard)
 {
     struct shard *s = &io->shards[shard % RK_MAX_SHARDS];
     if (s->claims)
@@ -170,8 +178,8 @@
         .retention_ms = io->c->config->claim_retention_s * RK_MS_PER_S,
         .writes_per_s = (double)io->c->config->claim_writes_per_s /
                         (double)io->c->config->claim_shards,
-        .patience_ms = PATIENCE_MS,
-        .answer_bytes = ANSWER_BYTES,
+        .patience_ms = CLAIM_TIMEOUT_MS,
+        .answer_bytes = MAX_ANSWER_BYTES,
         .max_tickets = MAX_TICKETS,
         .seed = rk_rng_next(&io->c->rng),
     };
@@ -180,45 +188,46 @@
     return s->claims;
 }
 
+/* Runs the ticks of all shards; goes on while any shard is busy. */
 static void on_tick(void *ctx)
 {
     struct rk_claims_io *io = ctx;
-    bool busy = false;
+    bool any_busy = false;
     for (size_t i = 0; i < RK_MAX_SHARDS; i++) {
         struct rk_claims *claims = io->shards[i].claims;
         if (!claims)
             continue;
-        rk_claims_set_away(claims, io->failures >= AWAY_AFTER);
+        rk_claims_set_away(claims, io->unanswered >= MAX_UNANSWERED);
         rk_claims_tick(claims, rk_mono_ms(), rk_wall_ms());
-        busy = busy || rk_claims_busy(claims);
+        any_busy = any_busy || rk_claims_busy(claims);
     }
-    if (busy)
-        wake_tick(io);
+    if (any_busy)
+        schedule_tick(io);
 }
 
-/* ---- messages from traffic ---- */
+/* ---- messages from traffic threads ---- */
 
 struct message {
     struct rk_claims_io *io;
-    enum { MSG_ASK, MSG_CANCEL, MSG_FINISH } kind;
+    enum { MSG_REQUEST, MSG_CANCEL, MSG_FINISH } kind;
     uint64_t ticket;
     uint32_t shard;
     struct rk_claim_key key;
     bool local;
     enum rk_verdict verdict;
     bool has_answer;
-    struct rk_answer answer; /* body owned */
+    struct rk_answer answer; /* its body is owned by the message */
     int64_t retry_after_ms;
 };
 
 static void on_message(void *ctx)
 {
     struct message *m = ctx;
-    struct rk_claims *claims = claims_of(m->io, m->shard);
+    struct rk_claims *claims = get_claims(m->io, m->shard);
     switch (m->kind) {
-    case MSG_ASK:
+    case MSG_REQUEST:
         rk_claims_ask(claims, m->ticket, m->key, m->local, rk_mono_ms());
-        wake_tick(m->io);
+        schedule_tick(m->io);
         break;
     case MSG_CANCEL:
         rk_claims_cancel(claims, m->ticket);
@@ -241,7 +250,9 @@
     return m;
 }
 
-static bool post(struct message *m)
+/* Sends a message to the control thread; frees it and returns false if the queue is
+ * full. */
+static bool post_message(struct message *m)
 {
     if (rk_loop_post(m->io->c->loop, on_message, m))
         return true;
@@ -250,27 +261,29 @@
     return false;
 }
 
-static uint64_t thread_ticket(unsigned thread, uint64_t ticket)
+/* Makes a ticket unique among the traffic threads. */
+static uint64_t make_ticket(unsigned thread, uint64_t ticket)
 {
-    return ((uint64_t)thread << THREAD_SHIFT) | ticket;
+    return ((uint64_t)thread << TICKET_THREAD_SHIFT) | ticket;
 }
 
-static bool port_ask(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard,
-                     struct rk_claim_key key, bool local)
+static bool port_request(void *ctx, unsigned thread, uint64_t ticket,
+                         uint32_t shard, struct rk_claim_key key, bool local)
 {
-    struct message *m = make_message(ctx, MSG_ASK, shard);
-    m->ticket = thread_ticket(thread, ticket);
+    struct message *m = make_message(ctx, MSG_REQUEST, shard);
+    m->ticket = make_ticket(thread, ticket);
     m->key = key;
     m->local = local;
-    return post(m);
+    return post_message(m);
 }
 
 static void port_cancel(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard)
 {
     struct message *m = make_message(ctx, MSG_CANCEL, shard);
-    m->ticket = thread_ticket(thread, ticket);
-    /* Lost when control's queue is full: the decision then finds nobody. */
-    post(m);
+    m->ticket = make_ticket(thread, ticket);
+    /* If the control thread's queue is full, the message is lost. The decision then
+     * finds no waiting call and is ignored. */
+    post_message(m);
 }
 
 static void port_finish(void *ctx, uint32_t shard, struct rk_claim_key key,
@@ -287,22 +300,25 @@
         m->answer.body = rk_alloc(1, answer->len + 1);
         memcpy(m->answer.body, answer->body, answer->len);
     }
-    /* Lost when control's queue is full: the key then counts as running until
-     * it is forgotten, which errs on the safe side. */
-    post(m);
+    /* If the control thread's queue is full, the message is lost. The key then
+     * counts as running until its retention ends, so that the call is never run
+     * twice. */
+    post_message(m);
 }
 
 struct rk_claim_port rk_claims_io_port(struct rk_claims_io *io)
 {
-    return (struct rk_claim_port){
-        .ctx = io, .ask = port_ask, .cancel = port_cancel, .finish = port_finish};
+    return (struct rk_claim_port){.ctx = io,
+                                  .ask = port_request,
+                                  .cancel = port_cancel,
+                                  .finish = port_finish};
 }
 
 struct rk_claims_io *rk_claims_io_create(struct rk_control *c)
 {
     struct rk_claims_io *io = rk_alloc(1, sizeof(*io));
     io->c = c;
-    io->tick = (struct rk_timer){.fn = on_tick, .ctx = io};
+    io->tick_timer = (struct rk_timer){.fn = on_tick, .ctx = io};
     return io;
 }
 
--- a/control/control.c
+++ b/control/control.c
@@ -9,15 +9,15 @@
 #include "core/shards.h"
 #include "objects/objects.h"
 
-#define PUBLISH_SOON_MS 500 /* for loads */
-#define PUBLISH_NOW_MS  1
+#define PUBLISH_DELAY_MS        500 /* for what changes often, such as loads */
+#define PUBLISH_URGENT_DELAY_MS 1
 
-bool rk_control_is_watcher(const struct rk_control *c)
+bool rk_control_is_bridge(const struct rk_control *c)
 {
     return rk_member_is_bridge(c->members, rk_members_self(c->members));
 }
 
-/* ---- the view ---- */
+/* ---- views for the traffic threads ---- */
 
 static void copy_vms(const struct rk_control *c, struct rk_view *v)
 {
@@ -30,15 +30,17 @@
     }
 }
 
-/* Copies the peers; place[i] gets where member i went, or -1. */
-static void copy_peers(const struct rk_control *c, struct rk_view *v, int *place)
+/* Copies the peers that are not dead. Sets peer_index[i] to the index of member i
+ * among the peers, or to -1 if it is none. */
+static void copy_peers(const struct rk_control *c, struct rk_view *v,
+                       int *peer_index)
 {
     size_t n = rk_members_count(c->members);
     v->peers = rk_alloc(n + 1, sizeof(*v->peers));
     for (size_t i = 0; i < n; i++) {
         const struct rk_member *m = rk_members_at(c->members, i);
         bool peer = i > 0 && m->state != RK_MEMBER_DEAD;
-        place[i] = peer ? (int)v->peers_len : -1;
+        peer_index[i] = peer ? (int)v->peers_len : -1;
         if (peer)
             v->peers[v->peers_len++] = *m;
     }
@@ -48,17 +50,17 @@
 {
     struct rk_view *v = rk_alloc(1, sizeof(*v));
     const struct rk_member *self = rk_members_self(c->members);
-    static int place[RK_MAX_MEMBERS];
-    v->serial = ++c->serial;
+    static int peer_index[RK_MAX_MEMBERS];
+    v->serial = ++c->last_view_serial;
     v->config = rk_config_ref(c->config);
     rk_strcpy(v->self, sizeof(v->self), self->id);
     rk_strcpy(v->domain, sizeof(v->domain), self->domain);
     v->leaving = self->leaving;
     copy_vms(c, v);
-    copy_peers(c, v, place);
+    copy_peers(c, v, peer_index);
     for (uint32_t s = 0; s < RK_MAX_SHARDS; s++)
         v->shard_owner[s] = (int64_t)s < v->config->claim_shards
-                                ? place[rk_shard_owner(c->members, s)]
+                                ? peer_index[rk_shard_owner(c->members, s)]
                                 : -1;
     return v;
 }
@@ -71,26 +73,26 @@
         rk_traffic_view_changed(c->traffic[i]);
 }
 
-void rk_control_dirty(struct rk_control *c, bool urgent)
+void rk_control_schedule_publish(struct rk_control *c, bool urgent)
 {
-    int64_t delay = urgent ? PUBLISH_NOW_MS : PUBLISH_SOON_MS;
-    if (c->publish.slot && c->publish.due_ms <= rk_mono_ms() + delay)
+    int64_t delay_ms = urgent ? PUBLISH_URGENT_DELAY_MS : PUBLISH_DELAY_MS;
+    if (c->publish_timer.slot && c->publish_timer.due_ms <= rk_mono_ms() + delay_ms)
         return;
-    rk_timer_start(c->loop, &c->publish, delay);
+    rk_timer_start(c->loop, &c->publish_timer, delay_ms);
 }
 
-void rk_control_settings_moved(struct rk_control *c)
+void rk_control_apply_settings(struct rk_control *c)
 {
-    int64_t head = rk_changelog_head(c->changes);
+    int64_t head = rk_changelog_head(c->changelog);
     rk_config_destroy(c->config);
-    c->config = rk_config_create(rk_changelog_tree(c->changes), head);
+    c->config = rk_config_create(rk_changelog_tree(c->changelog), head);
     rk_members_set_head(c->members, head);
     RK_EVENT("settings.in_force", RK_N("head", head),
-             RK_N("skipped", rk_changelog_skipped(c->changes)));
-    rk_control_dirty(c, true);
+             RK_N("skipped", rk_changelog_skipped(c->changelog)));
+    rk_control_schedule_publish(c, true);
 }
 
-/* ---- making ---- */
+/* ---- life cycle ---- */
 
 struct rk_control *rk_control_create(const struct rk_control_options *opt)
 {
@@ -100,9 +102,9 @@
     c->loop = rk_loop_create();
     c->http = rk_http_create(c->loop);
     c->objects = rk_objects_create(c->http, opt->platform);
-    c->changes = rk_changelog_create();
-    c->config = rk_config_create(rk_changelog_tree(c->changes), 0);
-    c->publish = (struct rk_timer){.fn = publish, .ctx = c};
+    c->changelog = rk_changelog_create();
+    c->config = rk_config_create(rk_changelog_tree(c->changelog), 0);
+    c->publish_timer = (struct rk_timer){.fn = publish, .ctx = c};
     c->gossip = rk_gossip_create(c);
     if (!c->gossip) {
         rk_control_destroy(c);
@@ -116,9 +118,9 @@
                                         : rk_gossip_addr(c->gossip));
     rk_strcpy(self.forward_addr, sizeof(self.forward_addr), opt->forward_advertise);
     c->members = rk_members_create(&self);
-    c->settings = rk_settings_sync_create(c);
-    c->vms = rk_vms_sync_create(c);
-    c->claims = rk_claims_io_create(c);
+    c->settings_sync = rk_settings_sync_create(c);
+    c->vms_sync = rk_vms_sync_create(c);
+    c->claims_io = rk_claims_io_create(c);
     return c;
 }
 
@@ -128,11 +130,11 @@
         return;
     rk_http_destroy(c->http);
     rk_gossip_destroy(c->gossip);
-    rk_settings_sync_destroy(c->settings);
-    rk_vms_sync_destroy(c->vms);
-    rk_claims_io_destroy(c->claims);
+    rk_settings_sync_destroy(c->settings_sync);
+    rk_vms_sync_destroy(c->vms_sync);
+    rk_claims_io_destroy(c->claims_io);
     rk_objects_destroy(c->objects);
-    rk_changelog_destroy(c->changes);
+    rk_changelog_destroy(c->changelog);
     rk_config_destroy(c->config);
     rk_members_destroy(c->members);
     rk_loop_destroy(c->loop);
@@ -148,7 +150,7 @@
 
 struct rk_claim_port rk_control_claim_port(struct rk_control *c)
 {
-    return rk_claims_io_port(c->claims);
+    return rk_claims_io_port(c->claims_io);
 }
 
 const char *rk_control_addr(const struct rk_control *c)
@@ -160,8 +162,8 @@
 {
     publish(c);
     rk_gossip_start(c->gossip);
-    rk_settings_sync_start(c->settings);
-    rk_vms_sync_start(c->vms);
+    rk_settings_sync_start(c->settings_sync);
+    rk_vms_sync_start(c->vms_sync);
 }
 
 void rk_control_run(struct rk_control *c)
@@ -174,15 +176,15 @@
     rk_loop_stop(c->loop);
 }
 
-static void do_leave(void *ctx)
+static void on_leave(void *ctx)
 {
     struct rk_control *c = ctx;
     rk_members_set_leaving(c->members);
     rk_gossip_push(c->gossip);
-    rk_control_dirty(c, true);
+    rk_control_schedule_publish(c, true);
 }
 
 void rk_control_leave(struct rk_control *c)
 {
-    rk_loop_post(c->loop, do_leave, c);
+    rk_loop_post(c->loop, on_leave, c);
 }
--- a/control/gossip.c
+++ b/control/gossip.c
@@ -1,6 +1,7 @@
-/* Gossip: once a second with one peer, rows that changed since it was last
- * told; what is urgent goes to the whole failure domain at once. A round is
- * also the probe that finds dead peers. */
+/* Gossip between entry nodes. Once a second, a node sends one peer the rows that
+ * changed since its last message to that peer; the peer replies likewise. Urgent
+ * changes go to the whole failure domain at once. A missing reply makes the peer
+ * suspect. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -11,114 +12,121 @@
 #include "peers/rows.h"
 #include "serve/traffic.h"
 
-#define ROUND_MS        1000
-#define REPLY_MS        1000 /* silence that makes a peer suspect */
-#define SUSPECT_MS      3000 /* suspicion that makes it dead */
-#define FORGET_MS       600000
-#define SEED_EVERY      5 /* rounds between words to a seed or a dead member */
-#define BRIDGE_EVERY    2 /* rounds between a bridge's words to other domains */
-#define DIFFERS_LIMIT   3 /* messages with other digests before all is told */
-#define CHANGES_A_FRAME 64
-
-/* What a peer was told. A peer begins with this node's own row and the digests;
- * if its rows differ it is sent all, at once when it is new to us, later only if
- * they differ for a while (rows are on their way all the time). */
-struct told {
-    uint64_t mark; /* rows up to here */
-    bool known;    /* it has answered since */
-    int differs;   /* messages in a row with other digests */
+#define ROUND_INTERVAL_MS  1000
+#define REPLY_TIMEOUT_MS   1000 /* a peer without a reply is suspected after this */
+#define SUSPECT_TIMEOUT_MS 3000 /* a suspected peer counts as dead after this */
+#define ROW_RETENTION_MS   600000 /* of dead members and gone VMs */
+#define ROUNDS_PER_SEED    5 /* rounds per contact to a seed and a dead member */
+#define ROUNDS_PER_BRIDGE  2 /* rounds per contact to another failure domain */
+#define MAX_MISMATCHES     3 /* see struct sent_state */
+
+#define MAX_CHANGES_PER_FRAME 64
+
+/* State of what has been sent to a peer. The first message to a peer has this
+ * node's own row and the digests of its tables. If the peer's digests differ, all
+ * rows are sent: at once after the first message from the peer, later only after
+ * MAX_MISMATCHES messages in a row, since rows in flight make digests differ
+ * often. */
+struct sent_state {
+    uint64_t high_water; /* rows that changed up to here were sent; 0: send all */
+    bool received;       /* a message from the peer has arrived */
+    int mismatches;      /* consecutive messages with other digests */
 };
 
-/* A link to a peer's control thread. */
-struct contact {
+/* A link that this node opened to a peer's control thread. */
+struct outbound {
     struct rk_gossip *g;
     char addr[RK_ADDR_MAX];
-    char id[RK_ID_MAX]; /* "" until it told */
+    char id[RK_ID_MAX]; /* "" until its first message */
     struct rk_link *link;
-    struct told told;
-    struct rk_timer reply;
-    struct contact *next;
+    struct sent_state sent;
+    struct rk_timer reply_timer;
+    struct outbound *next;
 };
 
-/* A link a peer opened. */
-struct guest {
+/* A link that a peer opened to this node. */
+struct inbound {
     struct rk_gossip *g;
     struct rk_link *link;
-    char id[RK_ID_MAX]; /* "" until it told */
-    struct told told;   /* while we have no contact */
-    struct guest *next;
+    char id[RK_ID_MAX];     /* "" until its first message */
+    struct sent_state sent; /* used while there is no outbound link to the peer */
+    struct inbound *next;
 };
 
 struct rk_gossip {
     struct rk_control *c;
     struct rk_listener *listener;
-    struct contact *contacts;
-    struct guest *guests;
-    struct rk_timer round;
+    struct outbound *outbound;
+    struct inbound *inbound;
+    struct rk_timer round_timer;
     uint64_t rounds;
-    size_t turn; /* where the walk over the members is */
+    size_t next_member; /* index of the member to gossip with next */
     struct rk_delta delta;
 };
 
 /* ---- frames ---- */
 
+/* Sends a frame and counts its bytes and those of its 4-byte length. */
 static bool send_frame(struct rk_link *link, Rillknot__Frame *frame)
 {
     rk_count(RK_C_PEER_BYTES, rillknot__frame__get_packed_size(frame) + 4);
     return rk_link_send(link, frame);
 }
 
-/* Send what the peer hasn't been told, and this node's own row to who is new. */
+/* Sends the rows that the peer lacks. A peer that has sent nothing yet gets at
+ * least this node's own row. peer_id is "" if not known. */
 static void send_rows(struct rk_gossip *g, struct rk_link *link,
-                      const char *peer_id, struct told *told, bool reply)
+                      const char *peer_id, struct sent_state *sent, bool reply)
 {
     const struct rk_members *m = g->c->members;
     const struct rk_member *self = rk_members_self(m);
     int peer = peer_id[0] ? rk_members_index(m, peer_id) : -1;
     const struct rk_member *to = peer >= 0 ? rk_members_at(m, (size_t)peer) : NULL;
-    rk_members_delta(m, told->mark, peer, rk_mono_ms(), &g->delta);
-    if (!told->known && !g->delta.members_len)
+    rk_members_delta(m, sent->high_water, peer, rk_mono_ms(), &g->delta);
+    if (!sent->received && !g->delta.members_len)
         g->delta.members[g->delta.members_len++] = 0;
     struct rk_digest digest = rk_members_digest(m);
     struct rk_rows rows;
-    /* Rows of vms stay in their failure domain. */
+    /* VM rows are not sent to other failure domains. */
     rk_rows_fill(&rows, m, &g->delta, !to || !strcmp(to->domain, self->domain));
     rows.gossip.from = (char *)self->id;
     rows.gossip.from_addr = (char *)self->control_addr;
     rows.gossip.reply = reply;
-    rows.gossip.head = rk_changelog_head(g->c->changes);
+    rows.gossip.head = rk_changelog_head(g->c->changelog);
     rows.gossip.members_digest = digest.members;
     rows.gossip.vms_digest = digest.vms;
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_GOSSIP;
     frame.gossip = &rows.gossip;
     if (send_frame(link, &frame))
-        told->mark = g->delta.next_mark;
+        sent->high_water = g->delta.next_mark;
     rk_rows_free(&rows);
 }
 
-static void ask_changes(struct rk_gossip *g, struct rk_link *link)
+static void request_changes(struct rk_gossip *g, struct rk_link *link)
 {
     Rillknot__ChangesWanted w = RILLKNOT__CHANGES_WANTED__INIT;
-    w.after = rk_changelog_head(g->c->changes);
+    w.after = rk_changelog_head(g->c->changelog);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_CHANGES_WANTED;
     frame.changes_wanted = &w;
     send_frame(link, &frame);
 }
 
-/* Changes after a number, or a snapshot for who is too far behind. */
+/* Sends the changes behind the number after, or a snapshot if this node no longer
+ * keeps the first of them. */
 static void send_changes(struct rk_gossip *g, struct rk_link *link, int64_t after)
 {
-    const struct rk_changelog *log = g->c->changes;
+    const struct rk_changelog *log = g->c->changelog;
     Rillknot__Changes msg = RILLKNOT__CHANGES__INIT;
-    Rillknot__Change rows[CHANGES_A_FRAME], *ptrs[CHANGES_A_FRAME];
+    Rillknot__Change rows[MAX_CHANGES_PER_FRAME], *ptrs[MAX_CHANGES_PER_FRAME];
     char *snapshot = NULL;
     if (!rk_changelog_text(log, after + 1) && rk_changelog_head(log) > after) {
         snapshot = rk_changelog_snapshot(log);
         msg.snapshot = snapshot;
     }
-    for (int64_t n = after + 1; !snapshot && msg.n_items < CHANGES_A_FRAME; n++) {
+    for (int64_t n = after + 1; !snapshot && msg.n_items < MAX_CHANGES_PER_FRAME;
+         n++) {
         const char *text = rk_changelog_text(log, n);
         if (!text)
             break;
@@ -136,89 +144,92 @@
     free(snapshot);
 }
 
-/* ---- taking in ---- */
+/* ---- received messages ---- */
 
-static void take_member(struct rk_gossip *g, const Rillknot__MemberRow *row,
-                        int from)
+static void merge_member(struct rk_gossip *g, const Rillknot__MemberRow *row,
+                         int from)
 {
     struct rk_member m;
     if (!rk_rows_member(row, &m))
         return;
     if (!rk_members_merge(g->c->members, &m, from, rk_mono_ms())) {
-        rk_control_dirty(g->c, false); /* its spare may have moved */
+        /* The member's spare capacity may have changed. */
+        rk_control_schedule_publish(g->c, false);
         return;
     }
     RK_EVENT("member.changed", RK_S("member", m.id), RK_N("state", m.state),
              RK_N("leaving", m.leaving));
-    rk_control_dirty(g->c, true);
+    rk_control_schedule_publish(g->c, true);
 }
 
-static void take_vm(struct rk_gossip *g, const Rillknot__VmRow *row, int from)
+static void merge_vm(struct rk_gossip *g, const Rillknot__VmRow *row, int from)
 {
     struct rk_vm v;
     if (!rk_rows_vm(row, &v))
         return;
     if (!rk_members_merge_vm(g->c->members, &v, from, rk_mono_ms())) {
-        rk_control_dirty(g->c, false);
+        rk_control_schedule_publish(g->c, false);
         return;
     }
     RK_EVENT("vm.changed", RK_S("vm", v.id), RK_N("state", v.state),
              RK_S("by", "peer"));
-    rk_control_dirty(g->c, true);
+    rk_control_schedule_publish(g->c, true);
 }
 
-static void take_gossip(struct rk_gossip *g, struct rk_link *link,
-                        const Rillknot__Gossip *msg)
+/* Merges a peer's rows and requests settings changes if the peer has newer ones. */
+static void handle_gossip(struct rk_gossip *g, struct rk_link *link,
+                          const Rillknot__Gossip *msg)
 {
     int from = rk_members_index(g->c->members, msg->from);
     int64_t now = rk_mono_ms();
     rk_members_heard(g->c->members, msg->from, now);
     for (size_t i = 0; i < msg->n_members; i++)
-        take_member(g, msg->members[i], from);
+        merge_member(g, msg->members[i], from);
     for (size_t i = 0; i < msg->n_vms; i++)
-        take_vm(g, msg->vms[i], from);
+        merge_vm(g, msg->vms[i], from);
     for (size_t i = 0; i < msg->n_loads; i++) {
         const Rillknot__VmLoad *l = msg->loads[i];
         rk_members_merge_load(g->c->members, l->id_hash, l->load_seq, l->running,
                               l->queued, from, now);
     }
     if (msg->n_loads)
-        rk_control_dirty(g->c, false);
-    if (msg->head > rk_changelog_head(g->c->changes))
-        ask_changes(g, link);
+        rk_control_schedule_publish(g->c, false);
+    if (msg->head > rk_changelog_head(g->c->changelog))
+        request_changes(g, link);
 }
 
-static void take_changes(struct rk_gossip *g, struct rk_link *link,
-                         const Rillknot__Changes *msg)
+static void handle_changes(struct rk_gossip *g, struct rk_link *link,
+                           const Rillknot__Changes *msg)
 {
-    struct rk_changelog *log = g->c->changes;
+    struct rk_changelog *log = g->c->changelog;
     int64_t before = rk_changelog_head(log);
     if (msg->snapshot[0])
         rk_changelog_restore(log, msg->snapshot);
     for (size_t i = 0; i < msg->n_items; i++)
         rk_changelog_take(log, msg->items[i]->number, msg->items[i]->text);
     if (rk_changelog_head(log) > before)
-        rk_control_settings_moved(g->c);
-    /* A gap: a change was pushed that we can't take yet. */
+        rk_control_apply_settings(g->c);
+    /* A change was pushed that can't be applied before the missing ones. */
     if (msg->n_items && msg->items[0]->number > rk_changelog_head(log) + 1)
-        ask_changes(g, link);
-    if (msg->n_items == CHANGES_A_FRAME)
-        ask_changes(g, link);
+        request_changes(g, link);
+    if (msg->n_items == MAX_CHANGES_PER_FRAME)
+        request_changes(g, link);
 }
 
-/* Frames both ends of a link understand. True if this was one. */
-static bool take_common(struct rk_gossip *g, struct rk_link *link,
-                        const Rillknot__Frame *frame)
+/* Handles the frames that may arrive at either end of a link. Returns false for any
+ * other. */
+static bool handle_common_frame(struct rk_gossip *g, struct rk_link *link,
+                                const Rillknot__Frame *frame)
 {
     switch (frame->body_case) {
     case RILLKNOT__FRAME__BODY_GOSSIP:
-        take_gossip(g, link, frame->gossip);
+        handle_gossip(g, link, frame->gossip);
         return true;
     case RILLKNOT__FRAME__BODY_CHANGES_WANTED:
         send_changes(g, link, frame->changes_wanted->after);
         return true;
     case RILLKNOT__FRAME__BODY_CHANGES:
-        take_changes(g, link, frame->changes);
+        handle_changes(g, link, frame->changes);
         return true;
     default:
         return false;
@@ -230,243 +241,256 @@
     return !strcmp(m->domain, rk_members_self(g->c->members)->domain);
 }
 
-/* ---- what a peer was told ---- */
+/* ---- what has been sent to a peer ---- */
 
-static struct told fresh(const struct rk_gossip *g)
+/* Returns the state for a new peer, which is sent only rows that change from now
+ * on. */
+static struct sent_state initial_sent_state(const struct rk_gossip *g)
 {
-    return (struct told){.mark = rk_members_mark(g->c->members)};
+    return (struct sent_state){.high_water = rk_members_mark(g->c->members)};
 }
 
-/* After its rows were taken in: does the peer still lack some of ours, or we of
- * its? Then tell it all; it does the same. */
-static void compare_rows(struct rk_gossip *g, struct told *told,
-                         const Rillknot__Gossip *msg)
+/* Compares a peer's digests with this node's, after the peer's rows were merged. If
+ * they differ, one of the two lacks rows: unless rows may just be in flight, the
+ * next message sends all rows. The peer does the same. */
+static void compare_digests(struct rk_gossip *g, struct sent_state *sent,
+                            const Rillknot__Gossip *msg)
 {
     const struct rk_member *peer = rk_members_find(g->c->members, msg->from);
-    struct rk_digest mine = rk_members_digest(g->c->members);
-    bool same = msg->members_digest == mine.members;
+    struct rk_digest own = rk_members_digest(g->c->members);
+    bool same = msg->members_digest == own.members;
     if (peer && in_domain(g, peer))
-        same = same && msg->vms_digest == mine.vms;
-    bool first = !told->known;
-    told->known = true;
-    told->differs = same ? 0 : told->differs + 1;
-    if (same || (!first && told->differs < DIFFERS_LIMIT))
+        same = same && msg->vms_digest == own.vms;
+    bool first = !sent->received;
+    sent->received = true;
+    sent->mismatches = same ? 0 : sent->mismatches + 1;
+    if (same || (!first && sent->mismatches < MAX_MISMATCHES))
         return;
-    told->differs = 0;
-    told->mark = 0;
+    sent->mismatches = 0;
+    sent->high_water = 0;
 }
 
-/* ---- contacts ---- */
+/* ---- outbound links ---- */
 
-static struct guest *find_guest(struct rk_gossip *g, const char *id)
+static struct inbound *find_inbound(struct rk_gossip *g, const char *id)
 {
-    struct guest *guest = g->guests;
-    while (guest && strcmp(guest->id, id) != 0)
-        guest = guest->next;
-    return guest;
+    struct inbound *in = g->inbound;
+    while (in && strcmp(in->id, id) != 0)
+        in = in->next;
+    return in;
 }
 
-static void free_contact(struct contact *k)
+static void free_outbound(struct outbound *out)
 {
-    rk_timer_stop(k->g->c->loop, &k->reply);
-    rk_link_destroy(k->link);
-    free(k);
+    rk_timer_stop(out->g->c->loop, &out->reply_timer);
+    rk_link_destroy(out->link);
+    free(out);
 }
 
-static void drop_contact(struct contact *k)
+static void drop_outbound(struct outbound *out)
 {
-    struct contact **p = &k->g->contacts;
-    while (*p != k)
+    struct outbound **p = &out->g->outbound;
+    while (*p != out)
         p = &(*p)->next;
-    *p = k->next;
-    struct guest *guest = k->id[0] ? find_guest(k->g, k->id) : NULL;
-    if (guest)
-        guest->told.mark = 0; /* what was sent last may be lost */
-    free_contact(k);
+    *p = out->next;
+    struct inbound *in = out->id[0] ? find_inbound(out->g, out->id) : NULL;
+    /* What was sent last may be lost: send all rows again. */
+    if (in)
+        in->sent.high_water = 0;
+    free_outbound(out);
 }
 
-static void suspect(struct contact *k)
+/* Handles a peer that did not reply or whose link broke. */
+static void suspect_and_drop(struct outbound *out)
 {
-    struct rk_gossip *g = k->g;
-    if (k->id[0]) {
-        const struct rk_member *m = rk_members_find(g->c->members, k->id);
+    struct rk_gossip *g = out->g;
+    if (out->id[0]) {
+        const struct rk_member *m = rk_members_find(g->c->members, out->id);
         if (m && m->state == RK_MEMBER_ALIVE) {
-            RK_EVENT("member.suspect", RK_S("member", k->id));
-            rk_members_suspect(g->c->members, k->id, rk_mono_ms());
-            rk_control_dirty(g->c, true);
+            RK_EVENT("member.suspect", RK_S("member", out->id));
+            rk_members_suspect(g->c->members, out->id, rk_mono_ms());
+            rk_control_schedule_publish(g->c, true);
         }
     }
-    drop_contact(k);
+    drop_outbound(out);
 }
 
-static void on_contact_frame(void *ctx, struct rk_link *link,
-                             const Rillknot__Frame *frame)
+static void on_outbound_frame(void *ctx, struct rk_link *link,
+                              const Rillknot__Frame *frame)
 {
-    struct contact *k = ctx;
+    struct outbound *out = ctx;
     if (frame->body_case == RILLKNOT__FRAME__BODY_GOSSIP) {
-        rk_timer_stop(k->g->c->loop, &k->reply);
-        rk_strcpy(k->id, sizeof(k->id), frame->gossip->from);
+        rk_timer_stop(out->g->c->loop, &out->reply_timer);
+        rk_strcpy(out->id, sizeof(out->id), frame->gossip->from);
     }
-    take_common(k->g, link, frame);
+    handle_common_frame(out->g, link, frame);
     if (frame->body_case == RILLKNOT__FRAME__BODY_GOSSIP)
-        compare_rows(k->g, &k->told, frame->gossip);
+        compare_digests(out->g, &out->sent, frame->gossip);
 }
 
-static void on_contact_down(void *ctx, struct rk_link *link)
+static void on_outbound_down(void *ctx, struct rk_link *link)
 {
     (void)link;
-    suspect(ctx);
+    suspect_and_drop(ctx);
 }
 
-static void on_reply_late(void *ctx)
+static void on_reply_timeout(void *ctx)
 {
-    suspect(ctx);
+    suspect_and_drop(ctx);
 }
 
-static const struct rk_link_ops contact_ops = {.on_frame = on_contact_frame,
-                                               .on_down = on_contact_down};
+static const struct rk_link_ops outbound_ops = {.on_frame = on_outbound_frame,
+                                                .on_down = on_outbound_down};
 
-static struct contact *contact(struct rk_gossip *g, const char *addr,
-                               const char *id)
+/* Returns the link to addr, opened if there is none; NULL if addr is malformed. */
+static struct outbound *get_outbound(struct rk_gossip *g, const char *addr,
+                                     const char *id)
 {
-    struct contact *k = g->contacts;
-    while (k && strcmp(k->addr, addr) != 0)
-        k = k->next;
-    if (k)
-        return k;
-    k = rk_alloc(1, sizeof(*k));
-    k->g = g;
-    k->reply = (struct rk_timer){.fn = on_reply_late, .ctx = k};
-    rk_strcpy(k->addr, sizeof(k->addr), addr);
-    rk_strcpy(k->id, sizeof(k->id), id);
-    k->link = rk_link_connect(g->c->loop, addr, &contact_ops, k);
-    if (!k->link) {
-        free(k);
+    struct outbound *out = g->outbound;
+    while (out && strcmp(out->addr, addr) != 0)
+        out = out->next;
+    if (out)
+        return out;
+    out = rk_alloc(1, sizeof(*out));
+    out->g = g;
+    out->reply_timer = (struct rk_timer){.fn = on_reply_timeout, .ctx = out};
+    rk_strcpy(out->addr, sizeof(out->addr), addr);
+    rk_strcpy(out->id, sizeof(out->id), id);
+    out->link = rk_link_connect(g->c->loop, addr, &outbound_ops, out);
+    if (!out->link) {
+        free(out);
         return NULL;
     }
-    struct guest *guest = id[0] ? find_guest(g, id) : NULL;
-    k->told = guest ? guest->told : fresh(g);
-    k->next = g->contacts;
-    g->contacts = k;
-    return k;
+    struct inbound *in = id[0] ? find_inbound(g, id) : NULL;
+    out->sent = in ? in->sent : initial_sent_state(g);
+    out->next = g->outbound;
+    g->outbound = out;
+    return out;
 }
 
-static struct contact *find_contact(struct rk_gossip *g, const char *id)
+static struct outbound *find_outbound(struct rk_gossip *g, const char *id)
 {
-    struct contact *k = g->contacts;
-    while (k && strcmp(k->id, id) != 0)
-        k = k->next;
-    return k;
+    struct outbound *out = g->outbound;
+    while (out && strcmp(out->id, id) != 0)
+        out = out->next;
+    return out;
 }
 
-static void talk_to(struct rk_gossip *g, const char *addr, const char *id)
+/* Sends rows to a peer and expects a reply. id is "" if not known. */
+static void gossip_with(struct rk_gossip *g, const char *addr, const char *id)
 {
-    struct contact *k = contact(g, addr, id);
-    if (!k)
+    struct outbound *out = get_outbound(g, addr, id);
+    if (!out)
         return;
-    send_rows(g, k->link, k->id, &k->told, false);
+    send_rows(g, out->link, out->id, &out->sent, false);
     rk_count(RK_C_GOSSIP_ROUNDS, 1);
-    if (!k->reply.slot)
-        rk_timer_start(g->c->loop, &k->reply, REPLY_MS);
+    if (!out->reply_timer.slot)
+        rk_timer_start(g->c->loop, &out->reply_timer, REPLY_TIMEOUT_MS);
 }
 
-/* ---- guests ---- */
+/* ---- inbound links ---- */
 
-static void on_guest_frame(void *ctx, struct rk_link *link,
-                           const Rillknot__Frame *frame)
+static void on_inbound_frame(void *ctx, struct rk_link *link,
+                             const Rillknot__Frame *frame)
 {
-    struct guest *guest = ctx;
-    struct rk_gossip *g = guest->g;
+    struct inbound *in = ctx;
+    struct rk_gossip *g = in->g;
     if (frame->body_case == RILLKNOT__FRAME__BODY_STATE_WANTED) {
-        struct told nothing = {.known = true};
+        struct sent_state nothing = {.received = true};
         send_rows(g, link, "", &nothing, true);
         int64_t head = frame->state_wanted->head;
-        if (head < rk_changelog_head(g->c->changes))
+        if (head < rk_changelog_head(g->c->changelog))
             send_changes(g, link, head);
         return;
     }
-    take_common(g, link, frame);
+    handle_common_frame(g, link, frame);
     if (frame->body_case != RILLKNOT__FRAME__BODY_GOSSIP || frame->gossip->reply)
         return;
-    /* Answer over the same link, from the mark of our own contact there. */
-    rk_strcpy(guest->id, sizeof(guest->id), frame->gossip->from);
-    struct contact *k = find_contact(g, guest->id);
-    struct told *told = k ? &k->told : &guest->told;
-    compare_rows(g, told, frame->gossip);
-    send_rows(g, link, guest->id, told, true);
+    /* Reply over the same link, but continue from what the outbound link to the
+     * same peer has sent, if there is one. */
+    rk_strcpy(in->id, sizeof(in->id), frame->gossip->from);
+    struct outbound *out = find_outbound(g, in->id);
+    struct sent_state *sent = out ? &out->sent : &in->sent;
+    compare_digests(g, sent, frame->gossip);
+    send_rows(g, link, in->id, sent, true);
 }
 
-static void on_guest_down(void *ctx, struct rk_link *link)
+static void on_inbound_down(void *ctx, struct rk_link *link)
 {
-    struct guest *guest = ctx;
-    struct guest **p = &guest->g->guests;
-    while (*p != guest)
+    struct inbound *in = ctx;
+    struct inbound **p = &in->g->inbound;
+    while (*p != in)
         p = &(*p)->next;
-    *p = guest->next;
-    /* What we answered last may not have come through: tell it all again. */
-    struct contact *k = guest->id[0] ? find_contact(guest->g, guest->id) : NULL;
-    if (k)
-        k->told.mark = 0;
+    *p = in->next;
+    /* The last reply may be lost: send all rows again. */
+    struct outbound *out = in->id[0] ? find_outbound(in->g, in->id) : NULL;
+    if (out)
+        out->sent.high_water = 0;
     rk_link_destroy(link);
-    free(guest);
+    free(in);
 }
 
-static const struct rk_link_ops guest_ops = {.on_frame = on_guest_frame,
-                                             .on_down = on_guest_down};
+static const struct rk_link_ops inbound_ops = {.on_frame = on_inbound_frame,
+                                               .on_down = on_inbound_down};
 
 static void on_accept(void *ctx, struct rk_link *link)
 {
     struct rk_gossip *g = ctx;
-    struct guest *guest = rk_alloc(1, sizeof(*guest));
-    *guest =
-        (struct guest){.g = g, .link = link, .told = fresh(g), .next = g->guests};
-    g->guests = guest;
-    rk_link_set_ctx(link, guest);
+    struct inbound *in = rk_alloc(1, sizeof(*in));
+    *in = (struct inbound){
+        .g = g, .link = link, .sent = initial_sent_state(g), .next = g->inbound};
+    g->inbound = in;
+    rk_link_set_ctx(link, in);
 }
 
 /* ---- rounds ---- */
 
-/* Walk the members in turn, so that each is probed within one lap. */
-static void talk_in_domain(struct rk_gossip *g)
+/* Gossips with the next member of the failure domain that is not dead. Going
+ * through all in turn bounds the time between two probes of a member. */
+static void gossip_in_domain(struct rk_gossip *g)
 {
     const struct rk_members *m = g->c->members;
     for (size_t n = rk_members_count(m); n; n--) {
         const struct rk_member *row =
-            rk_members_at(m, g->turn++ % rk_members_count(m));
+            rk_members_at(m, g->next_member++ % rk_members_count(m));
         if (row == rk_members_self(m) || row->state == RK_MEMBER_DEAD ||
             !in_domain(g, row))
             continue;
-        talk_to(g, row->control_addr, row->id);
+        gossip_with(g, row->control_addr, row->id);
         return;
     }
 }
 
-static void talk_across(struct rk_gossip *g)
+/* On a bridge, gossips with a random bridge of another failure domain. */
+static void gossip_across_domains(struct rk_gossip *g)
 {
     const struct rk_members *m = g->c->members;
-    if (!rk_control_is_watcher(g->c))
+    if (!rk_control_is_bridge(g->c))
         return;
-    size_t len = rk_members_count(m), at = rk_rng_below(&g->c->rng, (uint32_t)len);
+    size_t len = rk_members_count(m),
+           start = rk_rng_below(&g->c->rng, (uint32_t)len);
     for (size_t n = 0; n < len; n++) {
-        const struct rk_member *row = rk_members_at(m, (at + n) % len);
+        const struct rk_member *row = rk_members_at(m, (start + n) % len);
         if (row->state == RK_MEMBER_DEAD || in_domain(g, row) ||
             !rk_member_is_bridge(m, row))
             continue;
-        talk_to(g, row->control_addr, row->id);
+        gossip_with(g, row->control_addr, row->id);
         return;
     }
 }
 
-/* A seed or a member thought dead: how cut-off parts find each other again. */
-static void talk_to_lost(struct rk_gossip *g)
+/* Gossips with a random dead member and a random seed, so that the two sides of a
+ * network partition find each other again. */
+static void gossip_with_lost(struct rk_gossip *g)
 {
     const struct rk_members *m = g->c->members;
-    size_t len = rk_members_count(m), at = rk_rng_below(&g->c->rng, (uint32_t)len);
+    size_t len = rk_members_count(m),
+           start = rk_rng_below(&g->c->rng, (uint32_t)len);
     for (size_t n = 0; n < len; n++) {
-        const struct rk_member *row = rk_members_at(m, (at + n) % len);
+        const struct rk_member *row = rk_members_at(m, (start + n) % len);
         if (row->state != RK_MEMBER_DEAD)
             continue;
-        talk_to(g, row->control_addr, row->id);
+        gossip_with(g, row->control_addr, row->id);
         break;
     }
     if (!g->c->opt.seeds_len)
@@ -474,9 +498,10 @@
     const char *seed =
         g->c->opt.seeds[rk_rng_below(&g->c->rng, (uint32_t)g->c->opt.seeds_len)];
     if (strcmp(seed, rk_members_self(m)->control_addr) != 0)
-        talk_to(g, seed, "");
+        gossip_with(g, seed, "");
 }
 
+/* Returns how many more calls the traffic threads could take. */
 static uint32_t total_spare(const struct rk_control *c)
 {
     uint32_t spare = 0;
@@ -489,21 +514,21 @@
 {
     struct rk_gossip *g = ctx;
     struct rk_control *c = g->c;
-    rk_timer_start(c->loop, &g->round, ROUND_MS);
+    rk_timer_start(c->loop, &g->round_timer, ROUND_INTERVAL_MS);
     rk_members_set_spare(c->members, total_spare(c));
-    if (rk_members_expire(c->members, SUSPECT_MS, rk_mono_ms())) {
+    if (rk_members_expire(c->members, SUSPECT_TIMEOUT_MS, rk_mono_ms())) {
         RK_EVENT("member.dead",
                  RK_N("members", (int64_t)rk_members_count(c->members)));
-        rk_control_dirty(c, true);
+        rk_control_schedule_publish(c, true);
     }
-    rk_members_forget(c->members, FORGET_MS, rk_mono_ms());
-    talk_in_domain(g);
-    if (g->rounds % BRIDGE_EVERY == 0)
-        talk_across(g);
-    if (g->rounds++ % SEED_EVERY == 0 || rk_members_count(c->members) == 1)
-        talk_to_lost(g);
-    rk_settings_sync_tick(c->settings);
-    rk_vms_sync_tick(c->vms);
+    rk_members_forget(c->members, ROW_RETENTION_MS, rk_mono_ms());
+    gossip_in_domain(g);
+    if (g->rounds % ROUNDS_PER_BRIDGE == 0)
+        gossip_across_domains(g);
+    if (g->rounds++ % ROUNDS_PER_SEED == 0 || rk_members_count(c->members) == 1)
+        gossip_with_lost(g);
+    rk_settings_sync_tick(c->settings_sync);
+    rk_vms_sync_tick(c->vms_sync);
 }
 
 void rk_gossip_push(struct rk_gossip *g)
@@ -512,9 +537,9 @@
     for (size_t i = 1; i < rk_members_count(m); i++) {
         const struct rk_member *row = rk_members_at(m, i);
         if (row->state != RK_MEMBER_DEAD && in_domain(g, row))
-            talk_to(g, row->control_addr, row->id);
+            gossip_with(g, row->control_addr, row->id);
     }
-    talk_across(g);
+    gossip_across_domains(g);
 }
 
 void rk_gossip_push_change(struct rk_gossip *g, int64_t number)
@@ -524,21 +549,21 @@
         const struct rk_member *row = rk_members_at(m, i);
         if (row->state == RK_MEMBER_DEAD || !in_domain(g, row))
             continue;
-        struct contact *k = contact(g, row->control_addr, row->id);
-        if (k)
-            send_changes(g, k->link, number - 1);
+        struct outbound *out = get_outbound(g, row->control_addr, row->id);
+        if (out)
+            send_changes(g, out->link, number - 1);
     }
 }
 
-/* ---- making ---- */
+/* ---- life cycle ---- */
 
 struct rk_gossip *rk_gossip_create(struct rk_control *c)
 {
     struct rk_gossip *g = rk_alloc(1, sizeof(*g));
     g->c = c;
-    g->round = (struct rk_timer){.fn = on_round, .ctx = g};
+    g->round_timer = (struct rk_timer){.fn = on_round, .ctx = g};
     g->listener = rk_listener_create(c->loop, c->opt.control_listen, false,
-                                     &guest_ops, on_accept, g);
+                                     &inbound_ops, on_accept, g);
     if (!g->listener) {
         free(g);
         return NULL;
@@ -550,16 +575,16 @@
 {
     if (!g)
         return;
-    rk_timer_stop(g->c->loop, &g->round);
+    rk_timer_stop(g->c->loop, &g->round_timer);
     rk_listener_destroy(g->listener);
-    for (struct contact *k = g->contacts, *next; k; k = next) {
-        next = k->next;
-        free_contact(k);
+    for (struct outbound *out = g->outbound, *next; out; out = next) {
+        next = out->next;
+        free_outbound(out);
     }
-    for (struct guest *guest = g->guests, *next; guest; guest = next) {
-        next = guest->next;
-        rk_link_destroy(guest->link);
-        free(guest);
+    for (struct inbound *in = g->inbound, *next; in; in = next) {
+        next = in->next;
+        rk_link_destroy(in->link);
+        free(in);
     }
     free(g);
 }
--- a/control/settings_sync.c
+++ b/control/settings_sync.c
@@ -1,6 +1,6 @@
-/* How a node keeps its settings in step: it reads the log of changes from the
- * platform when it starts, watches it while it is one of its failure domain's
- * watchers, and otherwise hears of changes from peers. */
+/* Keeps a node's settings up to date. It reads the change log from the platform at
+ * start-up and watches it while the node is a bridge of its failure domain. Other
+ * nodes receive later changes from their peers. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,91 +11,95 @@
 #include "control/state.h"
 #include "objects/objects.h"
 
-#define WATCH_MS       25000
-#define RETRY_MS       500
-#define SNAPSHOT_EVERY 64 /* changes between snapshots */
+#define WATCH_WAIT_MS        25000 /* longest time that a watch waits */
+#define RETRY_DELAY_MS       500
+#define CHANGES_PER_SNAPSHOT 64 /* changes between two snapshots */
 
 struct rk_settings_sync {
     struct rk_control *c;
-    struct rk_timer retry;
-    bool busy;        /* a list or a watch is out */
-    bool caught_up;   /* the log was read to its end once */
-    int64_t revision; /* of the platform, to watch from */
-    int64_t snapshot_head;
-    int64_t snapshot_version;
+    struct rk_timer retry_timer;
+    bool reading;             /* a read, list or watch is in flight */
+    bool caught_up;           /* the log has been read to its end */
+    int64_t watch_revision;   /* the platform's, to watch from */
+    int64_t snapshot_head;    /* last change in the stored snapshot */
+    int64_t snapshot_version; /* the stored snapshot's; 0: there is none */
     bool writing_snapshot;
 };
 
-static void list(struct rk_settings_sync *s);
+static void list_changes(struct rk_settings_sync *s);
 
-static void again(struct rk_settings_sync *s)
+static void schedule_retry(struct rk_settings_sync *s)
 {
-    s->busy = false;
-    rk_timer_start(s->c->loop, &s->retry, RETRY_MS);
+    s->reading = false;
+    rk_timer_start(s->c->loop, &s->retry_timer, RETRY_DELAY_MS);
 }
 
-/* Take changes in order; false when one is missing before the last. */
-static bool take(struct rk_settings_sync *s, const struct rk_object *os, size_t len)
+/* Applies changes in order. Returns false if one before the last is missing. */
+static bool apply_changes(struct rk_settings_sync *s,
+                          const struct rk_object *objects, size_t len)
 {
-    struct rk_changelog *log = s->c->changes;
+    struct rk_changelog *log = s->c->changelog;
     int64_t before = rk_changelog_head(log);
     bool gap = false;
     for (size_t i = 0; i < len; i++) {
-        int64_t n = rk_change_number(os[i].name);
+        int64_t n = rk_change_number(objects[i].name);
         gap = gap || n > rk_changelog_head(log) + 1;
-        rk_changelog_take(log, n, os[i].value);
+        rk_changelog_take(log, n, objects[i].value);
     }
     if (rk_changelog_head(log) > before) {
-        rk_control_settings_moved(s->c);
-        /* Only what came by the watch is news to the others. */
+        rk_control_apply_settings(s->c);
+        /* Peers read older changes themselves; only those from the watch are new to
+         * them. */
         if (s->caught_up)
             rk_gossip_push_change(s->c->gossip, before + 1);
     }
     return !gap;
 }
 
-/* Rows of a list or a watch. relist: read the log when a change is missing. */
-static void on_rows(struct rk_settings_sync *s, enum rk_status st,
-                    const struct rk_object *os, size_t len, int64_t revision,
-                    bool relist)
+/* Handles the result of a list or a watch. relist: lists the log if a change is
+ * missing. */
+static void on_changes(struct rk_settings_sync *s, enum rk_status st,
+                       const struct rk_object *objects, size_t len,
+                       int64_t revision, bool relist)
 {
     if (st != RK_OK) {
-        again(s);
+        schedule_retry(s);
         return;
     }
-    s->busy = false;
-    bool whole = take(s, os, len);
-    if (revision > s->revision)
-        s->revision = revision;
-    if (!whole && relist) {
-        list(s);
+    s->reading = false;
+    bool complete = apply_changes(s, objects, len);
+    if (revision > s->watch_revision)
+        s->watch_revision = revision;
+    if (!complete && relist) {
+        list_changes(s);
         return;
     }
     s->caught_up = true;
     rk_settings_sync_tick(s);
 }
 
-static void on_watch(void *ctx, enum rk_status st, const struct rk_object *os,
+static void on_watch(void *ctx, enum rk_status st, const struct rk_object *objects,
                      size_t len, int64_t revision)
 {
-    on_rows(ctx, st, os, len, revision, true);
+    on_changes(ctx, st, objects, len, revision, true);
 }
 
-static void on_list(void *ctx, enum rk_status st, const struct rk_object *os,
+static void on_list(void *ctx, enum rk_status st, const struct rk_object *objects,
                     size_t len, int64_t revision)
 {
-    on_rows(ctx, st, os, len, revision, false);
+    on_changes(ctx, st, objects, len, revision, false);
 }
 
-static void list(struct rk_settings_sync *s)
+static void list_changes(struct rk_settings_sync *s)
 {
     char after[RK_CHANGE_NAME_MAX];
-    rk_change_name(after, rk_changelog_head(s->c->changes));
-    s->busy = true;
+    rk_change_name(after, rk_changelog_head(s->c->changelog));
+    s->reading = true;
     rk_objects_list(s->c->objects, RK_CHANGES_PREFIX, after, on_list, s);
 }
 
-static int64_t snapshot_number(const char *value)
+/* Returns the number of the last change that a snapshot includes. */
+static int64_t parse_head(const char *value)
 {
     struct json_object *o = json_tokener_parse(value);
     int64_t head = rk_json_int(o, "head", 0);
@@ -107,21 +111,22 @@
 {
     struct rk_settings_sync *s = ctx;
     if (st != RK_OK && st != RK_ENOTFOUND) {
-        again(s);
+        schedule_retry(s);
         return;
     }
     if (st == RK_OK) {
         s->snapshot_version = o->version;
-        s->snapshot_head = snapshot_number(o->value);
-        if (rk_changelog_restore(s->c->changes, o->value) == RK_OK)
-            rk_control_settings_moved(s->c);
+        s->snapshot_head = parse_head(o->value);
+        if (rk_changelog_restore(s->c->changelog, o->value) == RK_OK)
+            rk_control_apply_settings(s->c);
     }
-    list(s);
+    list_changes(s);
 }
 
-static void read_all(struct rk_settings_sync *s)
+/* Reads the snapshot, then the changes behind it. */
+static void read_snapshot(struct rk_settings_sync *s)
 {
-    s->busy = true;
+    s->reading = true;
     rk_objects_read(s->c->objects, RK_SNAPSHOT_NAME, on_snapshot, s);
 }
 
@@ -138,15 +143,17 @@
     if (st == RK_OK)
         s->snapshot_version = version;
     else
-        s->caught_up = false; /* somebody else wrote it: read it again */
+        s->caught_up = false; /* another node may have written it: read it again */
 }
 
-static void maybe_snapshot(struct rk_settings_sync *s)
+/* Writes a snapshot every CHANGES_PER_SNAPSHOT changes, which limits how many
+ * changes a starting node has to read. */
+static void write_snapshot_if_due(struct rk_settings_sync *s)
 {
-    int64_t head = rk_changelog_head(s->c->changes);
-    if (s->writing_snapshot || head - s->snapshot_head < SNAPSHOT_EVERY)
+    int64_t head = rk_changelog_head(s->c->changelog);
+    if (s->writing_snapshot || head - s->snapshot_head < CHANGES_PER_SNAPSHOT)
         return;
-    char *text = rk_changelog_snapshot(s->c->changes);
+    char *text = rk_changelog_snapshot(s->c->changelog);
     s->writing_snapshot = true;
     s->snapshot_head = head;
     rk_objects_write(s->c->objects, RK_SNAPSHOT_NAME, s->snapshot_version, text,
@@ -154,28 +161,27 @@
     free(text);
 }
 
-/* Go on: read the log when it was never read, watch it as a watcher. */
 void rk_settings_sync_tick(struct rk_settings_sync *s)
 {
-    if (s->busy || s->retry.slot)
+    if (s->reading || s->retry_timer.slot)
         return;
     if (!s->caught_up) {
-        read_all(s);
+        read_snapshot(s);
         return;
     }
-    if (!rk_control_is_watcher(s->c))
+    if (!rk_control_is_bridge(s->c))
         return;
-    maybe_snapshot(s);
-    s->busy = true;
-    rk_objects_watch(s->c->objects, RK_CHANGES_PREFIX, s->revision, WATCH_MS,
-                     on_watch, s);
+    write_snapshot_if_due(s);
+    s->reading = true;
+    rk_objects_watch(s->c->objects, RK_CHANGES_PREFIX, s->watch_revision,
+                     WATCH_WAIT_MS, on_watch, s);
 }
 
 struct rk_settings_sync *rk_settings_sync_create(struct rk_control *c)
 {
     struct rk_settings_sync *s = rk_alloc(1, sizeof(*s));
     s->c = c;
-    s->retry = (struct rk_timer){.fn = on_retry, .ctx = s};
+    s->retry_timer = (struct rk_timer){.fn = on_retry, .ctx = s};
     return s;
 }
 
--- a/engines/side.c
+++ b/engines/side.c
@@ -11,6 +11,7 @@
 #define URL_MAX  256
 #define BODY_MAX 256
 
+/* A call in flight; one of the callbacks is set. */
 struct op {
     rk_engine_load_fn *on_load;
     rk_engine_order_fn *on_order;
@@ -37,8 +38,8 @@
     free(op);
 }
 
-void rk_engine_load(struct rk_http *http, const char *addr, rk_engine_load_fn *fn,
-                    void *ctx)
+void rk_engine_get_load(struct rk_http *http, const char *addr,
+                        rk_engine_load_fn *fn, void *ctx)
 {
     struct op *op = rk_alloc(1, sizeof(*op));
     *op = (struct op){.on_load = fn, .ctx = ctx};
@@ -65,9 +66,9 @@
     rk_buf_free(&b);
 }
 
-void rk_engine_order(struct rk_http *http, const char *addr, const char *order,
-                     const char *argument, int64_t epoch, rk_engine_order_fn *fn,
-                     void *ctx)
+void rk_engine_send_order(struct rk_http *http, const char *addr, const char *order,
+                          const char *argument, int64_t epoch,
+                          rk_engine_order_fn *fn, void *ctx)
 {
     struct op *op = rk_alloc(1, sizeof(*op));
     *op = (struct op){.on_order = fn, .ctx = ctx};
