--- a/keeper/keeper.c
+++ b/keeper/keeper.c
@@ -29,7 +29,7 @@
 #define HEADROOM                     0.25   /* share of slots kept free */
 #define DEMAND_EWMA_WEIGHT           0.2    /* weight of the newest load */
 #define URGENT_DEMAND_SHARE          0.5    /* of the demand; an assumption */
-#define TOKENS_PER_RECLAIM           8000.0 /* recomputed when an engine VM is lost */
+#define TOKENS_PER_RECLAIM           8000.0 /* recomputed per lost engine VM */
 #define PRICE_PER_MTOKEN             1.0    /* in units of the VM prices */
 #define MAX_SERVICES                 64
 #define MAX_PENDING_STARTS           64
