--- a/callers/callers.c
+++ b/callers/callers.c
@@ -19,41 +19,41 @@
 #include "serve/exchange.h"
 #include "serve/traffic.h"
 
-#define HEADER_MEMORY (16 * 1024) /* for one connection's head */
-#define STREAM_BLOCK  4096
-#define VALUE_MAX     64
+#define CONNECTION_MEMORY_BYTES (16 * 1024) /* limit of a request's head */
+#define STREAM_BLOCK_BYTES      4096        /* bytes that MHD reads at a time */
+#define HEADER_VALUE_MAX        64
 
 struct rk_callers {
     struct rk_traffic *t;
     struct rk_callers_options opt;
     struct MHD_Daemon *daemon;
     int epoll_fd;
-    struct rk_timer timer; /* MHD's own timeouts, and resumed connections */
+    struct rk_timer timer; /* runs MHD for its time-outs and resumed connections */
     uint64_t next_id;
-    size_t open;
+    size_t requests_len; /* requests that MHD has not completed */
     uint16_t port;
 };
 
-/* One exchange with a caller. */
-struct conn {
+/* A caller's request and its answer. MHD's per-request pointer refers to it. */
+struct caller_request {
     struct rk_callers *c;
     struct MHD_Connection *mhd;
     struct rk_request req;
     struct rk_buf body;
     int64_t started_ms;
-    bool parsed, begun, suspended;
-    bool ready; /* the answer can be begun */
-    bool ended; /* nothing more comes */
-    struct rk_exchange *exchange;
+    bool head_parsed, exchange_started, suspended;
+    bool can_answer;              /* the answer's status and headers can be sent */
+    bool answer_ended;            /* the answer is complete, or was given up */
+    struct rk_exchange *exchange; /* NULL before its start and after its end */
     int status;
     char content_type[RK_CTYPE_MAX];
-    struct rk_buf out;
-    size_t out_pos;
+    struct rk_buf pending; /* answer bytes; MHD has read those before pending_pos */
+    size_t pending_pos;
     struct rk_outcome outcome;
-    char detail[256];
+    char detail[256]; /* what outcome.detail points to */
 };
 
-/* ---- running MHD on the loop ---- */
+/* ---- MHD on the event loop ---- */
 
 static void run_mhd(void *ctx)
 {
@@ -71,119 +71,125 @@
     run_mhd(ctx);
 }
 
-static void resume(struct conn *k)
+static void resume_connection(struct caller_request *k)
 {
     if (!k->suspended)
         return;
     k->suspended = false;
     MHD_resume_connection(k->mhd);
-    /* MHD sees it in its next run: soon, and once for many. */
+    /* MHD handles resumed connections in its next run. The timer makes one run in
+     * the loop's next iteration serve all connections resumed until then. */
     rk_timer_start(k->c->t->loop, &k->c->timer, 0);
 }
 
-static void suspend(struct conn *k)
+static void suspend_connection(struct caller_request *k)
 {
     k->suspended = true;
     MHD_suspend_connection(k->mhd);
 }
 
-/* ---- the exchange's sink ---- */
+/* ---- the exchange's answer sink ---- */
 
-static void on_part(void *ctx, const struct rk_part *part)
+static void on_answer_piece(void *ctx, const struct rk_part *part)
 {
-    struct conn *k = ctx;
+    struct caller_request *k = ctx;
     k->status = part->status;
     rk_strcpy(k->content_type, sizeof(k->content_type), part->content_type);
-    bool fits;
+    bool has_room;
     if (part->index >= 0) {
-        fits = rk_buf_printf(&k->out, "id: %" PRId64 "\ndata: ", part->index) &&
-               rk_buf_add(&k->out, part->data, part->len) &&
-               rk_buf_addstr(&k->out, "\n\n");
-        k->ready = true;
+        has_room =
+            rk_buf_printf(&k->pending, "id: %" PRId64 "\ndata: ", part->index) &&
+            rk_buf_add(&k->pending, part->data, part->len) &&
+            rk_buf_addstr(&k->pending, "\n\n");
+        k->can_answer = true;
     } else {
-        fits = rk_buf_add(&k->out, part->data, part->len);
+        has_room = rk_buf_add(&k->pending, part->data, part->len);
     }
-    if (!fits) {
-        /* It doesn't read: what it misses would leave a hole, so it is cut. */
+    if (!has_room) {
+        /* The caller does not keep up with its answer. Dropping a piece would leave
+         * a gap, so the answer stops here, without an end marker. */
         snprintf(k->detail, sizeof(k->detail), "the caller reads too slowly");
-        k->ended = true;
+        k->answer_ended = true;
         k->outcome.whole = false;
     }
-    if (k->ready)
-        resume(k);
+    if (k->can_answer)
+        resume_connection(k);
 }
 
-static void end_stream(struct conn *k)
+static void append_stream_end(struct caller_request *k)
 {
     if (k->outcome.whole) {
-        rk_buf_addstr(&k->out, "data: [DONE]\n\n");
+        rk_buf_addstr(&k->pending, "data: [DONE]\n\n");
         return;
     }
-    rk_buf_addstr(&k->out, k->outcome.resume ? "event: resume\ndata: "
-                                             : "event: error\ndata: ");
-    rk_page_problem(&k->out, &k->outcome, k->req.id);
-    rk_buf_addstr(&k->out, "\n\n");
+    rk_buf_addstr(&k->pending, k->outcome.resume ? "event: resume\ndata: "
+                                                 : "event: error\ndata: ");
+    rk_page_problem(&k->pending, &k->outcome, k->req.id);
+    rk_buf_addstr(&k->pending, "\n\n");
 }
 
-static void on_end(void *ctx, const struct rk_outcome *o)
+static void on_answer_end(void *ctx, const struct rk_outcome *o)
 {
-    struct conn *k = ctx;
+    struct caller_request *k = ctx;
     k->exchange = NULL;
-    if (k->ended)
+    if (k->answer_ended)
         return;
     k->outcome = *o;
     snprintf(k->detail, sizeof(k->detail), "%s", o->detail ? o->detail : "");
     k->outcome.detail = k->detail;
-    k->out.max = 0; /* the end always fits */
-    if (k->ready) {
-        end_stream(k);
+    k->pending.max = 0; /* no limit: the end must always fit */
+    if (k->can_answer) {
+        append_stream_end(k);
     } else if (o->whole) {
-        if (!k->out.data)
-            rk_buf_addstr(&k->out, "");
+        if (!k->pending.data)
+            rk_buf_addstr(&k->pending, "");
     } else {
-        rk_buf_free(&k->out);
+        rk_buf_free(&k->pending);
         k->status = o->status;
         rk_strcpy(k->content_type, sizeof(k->content_type),
                   "application/problem+json");
-        rk_page_problem(&k->out, &k->outcome, k->req.id);
+        rk_page_problem(&k->pending, &k->outcome, k->req.id);
     }
-    k->ended = true;
-    k->ready = true;
-    resume(k);
+    k->answer_ended = true;
+    k->can_answer = true;
+    resume_connection(k);
 }
 
-static const struct rk_sink sink = {.part = on_part, .end = on_end};
+static const struct rk_sink answer_sink = {.part = on_answer_piece,
+                                           .end = on_answer_end};
 
 /* ---- answers ---- */
 
-static ssize_t read_stream(void *cls, uint64_t pos, char *buf, size_t max)
+/* MHD_ContentReaderCallback: copies pending bytes of a streamed answer to buf. */
+static ssize_t read_pending(void *cls, uint64_t pos, char *buf, size_t max)
 {
     (void)pos;
-    struct conn *k = cls;
-    size_t left = k->out.len - k->out_pos;
+    struct caller_request *k = cls;
+    size_t left = k->pending.len - k->pending_pos;
     if (left) {
         size_t n = left < max ? left : max;
-        memcpy(buf, k->out.data + k->out_pos, n);
-        k->out_pos += n;
-        if (k->out_pos == k->out.len) {
-            rk_buf_consume(&k->out, k->out_pos);
-            k->out_pos = 0;
+        memcpy(buf, k->pending.data + k->pending_pos, n);
+        k->pending_pos += n;
+        if (k->pending_pos == k->pending.len) {
+            rk_buf_consume(&k->pending, k->pending_pos);
+            k->pending_pos = 0;
         }
         return (ssize_t)n;
     }
-    if (k->ended)
+    if (k->answer_ended)
         return MHD_CONTENT_READER_END_OF_STREAM;
-    suspend(k);
+    suspend_connection(k);
     return 0;
 }
 
-static void add_headers(struct MHD_Response *r, const struct conn *k)
+static void add_answer_headers(struct MHD_Response *r,
+                               const struct caller_request *k)
 {
-    char value[VALUE_MAX];
+    char value[HEADER_VALUE_MAX];
     MHD_add_response_header(r, "Rillknot-Request-Id", k->req.id);
     if (k->content_type[0])
         MHD_add_response_header(r, "Content-Type", k->content_type);
-    if (!k->ended)
+    if (!k->answer_ended)
         return;
     const struct rk_outcome *o = &k->outcome;
     MHD_add_response_header(r, "Rillknot-Verdict", rk_verdict_str(o->verdict));
@@ -200,27 +206,30 @@
     MHD_add_response_header(r, "Rillknot-Retry-After-Ms", value);
 }
 
-static enum MHD_Result answer(struct conn *k)
+static enum MHD_Result queue_answer(struct caller_request *k)
 {
     struct MHD_Response *r;
-    if (k->ended && !k->req.stream)
-        r = MHD_create_response_from_buffer(
-            k->out.len, k->out.data ? k->out.data : "", MHD_RESPMEM_MUST_COPY);
+    if (k->answer_ended && !k->req.stream)
+        r = MHD_create_response_from_buffer(k->pending.len,
+                                            k->pending.data ? k->pending.data : "",
+                                            MHD_RESPMEM_MUST_COPY);
     else
-        r = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, STREAM_BLOCK,
-                                              read_stream, k, NULL);
-    add_headers(r, k);
+        r = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES,
+                                              read_pending, k, NULL);
+    add_answer_headers(r, k);
     enum MHD_Result ret = MHD_queue_response(k->mhd, (unsigned)k->status, r);
     MHD_destroy_response(r);
     return ret;
 }
 
-static enum MHD_Result answer_page(struct conn *k, int status, const char *type)
+static enum MHD_Result queue_page(struct caller_request *k, int status,
+                                  const char *type)
 {
     k->status = status;
     rk_strcpy(k->content_type, sizeof(k->content_type), type);
     struct MHD_Response *r = MHD_create_response_from_buffer(
-        k->out.len, k->out.data ? k->out.data : "", MHD_RESPMEM_MUST_COPY);
+        k->pending.len, k->pending.data ? k->pending.data : "",
+        MHD_RESPMEM_MUST_COPY);
     MHD_add_response_header(r, "Content-Type", type);
     enum MHD_Result ret = MHD_queue_response(k->mhd, (unsigned)status, r);
     MHD_destroy_response(r);
@@ -229,27 +238,30 @@
 
 /* ---- requests ---- */
 
-static const char *header_of(void *ctx, const char *name)
+static const char *lookup_header(void *ctx, const char *name)
 {
-    struct conn *k = ctx;
+    struct caller_request *k = ctx;
     return MHD_lookup_connection_value(k->mhd, MHD_HEADER_KIND, name);
 }
 
-static enum MHD_Result refuse_input(struct conn *k, int status, const char *detail)
+static enum MHD_Result reject_request(struct caller_request *k, int status,
+                                      const char *detail)
 {
     rk_count(RK_C_BAD_INPUT, 1);
-    /* An earlier arrival of the key may have run, well-formed as it was. */
-    bool keyed = header_of(k, "Idempotency-Key") != NULL;
+    /* An earlier request with the same key may have been valid and have run. */
+    bool keyed = lookup_header(k, "Idempotency-Key") != NULL;
     const struct rk_outcome o = {.status = status,
                                  .verdict = keyed ? RK_MAY_HAVE_RUN : RK_NOT_RUN,
                                  .not_sent = true,
                                  .detail = detail};
-    on_end(k, &o);
-    return answer(k);
+    on_answer_end(k, &o);
+    return queue_answer(k);
 }
 
-static enum MHD_Result add_query(void *cls, enum MHD_ValueKind kind,
-                                 const char *key, const char *value)
+/* MHD_KeyValueIterator: appends one decoded query argument to the rk_buf at cls,
+ * percent-encoded. */
+static enum MHD_Result append_query_arg(void *cls, enum MHD_ValueKind kind,
+                                        const char *key, const char *value)
 {
     (void)kind;
     struct rk_buf *b = cls;
@@ -262,114 +274,119 @@
     return MHD_YES;
 }
 
-static enum MHD_Result begin(struct conn *k)
+static enum MHD_Result start_exchange(struct caller_request *k)
 {
     struct rk_callers *c = k->c;
-    k->begun = true;
+    k->exchange_started = true;
     k->req.body = k->body.data;
     k->req.body_len = k->body.len;
     k->body = (struct rk_buf){0};
-    k->out.max = c->opt.max_unread;
+    k->pending.max = c->opt.max_unread;
     struct rk_request req = k->req;
     k->req.body = NULL;
-    struct rk_exchange *x = rk_exchange_start(c->t, &req, &sink, k);
-    if (!k->ended)
+    struct rk_exchange *x = rk_exchange_start(c->t, &req, &answer_sink, k);
+    if (!k->answer_ended)
         k->exchange = x;
     k->req.stream = k->req.stream || (x && rk_exchange_is_stream(x));
-    if (k->ready)
-        return answer(k);
-    suspend(k);
+    if (k->can_answer)
+        return queue_answer(k);
+    suspend_connection(k);
     return MHD_YES;
 }
 
-static enum MHD_Result serve_page(struct conn *k, const char *url)
+static enum MHD_Result serve_page(struct caller_request *k, const char *url)
 {
     int status;
     const char *type;
-    if (rk_page_render(&k->out, k->c->t, url, &status, &type))
-        return answer_page(k, status, type);
-    return refuse_input(k, 404, "no such path");
+    if (rk_page_render(&k->pending, k->c->t, url, &status, &type))
+        return queue_page(k, status, type);
+    return reject_request(k, 404, "no such path");
 }
 
-static enum MHD_Result first_look(struct conn *k, const char *url,
-                                  const char *method)
+static enum MHD_Result on_request_head(struct caller_request *k, const char *url,
+                                       const char *method)
 {
     struct rk_buf query = {0};
-    MHD_get_connection_values(k->mhd, MHD_GET_ARGUMENT_KIND, add_query, &query);
-    enum rk_parse p = rk_parse_request(&k->req, method, url,
-                                       query.data ? query.data : "", header_of, k);
+    MHD_get_connection_values(k->mhd, MHD_GET_ARGUMENT_KIND, append_query_arg,
+                              &query);
+    enum rk_parse p = rk_parse_request(
+        &k->req, method, url, query.data ? query.data : "", lookup_header, k);
     rk_buf_free(&query);
     snprintf(k->req.id, sizeof(k->req.id), "%s-%" PRIu64, k->c->opt.id_prefix,
              ++k->c->next_id);
-    k->parsed = true;
+    k->head_parsed = true;
     switch (p) {
     case RK_PARSE_CALL:
-        return MHD_YES; /* the body comes next */
+        return MHD_YES; /* MHD reads the body next */
     case RK_PARSE_PAGE:
         return serve_page(k, url);
     case RK_PARSE_BAD:
-        return refuse_input(k, 400, rk_last_error());
+        return reject_request(k, 400, rk_last_error());
     }
     return MHD_NO;
 }
 
-static enum MHD_Result on_access(void *cls, struct MHD_Connection *mhd,
-                                 const char *url, const char *method,
-                                 const char *version, const char *data, size_t *len,
-                                 void **con_cls)
+/* MHD_AccessHandlerCallback: called first for the head of a request, then for each
+ * piece of its body, then with *len 0 at its end and when it was resumed. */
+static enum MHD_Result on_request_progress(void *cls, struct MHD_Connection *mhd,
+                                           const char *url, const char *method,
+                                           const char *version, const char *data,
+                                           size_t *len, void **request_slot)
 {
     (void)version;
     struct rk_callers *c = cls;
-    struct conn *k = *con_cls;
+    struct caller_request *k = *request_slot;
     if (!k) {
         k = rk_alloc(1, sizeof(*k));
-        *k = (struct conn){.c = c, .mhd = mhd, .started_ms = rk_mono_ms()};
+        *k =
+            (struct caller_request){.c = c, .mhd = mhd, .started_ms = rk_mono_ms()};
         k->body.max = c->opt.max_body;
-        *con_cls = k;
-        c->open++;
-        return first_look(k, url, method);
+        *request_slot = k;
+        c->requests_len++;
+        return on_request_head(k, url, method);
     }
     if (*len) {
         size_t n = *len;
         *len = 0;
-        if (k->ended)
-            return MHD_YES; /* refused already: swallow the rest */
+        if (k->answer_ended)
+            return MHD_YES; /* already rejected: discard the rest of the body */
         if (rk_mono_ms() - k->started_ms > c->opt.max_upload_ms)
             return MHD_NO;
         if (!rk_buf_add(&k->body, data, n)) {
-            k->body.max = 1; /* keep no more of it */
+            k->body.max = 1; /* buffer no more of the body */
             rk_buf_free(&k->body);
             k->status = 413;
         }
         return MHD_YES;
     }
-    if (k->begun)
-        return k->ready ? answer(k) : MHD_YES;
+    if (k->exchange_started)
+        return k->can_answer ? queue_answer(k) : MHD_YES;
     if (k->status == 413)
-        return refuse_input(k, 413, "the body is too large");
-    return begin(k);
+        return reject_request(k, 413, "the body is too large");
+    return start_exchange(k);
 }
 
-static void on_completed(void *cls, struct MHD_Connection *mhd, void **con_cls,
-                         enum MHD_RequestTerminationCode code)
+static void on_request_completed(void *cls, struct MHD_Connection *mhd,
+                                 void **request_slot,
+                                 enum MHD_RequestTerminationCode code)
 {
     (void)mhd;
     (void)code;
     struct rk_callers *c = cls;
-    struct conn *k = *con_cls;
+    struct caller_request *k = *request_slot;
     if (!k)
         return;
-    c->open--;
+    c->requests_len--;
     if (k->exchange)
         rk_exchange_cancel(k->exchange);
     rk_request_free(&k->req);
     rk_buf_free(&k->body);
-    rk_buf_free(&k->out);
+    rk_buf_free(&k->pending);
     free(k);
-    *con_cls = NULL;
+    *request_slot = NULL;
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 struct rk_callers *rk_callers_create(struct rk_traffic *t,
                                      const struct rk_callers_options *opt)
@@ -385,12 +402,12 @@
     c->timer = (struct rk_timer){.fn = run_mhd, .ctx = c};
     c->daemon = MHD_start_daemon(
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, ntohs(addr.sin_port), NULL, NULL,
-        on_access, c, MHD_OPTION_SOCK_ADDR, &addr, MHD_OPTION_NOTIFY_COMPLETED,
-        on_completed, c, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
-        MHD_OPTION_CONNECTION_TIMEOUT, opt->idle_s, MHD_OPTION_CONNECTION_LIMIT,
-        opt->max_connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        (size_t)HEADER_MEMORY, MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U,
-        MHD_OPTION_END);
+        on_request_progress, c, MHD_OPTION_SOCK_ADDR, &addr,
+        MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, c,
+        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_CONNECTION_TIMEOUT,
+        opt->idle_s, MHD_OPTION_CONNECTION_LIMIT, opt->max_connections,
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES,
+        MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U, MHD_OPTION_END);
     if (!c->daemon) {
         rk_fail(RK_ESYSTEM, "%s: can't listen", opt->listen);
         free(c);
@@ -421,5 +438,5 @@
 
 size_t rk_callers_open(const struct rk_callers *c)
 {
-    return c->open;
+    return c->requests_len;
 }
--- a/callers/callers.h
+++ b/callers/callers.h
@@ -1,15 +1,17 @@
-/* Callers' side: HTTP through libmicrohttpd, driven by a traffic thread's event
- * loop, so that no caller, however slow or malformed, takes a thread.
+/* HTTP front end of an entry node: parses callers' requests, starts an exchange for
+ * each and writes its answer. It uses libmicrohttpd, driven by the event loop of a
+ * traffic thread, so that a slow or malformed caller never blocks a thread.
  *
- *   POST /v1/completions, /v1/chat/completions    model calls, SSE when asked
+ *   POST /v1/completions, /v1/chat/completions    model calls; SSE on request
  *   ANY  /services/SERVICE/CALL[/...][?...]       plain service calls
- *   GET  /health  /metrics  /status               for the balancer and operators
+ *   GET  /health  /metrics  /status               for load balancers and operators
  *
- * Request headers: Rillknot-Organisation (needed), Rillknot-Class,
+ * Request headers: Rillknot-Organisation (required), Rillknot-Class,
  * Rillknot-Deadline-Ms, Idempotency-Key, Last-Event-ID (resumes a stream).
- * Answer headers: Rillknot-Request-Id, Rillknot-Verdict, Rillknot-Arrival:
- * not-sent when this arrival went to no upstream, Retry-After, Idempotent-Replay.
- * Failures are application/problem+json. */
+ * Answer headers: Rillknot-Request-Id, Rillknot-Verdict, Rillknot-Arrival (with the
+ * value not-sent if this request was not sent to any upstream), Retry-After,
+ * Rillknot-Retry-After-Ms, Idempotent-Replay.
+ * Failures have a body of type application/problem+json. */
 #ifndef RK_CALLERS_CALLERS_H
 #define RK_CALLERS_CALLERS_H
 
@@ -20,23 +22,34 @@
 struct rk_traffic;
 
 struct rk_callers_options {
-    const char *listen;    /* "ip:port"; port 0: the kernel picks */
-    const char *id_prefix; /* of request ids: unique to this process's run */
-    size_t max_body;       /* bytes */
+    const char *listen;    /* "ip:port"; the kernel chooses the port if it is 0 */
+    const char *id_prefix; /* start of request ids; unique to this run and thread;
+                              must stay valid until destroy */
+    size_t max_body;       /* largest request body, bytes */
     unsigned max_connections;
-    unsigned idle_s;       /* silence after which a caller is cut */
-    int64_t max_upload_ms; /* longest time a request may take to come in */
-    size_t max_unread;     /* bytes of a stream kept for a slow caller */
+    unsigned idle_s;       /* inactivity after which a connection is closed, s */
+    int64_t max_upload_ms; /* time limit for receiving a request body */
+    size_t max_unread;     /* answer bytes buffered for a slow caller */
 };
 
-/* Traffic thread (or before it runs). NULL: see rk_last_error(). */
+/* Starts to listen on opt->listen and serves requests on the loop of `t`, which
+ * must outlive the result. Copies *opt, but not the strings that it points to.
+ * Returns NULL and sets rk_last_error() if the address is malformed or can't be
+ * bound.
+ *
+ * This and the other functions are called on the traffic thread of `t`, or before
+ * it runs. */
 struct rk_callers *rk_callers_create(struct rk_traffic *t,
                                      const struct rk_callers_options *opt);
+
+/* Closes the listener and all connections, cancels their exchanges and frees c.
+ * Does nothing if c is NULL. */
 void rk_callers_destroy(struct rk_callers *c);
 
+/* Returns the port that is listened on, in host byte order. */
 uint16_t rk_callers_port(const struct rk_callers *c);
 
-/* Answers still to be given or being written. */
+/* Returns the number of requests whose answer is not completely written yet. */
 size_t rk_callers_open(const struct rk_callers *c);
 
 #endif
--- a/callers/parse.c
+++ b/callers/parse.c
@@ -8,8 +8,8 @@
 #include "core/call.h"
 
 #define SERVICES_PREFIX "/services/"
-#define MAX_DEADLINE_MS 86400000LL
-#define MAX_TOKEN_INDEX 100000000LL
+#define DEADLINE_MAX_MS 86400000LL /* one day */
+#define TOKEN_INDEX_MAX 100000000LL
 
 void rk_parse_escape(struct rk_buf *b, const char *s)
 {
@@ -21,6 +21,8 @@
     }
 }
 
+/* Returns true if s has one or more of the characters A-Z a-z 0-9 - _ . and no
+ * others. */
 static bool is_name(const char *s)
 {
     if (!*s)
@@ -31,17 +33,19 @@
     return true;
 }
 
-/* Visible ASCII only, and none of the characters of `but`. */
-static bool is_plain(const char *s, const char *but)
+/* Returns true if s has only visible ASCII characters (no space), and none of those
+ * in `excluded`. */
+static bool is_visible_ascii(const char *s, const char *excluded)
 {
     for (; *s; s++)
-        if (*s <= 0x20 || *s > 0x7e || strchr(but, *s))
+        if (*s <= 0x20 || *s > 0x7e || strchr(excluded, *s))
             return false;
     return true;
 }
 
-/* A visible-ASCII value that fits. */
-static bool copy_value(char *dst, size_t size, const char *src)
+/* Copies src if it consists of printable ASCII characters (space included) and fits
+ * into `size` bytes. Returns false otherwise. */
+static bool copy_printable(char *dst, size_t size, const char *src)
 {
     for (const char *p = src; *p; p++)
         if (*p < 0x20 || *p > 0x7e)
@@ -49,14 +53,17 @@
     return rk_strcpy(dst, size, src);
 }
 
-static bool parse_number(const char *s, int64_t min, int64_t max, int64_t *out)
+/* Parses the whole of s as a decimal number from min to max. */
+static bool parse_int_in_range(const char *s, int64_t min, int64_t max,
+                               int64_t *out)
 {
     char *end;
     *out = strtoll(s, &end, 10);
     return *s && !*end && *out >= min && *out <= max;
 }
 
-/* "/services/SERVICE/CALL/..." into service, call and the upstream's path. */
+/* Splits "/services/SERVICE/CALL/..." into r->service, r->call and r->path. r->path
+ * is what the upstream gets: "/CALL/..." and the query. */
 static bool parse_service_path(struct rk_request *r, const char *path,
                                const char *query)
 {
@@ -75,15 +82,17 @@
     r->call[call_len] = '\0';
     if (!is_name(r->service) || (r->call[0] && !is_name(r->call)))
         return false;
-    /* A dot segment would reach another call under this one's policy. */
-    if (!is_plain(rest, "#?%") || !is_plain(query, "#") || strstr(rest, "/."))
+    /* An upstream that resolves dot segments would run another call than the one
+     * whose policy is applied here. */
+    if (!is_visible_ascii(rest, "#?%") || !is_visible_ascii(query, "#") ||
+        strstr(rest, "/."))
         return false;
     return rk_strcpy(r->path, sizeof(r->path), rest) &&
            strlen(r->path) + strlen(query) < sizeof(r->path) &&
            strcat(r->path, query);
 }
 
-static enum rk_parse bad(const char *what)
+static enum rk_parse fail_parse(const char *what)
 {
     rk_fail(RK_EINVAL, "%s", what);
     return RK_PARSE_BAD;
@@ -94,24 +103,26 @@
               const char *(*header)(void *ctx, const char *name), void *ctx)
 {
     const char *v = header(ctx, "Rillknot-Organisation");
-    if (!v || !copy_value(r->org, sizeof(r->org), v) || !is_name(r->org))
-        return bad("Rillknot-Organisation: expected the name of an organisation");
+    if (!v || !copy_printable(r->org, sizeof(r->org), v) || !is_name(r->org))
+        return fail_parse(
+            "Rillknot-Organisation: expected the name of an organisation");
     if ((v = header(ctx, "Rillknot-Class")) &&
-        (!copy_value(r->cls, sizeof(r->cls), v) || !is_name(r->cls)))
-        return bad("Rillknot-Class: expected the name of a priority class");
+        (!copy_printable(r->cls, sizeof(r->cls), v) || !is_name(r->cls)))
+        return fail_parse("Rillknot-Class: expected the name of a priority class");
     if ((v = header(ctx, "Idempotency-Key")) &&
-        (!*v || !copy_value(r->key, sizeof(r->key), v)))
-        return bad("Idempotency-Key: expected 1 to 127 visible characters");
+        (!*v || !copy_printable(r->key, sizeof(r->key), v)))
+        return fail_parse("Idempotency-Key: expected 1 to 127 visible characters");
     if ((v = header(ctx, "Content-Type")) &&
-        !copy_value(r->content_type, sizeof(r->content_type), v))
-        return bad("Content-Type: expected at most 95 visible characters");
+        !copy_printable(r->content_type, sizeof(r->content_type), v))
+        return fail_parse("Content-Type: expected at most 95 visible characters");
     if ((v = header(ctx, "Rillknot-Deadline-Ms")) &&
-        !parse_number(v, 1, MAX_DEADLINE_MS, &r->deadline_in_ms))
-        return bad("Rillknot-Deadline-Ms: expected 1 to 86400000");
+        !parse_int_in_range(v, 1, DEADLINE_MAX_MS, &r->deadline_in_ms))
+        return fail_parse("Rillknot-Deadline-Ms: expected 1 to 86400000");
     int64_t last;
     if ((v = header(ctx, "Last-Event-ID"))) {
-        if (!parse_number(v, 0, MAX_TOKEN_INDEX, &last))
-            return bad("Last-Event-ID: expected the id of the last event received");
+        if (!parse_int_in_range(v, 0, TOKEN_INDEX_MAX, &last))
+            return fail_parse(
+                "Last-Event-ID: expected the id of the last event received");
         r->resume_from = last + 1;
     }
     return RK_PARSE_CALL;
@@ -125,17 +136,18 @@
     bool chat = !strcmp(path, "/v1/chat/completions");
     if (chat || !strcmp(path, "/v1/completions")) {
         if (strcmp(method, "POST") != 0)
-            return bad("completions: expected POST");
+            return fail_parse("completions: expected POST");
         r->completion = true;
         r->chat = chat;
         rk_strcpy(r->path, sizeof(r->path), path);
     } else if (!strncmp(path, SERVICES_PREFIX, strlen(SERVICES_PREFIX))) {
         if (!parse_service_path(r, path, query))
-            return bad("path: expected /services/SERVICE/CALL of plain characters");
+            return fail_parse(
+                "path: expected /services/SERVICE/CALL of plain characters");
     } else {
         return RK_PARSE_PAGE;
     }
     if (!rk_strcpy(r->method, sizeof(r->method), method))
-        return bad("method: expected a usual one");
+        return fail_parse("method: expected a usual one");
     return parse_headers(r, header, ctx);
 }
--- a/callers/parse.h
+++ b/callers/parse.h
@@ -1,4 +1,5 @@
-/* A caller's request line and headers, checked and turned into a request. */
+/* Parser and validator of a caller's request line and headers. Its result is a
+ * struct rk_request. It has no state and does no I/O. */
 #ifndef RK_CALLERS_PARSE_H
 #define RK_CALLERS_PARSE_H
 
@@ -6,18 +7,21 @@
 struct rk_buf;
 
 enum rk_parse {
-    RK_PARSE_CALL, /* a call: its body is still to come */
-    RK_PARSE_PAGE, /* a page of our own */
-    RK_PARSE_BAD,  /* malformed: rk_last_error() says how */
+    RK_PARSE_CALL, /* a valid call; its body has not been read yet */
+    RK_PARSE_PAGE, /* not a call; the path may be a page of the node (pages.h) */
+    RK_PARSE_BAD,  /* malformed; rk_last_error() has the reason */
 };
 
-/* header(ctx, name) gives a header's value or NULL. query: "" or "?...". */
+/* Fills r, which must be zeroed, from a request line and its headers. `query` is ""
+ * or starts with "?" and is percent-encoded. `header` returns the value of the
+ * named header, or NULL if there is none; it is called with ctx. The contents of r
+ * are unspecified unless RK_PARSE_CALL is returned. */
 enum rk_parse rk_parse_request(struct rk_request *r, const char *method,
                                const char *path, const char *query,
                                const char *(*header)(void *ctx, const char *name),
                                void *ctx);
 
-/* Append s percent-encoded for a query. */
+/* Appends s to b, percent-encoded for use in a query string. */
 void rk_parse_escape(struct rk_buf *b, const char *s);
 
 #endif
