--- a/callers/server.c
+++ b/callers/server.c
@@ -19,16 +19,16 @@
 #include "common/status.h"
 #include "common/util.h"
 
-#define BACKLOG       1024
-#define ACCEPT_BATCH  64
-#define PIPELINED_MAX (64 * 1024)
-#define LINE_MAX_LEN  128
-#define REST_TOLD_PCT 80 /* of the time that a connection at rest is kept */
+#define LISTEN_BACKLOG            1024
+#define ACCEPT_BATCH              64 /* connections accepted per loop iteration */
+#define PIPELINED_PAUSE_BYTES     (64 * 1024) /* beyond it, reading is paused */
+#define HEADER_LINE_MAX           128
+#define KEEP_ALIVE_ADVERTISED_PCT 80 /* percent of the idle time-out */
 
 enum client_state {
-    CLIENT_READING,   /* no whole request yet */
-    CLIENT_IN_HAND,   /* a request waits for its answer */
-    CLIENT_ANSWERING, /* the answer was begun */
+    CLIENT_READING,   /* waits for a request, or has a part of one */
+    CLIENT_IN_FLIGHT, /* has a complete request and no answer yet */
+    CLIENT_ANSWERING, /* the answer has begun and not ended */
 };
 
 struct rk_client {
@@ -39,13 +39,13 @@
     struct rk_server_limits limits;
     enum client_state state;
     struct rk_buf body;
-    struct rk_buf rest; /* came behind the request in hand */
+    struct rk_buf pipelined; /* bytes after the current request */
     struct rk_timer timer;
     void *user;
-    bool chunked; /* the answer's framing */
-    bool no_body; /* of the answer */
-    bool close;   /* the connection ends with the answer */
-    int refuse;   /* status to refuse the request with; 0: none */
+    bool chunked;            /* the answer's body is sent in chunks */
+    bool no_body;            /* the answer has no body (HEAD, 204, 304) */
+    bool close_after_answer; /* the connection ends with the answer */
+    int refuse_status;       /* HTTP status to refuse the request with; 0: none */
 };
 
 struct rk_server {
@@ -57,24 +57,25 @@
     void *ctx;
     struct rk_client *clients;
     size_t clients_len;
-    bool closing;
+    bool closing; /* every answer closes its connection */
 };
 
 static void feed(struct rk_client *c, const char *data, size_t len);
 
-/* ---- life of a client ---- */
+/* ---- closing a connection ---- */
 
 static void free_client(void *ctx)
 {
     struct rk_client *c = ctx;
     rk_http1_free(&c->reader);
     rk_buf_free(&c->body);
-    rk_buf_free(&c->rest);
+    rk_buf_free(&c->pipelined);
     free(c);
 }
 
-/* Its functions may be on the stack: memory goes when they have returned. */
-static void release_client(struct rk_client *c)
+/* Removes the client from the server's list. Its functions may be on the stack, so
+ * its memory is freed in the loop's next iteration. */
+static void unlink_and_free_later(struct rk_client *c)
 {
     *c->prev = c->next;
     if (c->next)
@@ -87,24 +88,25 @@
 static void close_client(struct rk_client *c)
 {
     rk_conn_close(c->conn);
-    release_client(c);
+    unlink_and_free_later(c);
 }
 
-/* A close that reads on drops a request that crosses it: beside full links, where a
- * close takes a second, callers lost requests that way. What has come is read
- * first. */
+/* Closes the connection unless it has unread bytes. rk_conn_close() would discard a
+ * request that crosses the close, and its caller would get no reset: callers lost
+ * requests that way next to saturated links, where a close takes a second. */
 static void close_idle(struct rk_client *c)
 {
     if (rk_conn_close_idle(c->conn))
-        release_client(c);
+        unlink_and_free_later(c);
 }
 
 static void abort_client(struct rk_client *c)
 {
     rk_conn_abort(c->conn);
-    release_client(c);
+    unlink_and_free_later(c);
 }
 
+/* Waits for the next request for as long as the idle time-out. */
 static void wait_for_request(struct rk_client *c)
 {
     c->state = CLIENT_READING;
@@ -113,7 +115,7 @@
 
 /* ---- answers ---- */
 
-static const char *reason(int status)
+static const char *reason_phrase(int status)
 {
     switch (status) {
 #define REASON(num, name, string)                                                  \
@@ -131,9 +133,11 @@
     rk_conn_write(c->conn, s, strlen(s));
 }
 
+/* Writes the header that delimits the body. Without one (HTTP/1.0 and an unknown
+ * length) the end of the connection does. */
 static void write_framing(struct rk_client *c, int64_t length)
 {
-    char line[LINE_MAX_LEN];
+    char line[HEADER_LINE_MAX];
     if (c->no_body && length < 0)
         return;
     if (length >= 0) {
@@ -143,20 +147,23 @@
         c->chunked = true;
         write_str(c, "Transfer-Encoding: chunked\r\n");
     } else {
-        c->close = true;
+        c->close_after_answer = true;
     }
 }
 
-/* Callers are told less than the connection is kept for, in whole seconds, so that
- * no request crosses its close; settings of less than 1.25 s can't be told. */
-static void write_rest_limit(struct rk_client *c)
+/* Advertises a shorter keep-alive time than the connection is kept, so that no
+ * request crosses its close. The header has whole seconds, so an idle time-out of
+ * less than 1.25 s can't be advertised. */
+static void write_keep_alive(struct rk_client *c)
 {
-    char line[LINE_MAX_LEN];
-    int64_t told_s = c->limits.idle_ms * REST_TOLD_PCT / 100 / 1000;
-    if (c->close) {
+    char line[HEADER_LINE_MAX];
+    int64_t advertised_s =
+        c->limits.idle_ms * KEEP_ALIVE_ADVERTISED_PCT / 100 / 1000;
+    if (c->close_after_answer) {
         write_str(c, "Connection: close\r\n");
-    } else if (told_s > 0) {
-        snprintf(line, sizeof(line), "Keep-Alive: timeout=%" PRId64 "\r\n", told_s);
+    } else if (advertised_s > 0) {
+        snprintf(line, sizeof(line), "Keep-Alive: timeout=%" PRId64 "\r\n",
+                 advertised_s);
         write_str(c, line);
     }
 }
@@ -164,17 +171,19 @@
 void rk_client_begin(struct rk_client *c, int status, const char *headers,
                      int64_t length)
 {
-    char line[LINE_MAX_LEN];
+    char line[HEADER_LINE_MAX];
     c->state = CLIENT_ANSWERING;
     c->chunked = false;
     c->no_body =
         c->reader.head.method == HTTP_HEAD || status == 204 || status == 304;
-    c->close = c->close || c->s->closing || !c->reader.head.keep_alive;
-    snprintf(line, sizeof(line), "HTTP/1.1 %d %s\r\n", status, reason(status));
+    c->close_after_answer =
+        c->close_after_answer || c->s->closing || !c->reader.head.keep_alive;
+    snprintf(line, sizeof(line), "HTTP/1.1 %d %s\r\n", status,
+             reason_phrase(status));
     write_str(c, line);
     write_str(c, headers);
     write_framing(c, length);
-    write_rest_limit(c);
+    write_keep_alive(c);
     write_str(c, "\r\n");
 }
 
@@ -182,7 +191,7 @@
 {
     if (c->no_body || !len)
         return;
-    char line[LINE_MAX_LEN];
+    char line[HEADER_LINE_MAX];
     if (c->chunked) {
         snprintf(line, sizeof(line), "%zx\r\n", len);
         write_str(c, line);
@@ -192,7 +201,7 @@
         write_str(c, "\r\n");
 }
 
-/* The next request may have come already. */
+/* Goes on to the next request, a part or all of which may be buffered already. */
 static void next_request(struct rk_client *c)
 {
     c->body.len = 0;
@@ -200,19 +209,19 @@
     rk_http1_next(&c->reader);
     rk_conn_pause(c->conn, false);
     wait_for_request(c);
-    if (!c->rest.len)
+    if (!c->pipelined.len)
         return;
-    struct rk_buf rest = c->rest;
-    c->rest = (struct rk_buf){0};
-    feed(c, rest.data, rest.len);
-    rk_buf_free(&rest);
+    struct rk_buf pipelined = c->pipelined;
+    c->pipelined = (struct rk_buf){0};
+    feed(c, pipelined.data, pipelined.len);
+    rk_buf_free(&pipelined);
 }
 
 void rk_client_end(struct rk_client *c)
 {
     if (c->chunked && !c->no_body)
         write_str(c, "0\r\n\r\n");
-    if (c->close)
+    if (c->close_after_answer)
         close_client(c);
     else
         next_request(c);
@@ -255,11 +264,12 @@
 
 /* ---- requests ---- */
 
-/* Refuse and end the connection: what follows can't be told apart. */
-static void refuse(struct rk_client *c, int status)
+/* Answers with a status and closes the connection, because the end of the refused
+ * request, and so the start of the next one, is not known. */
+static void refuse_request(struct rk_client *c, int status)
 {
     rk_timer_stop(c->s->loop, &c->timer);
-    c->close = true;
+    c->close_after_answer = true;
     c->reader.head.minor = 1;
     rk_client_answer(c, status, "", "", 0);
 }
@@ -269,9 +279,9 @@
     struct rk_client *c = ctx;
     const char *expect = rk_head_get(head, "Expect");
     if (head->major != 1)
-        c->refuse = 505;
+        c->refuse_status = 505;
     else if (head->body_length > (int64_t)c->limits.body_bytes)
-        c->refuse = 413;
+        c->refuse_status = 413;
     else if (expect && !strcasecmp(expect, "100-continue"))
         write_str(c, "HTTP/1.1 100 Continue\r\n\r\n");
     return true;
@@ -280,49 +290,54 @@
 static void on_body(void *ctx, const char *data, size_t len)
 {
     struct rk_client *c = ctx;
-    if (c->refuse)
+    if (c->refuse_status)
         return;
     c->body.max = c->limits.body_bytes;
     if (len && !rk_buf_add(&c->body, data, len))
-        c->refuse = 413;
+        c->refuse_status = 413;
 }
 
 static void on_end(void *ctx)
 {
-    (void)ctx; /* feed() looks at reader.ended */
+    (void)ctx; /* feed() checks reader.ended */
 }
 
 static const struct rk_http1_ops reader_ops = {
     .on_head = on_head, .on_body = on_body, .on_end = on_end};
 
-static void keep_rest(struct rk_client *c, const char *data, size_t len)
+/* Buffers bytes that follow the current request. Reading is paused while there are
+ * too many. */
+static void save_pipelined(struct rk_client *c, const char *data, size_t len)
 {
     if (!len)
         return;
-    rk_buf_add(&c->rest, data, len);
-    if (c->rest.len > PIPELINED_MAX)
+    rk_buf_add(&c->pipelined, data, len);
+    if (c->pipelined.len > PIPELINED_PAUSE_BYTES)
         rk_conn_pause(c->conn, true);
 }
 
+/* Parses input up to the end of one request and passes a complete one on. */
 static void feed(struct rk_client *c, const char *data, size_t len)
 {
-    bool fresh = !rk_http1_begun(&c->reader);
+    bool is_first_byte = !rk_http1_begun(&c->reader);
     size_t n = rk_http1_feed(&c->reader, data, len);
-    if (c->reader.failed || c->refuse) {
-        int status = c->refuse ? c->refuse : c->reader.too_large ? 431 : 400;
-        refuse(c, status);
+    if (c->reader.failed || c->refuse_status) {
+        int status = c->refuse_status      ? c->refuse_status
+                     : c->reader.too_large ? 431
+                                           : 400;
+        refuse_request(c, status);
         return;
     }
     if (!c->reader.ended) {
-        if (fresh)
+        if (is_first_byte)
             rk_timer_start(c->s->loop, &c->timer, c->limits.header_ms);
         else if (c->reader.head_done)
             rk_timer_start(c->s->loop, &c->timer, c->limits.idle_ms);
         return;
     }
     rk_timer_stop(c->s->loop, &c->timer);
-    keep_rest(c, data + n, len - n);
-    c->state = CLIENT_IN_HAND;
+    save_pipelined(c, data + n, len - n);
+    c->state = CLIENT_IN_FLIGHT;
     c->s->ops->on_request(c->s->ctx, c);
 }
 
@@ -330,31 +345,32 @@
 {
     struct rk_client *c = ctx;
     if (c->state != CLIENT_READING) {
-        keep_rest(c, data, len);
+        save_pipelined(c, data, len);
         return;
     }
     feed(c, data, len);
 }
 
-static void gone(struct rk_client *c)
+/* Ends a connection that the caller, or rk_server_destroy(), has ended. */
+static void drop_disconnected(struct rk_client *c)
 {
-    bool in_hand = c->state != CLIENT_READING;
+    bool in_flight = c->state != CLIENT_READING;
     struct rk_server *s = c->s;
     void *user = c->user;
     abort_client(c);
-    if (in_hand)
+    if (in_flight)
         s->ops->on_gone(s->ctx, user);
 }
 
 static void on_eof(void *ctx)
 {
-    gone(ctx);
+    drop_disconnected(ctx);
 }
 
 static void on_error(void *ctx, int error)
 {
     (void)error;
-    gone(ctx);
+    drop_disconnected(ctx);
 }
 
 static const struct rk_conn_ops conn_ops = {
@@ -366,14 +382,14 @@
     if (c->state != CLIENT_READING)
         return;
     if (rk_http1_begun(&c->reader))
-        refuse(c, 408);
+        refuse_request(c, 408);
     else if (rk_conn_unsent(c->conn))
-        wait_for_request(c); /* it has not had its answer yet */
+        wait_for_request(c); /* the last answer is not sent yet */
     else
         close_idle(c);
 }
 
-/* ---- listening ---- */
+/* ---- accepting connections ---- */
 
 static void add_client(struct rk_server *s, int fd)
 {
@@ -419,7 +435,7 @@
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
     if (bind(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 ||
-        listen(fd, BACKLOG) < 0) {
+        listen(fd, LISTEN_BACKLOG) < 0) {
         rk_fail(RK_ESYSTEM, "%s: %s", addr, strerror(errno));
         close(fd);
         return -1;
@@ -454,7 +470,7 @@
     rk_loop_watch(s->loop, s->fd, 0, NULL, NULL);
     close(s->fd);
     while (s->clients)
-        gone(s->clients);
+        drop_disconnected(s->clients);
     free(s);
 }
 
--- a/callers/server.h
+++ b/callers/server.h
@@ -1,8 +1,8 @@
-/* Server side of HTTP/1.1 on an event loop: whole requests in, answers out as
- * their bytes come. It notices within the loop's turn when a caller is gone, and
- * leaves what is pipelined for later. Own code over http-parser, because a
- * library server doesn't look at the socket of a request that waits. Loop thread
- * only. */
+/* HTTP/1.1 server on an event loop. It passes on complete requests and streams
+ * their answers. A caller that disconnects is noticed in the same iteration of the
+ * loop, also while its request waits; library servers do not watch the socket then,
+ * which is why this is built on http-parser. Pipelined requests are buffered and
+ * handled one after the other. All functions are called on the loop's thread. */
 #ifndef RK_CALLERS_SERVER_H
 #define RK_CALLERS_SERVER_H
 
@@ -13,66 +13,85 @@
 struct rk_loop;
 struct rk_head;
 struct rk_server;
-struct rk_client; /* one caller's connection */
+struct rk_client; /* a caller's connection; owned by its server */
 
 struct rk_server_limits {
-    size_t header_bytes;
-    size_t body_bytes;
-    int64_t header_ms; /* from a head's first byte to its end */
-    int64_t idle_ms;   /* silence between requests, and within a body */
-    int max_clients;
+    size_t header_bytes; /* of a request line and its headers */
+    size_t body_bytes;   /* of a request body */
+    int64_t header_ms;   /* time-out from the first byte of a head to its end */
+    int64_t idle_ms;     /* time-out between requests, and without data in a body */
+    int max_clients;     /* open connections; further ones are closed at once */
 };
 
 struct rk_server_ops {
-    /* A whole request is in. Its head and body are valid until it is answered or
-     * gone. */
+    /* Called with each complete request. Its head and body stay valid until its
+     * answer ends or on_gone() is called. */
     void (*on_request)(void *ctx, struct rk_client *client);
-    /* The caller of a request in hand is gone; user as set. The client must not
-     * be used any more. */
+    /* Called when the caller disconnects before its answer has ended. `user` is the
+     * value of rk_client_set_user(). The client must not be used any more. */
     void (*on_gone)(void *ctx, void *user);
 };
 
-/* NULL when addr can't be bound: see rk_last_error(). */
+/* Listens on addr ("ip:port"; the kernel chooses the port if it is 0) and accepts
+ * connections. Copies *limits; ops and loop must outlive the server. Returns NULL
+ * and sets rk_last_error() if addr is malformed or can't be bound. */
 struct rk_server *rk_server_create(struct rk_loop *loop, const char *addr,
                                    const struct rk_server_limits *limits,
                                    const struct rk_server_ops *ops, void *ctx);
+
+/* Closes the listener, resets all connections and frees s. Calls on_gone() for each
+ * request in flight. Does nothing if s is NULL. */
 void rk_server_destroy(struct rk_server *s);
+
+/* Returns the bound address as "ip:port". The server owns the string. */
 const char *rk_server_addr(const struct rk_server *s);
 
-/* For connections made from now on. */
+/* Sets the limits of connections that are accepted from now on. */
 void rk_server_set_limits(struct rk_server *s, const struct rk_server_limits *l);
 
-/* Take new connections, or let them wait in the system's queue; they are taken from
- * the start on. */
+/* Starts or stops accepting connections. While it is off, they wait in the kernel's
+ * queue. It is on initially. */
 void rk_server_set_accepting(struct rk_server *s, bool on);
 
-/* Answers say that the connection ends. */
+/* Makes each answer that begins from now on close its connection, and announce that
+ * with "Connection: close". */
 void rk_server_set_closing(struct rk_server *s);
 
-/* End connections that have no request in them. */
+/* Closes the connections that have neither a request, nor a part of one, nor unsent
+ * answer bytes. Connections with bytes that were not read yet stay open. */
 void rk_server_close_idle(struct rk_server *s);
 
-/* Connections with a request in hand or an answer not all out. */
+/* Returns the number of connections with a request or a part of one, or with unsent
+ * answer bytes. */
 size_t rk_server_busy(const struct rk_server *s);
 
-/* About the request in hand. */
+/* Return the head and the body ("" if there is none) of the current request. They
+ * are owned by the client and valid as long as the request, see on_request(). */
 const struct rk_head *rk_client_head(const struct rk_client *c);
 const char *rk_client_body(const struct rk_client *c, size_t *len);
+
+/* Sets the value that on_gone() gets. It is reset to NULL with the next request. */
 void rk_client_set_user(struct rk_client *c, void *user);
 
-/* A whole answer. headers: lines with their ends, or "". */
+/* Sends a complete answer with a body of `len` bytes. `headers` is "" or header
+ * lines that each end with CRLF. The client must not be used for this request any
+ * more. */
 void rk_client_answer(struct rk_client *c, int status, const char *headers,
                       const char *body, size_t len);
 
-/* An answer in parts: begin, data..., then end (whole) or cut (it must look
- * broken). length -1: not known. */
+/* Send an answer in pieces: begin, any number of data, then either end or cut.
+ * `headers` is as above; `length` is the body's length in bytes, or -1 if it is not
+ * known yet. Bytes are copied. rk_client_end() completes the answer; it may call
+ * on_request() with a pipelined request before it returns. rk_client_cut() resets
+ * the connection, so that the caller can't take the answer for complete. The client
+ * must not be used for this request after either of them. */
 void rk_client_begin(struct rk_client *c, int status, const char *headers,
                      int64_t length);
 void rk_client_data(struct rk_client *c, const char *data, size_t len);
 void rk_client_end(struct rk_client *c);
 void rk_client_cut(struct rk_client *c);
 
-/* Bytes of the answer that the caller hasn't taken. */
+/* Returns the bytes of answers that the kernel has not taken yet. */
 size_t rk_client_unsent(const struct rk_client *c);
 
 #endif
