--- a/peers/link.c
+++ b/peers/link.c
@@ -20,15 +20,19 @@
 #include "common/loop.h"
 #include "common/util.h"
 
-#define HEADER_LEN  4
-#define SEND_BUFFER (8 * 1024 * 1024)
-#define READ_CHUNK  (64 * 1024)
-#define BACKLOG     256
-#define WATCHED_MS  100 /* between two looks that show whether bytes moved */
-#define STUCK_MS    500 /* without a byte moved: longer than a full link needs */
-
-#define USER_TIMEOUT_MS                                                            \
-    2500 /* unacknowledged bytes for so long: the path is gone */
+#define LENGTH_PREFIX_BYTES 4
+#define SEND_BUFFER_MAX     (8 * 1024 * 1024)
+#define READ_CHUNK_BYTES    (64 * 1024)
+#define LISTEN_BACKLOG      256
+
+/* rk_link_waiting() compares samples that are at most this far apart. */
+#define SAMPLE_MAX_GAP_MS 100
+/* Time without progress after which a path counts as broken. It is longer than a
+ * saturated link takes to make some. */
+#define STALL_TIMEOUT_MS 500
+/* TCP_USER_TIMEOUT: the kernel ends a connection whose bytes were not acknowledged
+ * for this long. */
+#define UNACKED_TIMEOUT_MS 2500
 
 struct rk_link {
     struct rk_loop *loop;
@@ -36,11 +40,12 @@
     const struct rk_link_ops *ops;
     void *ctx;
     bool up, was_up, down;
-    bool in_callback, destroyed; /* destroyed inside its own callback */
+    /* If rk_link_destroy() is called in a callback, the link is freed after it. */
+    bool in_callback, destroyed;
     struct rk_buf in, out;
-    size_t seen_waiting; /* when last asked */
-    int64_t asked_ms;
-    int64_t moved_ms; /* when that was less than before */
+    size_t sampled_bytes; /* waiting at the last call of rk_link_waiting() */
+    int64_t sampled_ms;   /* when that was */
+    int64_t progress_ms;  /* when fewer bytes waited than at the call before */
 };
 
 struct rk_listener {
@@ -57,9 +62,9 @@
 {
     struct rk_link *l = rk_alloc(1, sizeof(*l));
     *l = (struct rk_link){.loop = loop, .fd = fd, .ops = ops, .ctx = ctx};
-    l->in.max = RK_FRAME_MAX + HEADER_LEN + READ_CHUNK;
-    l->out.max = SEND_BUFFER;
-    int one = 1, limit = USER_TIMEOUT_MS;
+    l->in.max = RK_FRAME_MAX + LENGTH_PREFIX_BYTES + READ_CHUNK_BYTES;
+    l->out.max = SEND_BUFFER_MAX;
+    int one = 1, limit = UNACKED_TIMEOUT_MS;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
     setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
     return l;
@@ -81,7 +86,7 @@
     l->fd = -1;
 }
 
-static void go_down(struct rk_link *l)
+static void mark_down(struct rk_link *l)
 {
     if (l->down)
         return;
@@ -92,18 +97,20 @@
         l->ops->on_down(l->ctx, l);
 }
 
-static void on_ready(void *ctx, int fd, uint32_t events);
+static void on_socket_event(void *ctx, int fd, uint32_t events);
 
-static void update_watch(struct rk_link *l)
+/* Waits for writability, too, while connecting or with bytes to send. */
+static void update_events(struct rk_link *l)
 {
     if (l->fd < 0)
         return;
     uint32_t events = EPOLLIN;
     if (!l->up || l->out.len)
         events |= EPOLLOUT;
-    rk_loop_watch(l->loop, l->fd, events, on_ready, l);
+    rk_loop_watch(l->loop, l->fd, events, on_socket_event, l);
 }
 
+/* Sends as much of the buffer as the kernel takes. Returns false on an error. */
 static bool flush(struct rk_link *l)
 {
     while (l->out.len) {
@@ -117,31 +124,32 @@
     return true;
 }
 
-static void *take_piece(void *ctx, size_t len)
+/* ProtobufCAllocator's functions for frames in an arena. */
+static void *alloc_in_arena(void *ctx, size_t len)
 {
     return rk_arena_take(ctx, len);
 }
 
-static void leave_piece(void *ctx, void *piece)
+static void free_in_arena(void *ctx, void *piece)
 {
     (void)ctx;
-    (void)piece; /* all go together */
+    (void)piece; /* the arena is reset as a whole */
 }
 
 static long decode(const uint8_t *data, size_t len, ProtobufCAllocator *allocator,
                    Rillknot__Frame **frame)
 {
     *frame = NULL;
-    if (len < HEADER_LEN)
+    if (len < LENGTH_PREFIX_BYTES)
         return 0;
     size_t body = ((size_t)data[0] << 24) | ((size_t)data[1] << 16) |
                   ((size_t)data[2] << 8) | data[3];
     if (!body || body > RK_FRAME_MAX)
         return -1;
-    if (len < HEADER_LEN + body)
+    if (len < LENGTH_PREFIX_BYTES + body)
         return 0;
-    *frame = rillknot__frame__unpack(allocator, body, data + HEADER_LEN);
-    return *frame ? (long)(HEADER_LEN + body) : -1;
+    *frame = rillknot__frame__unpack(allocator, body, data + LENGTH_PREFIX_BYTES);
+    return *frame ? (long)(LENGTH_PREFIX_BYTES + body) : -1;
 }
 
 long rk_frame_decode(const uint8_t *data, size_t len, Rillknot__Frame **frame)
@@ -153,11 +161,13 @@
                         Rillknot__Frame **frame)
 {
     ProtobufCAllocator allocator = {
-        .alloc = take_piece, .free = leave_piece, .allocator_data = arena};
+        .alloc = alloc_in_arena, .free = free_in_arena, .allocator_data = arena};
     return decode(data, len, &allocator, frame);
 }
 
-static bool take_frames(struct rk_link *l)
+/* Passes all complete frames in the input buffer on. Returns false if the input is
+ * malformed. */
+static bool dispatch_frames(struct rk_link *l)
 {
     struct rk_arena *arena = rk_loop_scratch(l->loop);
     size_t used = 0;
@@ -179,22 +189,25 @@
     return true;
 }
 
-static bool read_some(struct rk_link *l)
+/* Reads and dispatches what the socket has. Returns false if the peer closed the
+ * connection, on an error, and on malformed input. */
+static bool read_available(struct rk_link *l)
 {
-    static _Thread_local char chunk[READ_CHUNK];
+    static _Thread_local char chunk[READ_CHUNK_BYTES];
     for (;;) {
         ssize_t n = recv(l->fd, chunk, sizeof(chunk), 0);
         if (n < 0 && (errno == EAGAIN || errno == EINTR))
             return true;
         if (n <= 0)
             return false;
-        if (!rk_buf_add(&l->in, chunk, (size_t)n) || !take_frames(l))
+        if (!rk_buf_add(&l->in, chunk, (size_t)n) || !dispatch_frames(l))
             return false;
         if (l->destroyed || l->down || (size_t)n < sizeof(chunk))
             return true;
     }
 }
 
+/* Returns false if the connection attempt failed. */
 static bool finish_connect(struct rk_link *l)
 {
     int err = 0;
@@ -208,7 +221,7 @@
     return true;
 }
 
-static void on_ready(void *ctx, int fd, uint32_t events)
+static void on_socket_event(void *ctx, int fd, uint32_t events)
 {
     (void)fd;
     struct rk_link *l = ctx;
@@ -217,13 +230,13 @@
     if (!l->up)
         ok = !(events & (EPOLLERR | EPOLLHUP)) && finish_connect(l);
     if (ok && !l->destroyed && (events & (EPOLLIN | EPOLLHUP | EPOLLERR)))
-        ok = read_some(l);
+        ok = read_available(l);
     if (ok && !l->destroyed && !l->down)
         ok = flush(l);
     if (!ok)
-        go_down(l);
+        mark_down(l);
     else if (!l->destroyed)
-        update_watch(l);
+        update_events(l);
     l->in_callback = false;
     if (l->destroyed)
         free_link(l);
@@ -244,7 +257,7 @@
         return NULL;
     }
     struct rk_link *l = make_link(loop, fd, ops, ctx);
-    update_watch(l);
+    update_events(l);
     return l;
 }
 
@@ -264,11 +277,11 @@
     size_t len = rillknot__frame__get_packed_size(frame);
     if (len > RK_FRAME_MAX)
         return p;
-    p.len = len + HEADER_LEN;
+    p.len = len + LENGTH_PREFIX_BYTES;
     p.data = rk_alloc(1, p.len);
-    for (int i = 0; i < HEADER_LEN; i++)
-        p.data[i] = (uint8_t)(len >> (8 * (HEADER_LEN - 1 - i)));
-    rillknot__frame__pack(frame, p.data + HEADER_LEN);
+    for (int i = 0; i < LENGTH_PREFIX_BYTES; i++)
+        p.data[i] = (uint8_t)(len >> (8 * (LENGTH_PREFIX_BYTES - 1 - i)));
+    rillknot__frame__pack(frame, p.data + LENGTH_PREFIX_BYTES);
     return p;
 }
 
@@ -280,14 +293,15 @@
 
 bool rk_link_send_packed(struct rk_link *l, const struct rk_packed_frame *p)
 {
-    if (l->down || l->destroyed || !p->len || l->out.len + p->len > SEND_BUFFER)
+    if (l->down || l->destroyed || !p->len || l->out.len + p->len > SEND_BUFFER_MAX)
         return false;
     rk_buf_add(&l->out, p->data, p->len);
     rk_count(RK_C_LINK_BYTES, p->len);
-    /* A failed send shows as an event; callbacks never run from here. */
+    /* If sending fails, the socket's next event reports it: callbacks must not run
+     * from here. */
     if (l->up)
         flush(l);
-    update_watch(l);
+    update_events(l);
     return true;
 }
 
@@ -309,14 +323,14 @@
     int queued = 0;
     int64_t now_ms = rk_mono_ms();
     if (l->fd < 0 || ioctl(l->fd, SIOCOUTQ, &queued) < 0)
-        queued = 0; /* not told here: own bytes count alone */
+        queued = 0; /* not known: count only the own buffer */
     size_t waiting = l->out.len + (size_t)queued;
-    bool watched = now_ms - l->asked_ms < WATCHED_MS;
-    if (!watched || !l->seen_waiting || waiting < l->seen_waiting)
-        l->moved_ms = now_ms;
-    l->asked_ms = now_ms;
-    l->seen_waiting = waiting;
-    return now_ms - l->moved_ms < STUCK_MS ? waiting : 0;
+    bool is_continuous = now_ms - l->sampled_ms < SAMPLE_MAX_GAP_MS;
+    if (!is_continuous || !l->sampled_bytes || waiting < l->sampled_bytes)
+        l->progress_ms = now_ms;
+    l->sampled_ms = now_ms;
+    l->sampled_bytes = waiting;
+    return now_ms - l->progress_ms < STALL_TIMEOUT_MS ? waiting : 0;
 }
 
 bool rk_link_was_up(const struct rk_link *l)
@@ -329,7 +343,7 @@
     l->ctx = ctx;
 }
 
-static void on_incoming(void *ctx, int fd, uint32_t events)
+static void on_listener_event(void *ctx, int fd, uint32_t events)
 {
     (void)events;
     struct rk_listener *l = ctx;
@@ -340,7 +354,7 @@
         struct rk_link *link = make_link(l->loop, c, l->ops, NULL);
         link->up = link->was_up = true;
         l->on_accept(l->ctx, link);
-        update_watch(link);
+        update_events(link);
     }
 }
 
@@ -361,7 +375,7 @@
         setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &one, sizeof(one));
     socklen_t len = sizeof(sa);
     if (bind(fd, (struct sockaddr *)&sa, sizeof(sa)) < 0 ||
-        listen(fd, BACKLOG) < 0 ||
+        listen(fd, LISTEN_BACKLOG) < 0 ||
         getsockname(fd, (struct sockaddr *)&sa, &len) < 0) {
         rk_fail(RK_ESYSTEM, "%s: %s", addr, strerror(errno));
         close(fd);
@@ -373,7 +387,7 @@
     char ip[INET_ADDRSTRLEN];
     inet_ntop(AF_INET, &sa.sin_addr, ip, sizeof(ip));
     snprintf(l->addr, sizeof(l->addr), "%s:%u", ip, ntohs(sa.sin_port));
-    rk_loop_watch(loop, fd, EPOLLIN, on_incoming, l);
+    rk_loop_watch(loop, fd, EPOLLIN, on_listener_event, l);
     return l;
 }
 
--- a/peers/link.h
+++ b/peers/link.h
@@ -1,6 +1,7 @@
-/* A framed TCP connection between two processes of the system: each frame is a
- * protobuf message behind its length. Non-blocking, on one event loop, with a
- * bounded send buffer. Loop thread only. */
+/* Framed TCP connections between rillknot processes. A frame is a protobuf message
+ * (peers.proto) behind its length in four bytes, big-endian. Links are
+ * non-blocking, belong to one event loop and have a bounded send buffer. All
+ * functions are called on the loop's thread. */
 #ifndef RK_PEERS_LINK_H
 #define RK_PEERS_LINK_H
 
@@ -11,6 +12,7 @@
 #include "common/status.h"
 #include "peers/peers.pb-c.h"
 
+/* Longest message of a frame in bytes, without its length prefix. */
 #define RK_FRAME_MAX (2 * 1024 * 1024)
 
 struct rk_arena;
@@ -19,57 +21,89 @@
 struct rk_listener;
 
 struct rk_link_ops {
-    /* The frame is freed after the call. */
+    /* Called with each received frame, which is valid during the call only. */
     void (*on_frame)(void *ctx, struct rk_link *link, const Rillknot__Frame *frame);
-    void (*on_up)(void *ctx, struct rk_link *link); /* may be NULL */
-    /* The link is dead; the owner destroys it, now or later. */
+    /* Called when an outgoing connection is established. May be NULL. */
+    void (*on_up)(void *ctx, struct rk_link *link);
+    /* Called once when the connection fails or the peer closes it. The owner must
+     * destroy the link, in the callback or later. */
     void (*on_down)(void *ctx, struct rk_link *link);
 };
 
-/* addr: "ip:port". Connects in the background. NULL when addr is malformed. */
+/* Starts to connect to addr ("ip:port"). Frames can be sent at once; they are
+ * buffered until the connection is established. Returns NULL if addr is malformed
+ * or the connection attempt fails at once. The caller owns the link; ops must
+ * outlive it. */
 struct rk_link *rk_link_connect(struct rk_loop *loop, const char *addr,
                                 const struct rk_link_ops *ops, void *ctx);
+
+/* Closes the link and frees it, without a call of on_down(). May be called from the
+ * link's own callbacks. Does nothing if link is NULL. */
 void rk_link_destroy(struct rk_link *link);
 
-/* False when the link is dead, its buffer is full or the frame too long: nothing
- * was sent. */
+/* Queues a frame. Returns false, and queues nothing, if the link is down, its send
+ * buffer is full or the frame is longer than RK_FRAME_MAX. Never calls back. */
 bool rk_link_send(struct rk_link *link, const Rillknot__Frame *frame);
 
-/* A frame as it goes over a link, its length before it. Packed once where many
- * links get the same: a bridge of a large domain did little else. */
+/* A serialized frame with its length in front. It serves to send one frame over
+ * many links: packing it for each link took most of the time of a bridge (the node
+ * that relays for a failure domain) of a large domain. */
 struct rk_packed_frame {
-    uint8_t *data;
-    size_t len; /* 0: the frame was longer than RK_FRAME_MAX */
+    uint8_t *data; /* owned; freed by rk_packed_frame_free() */
+    size_t len;    /* 0: the frame was longer than RK_FRAME_MAX */
 };
+
+/* Serializes a frame. */
 struct rk_packed_frame rk_frame_pack(const Rillknot__Frame *frame);
+
+/* Frees the data and zeroes *p. */
 void rk_packed_frame_free(struct rk_packed_frame *p);
+
+/* Queues a copy of a packed frame; see rk_link_send(). Returns false also if p is
+ * empty. */
 bool rk_link_send_packed(struct rk_link *link, const struct rk_packed_frame *p);
 
-/* Bytes that wait for the peer to read. */
+/* Returns the bytes in the link's own send buffer, not yet taken by the kernel. */
 size_t rk_link_unsent(const struct rk_link *l);
-/* Bytes that wait on this machine, the kernel's included; 0 for a link on which
- * none has moved for a while: the way is gone and takes nothing from the others. */
+
+/* Returns the bytes that wait on this machine: those in the link's own send buffer
+ * and those in the kernel's that the peer has not acknowledged. Returns 0 if they
+ * have not become fewer for 500 ms: the path is broken then, and its bytes take no
+ * bandwidth from other links. Progress is measured between calls, which must be
+ * less than 100 ms apart; after a longer gap the measurement starts again. */
 size_t rk_link_waiting(struct rk_link *l);
 
-/* Did the connection ever stand? If not, nothing sent on it has left. */
+/* Returns whether the connection was ever established. If not, no byte has left
+ * this process. */
 bool rk_link_was_up(const struct rk_link *link);
+
+/* Sets the ctx that the link's callbacks get. */
 void rk_link_set_ctx(struct rk_link *link, void *ctx);
 
-/* Accept links. on_accept sets the link's ctx by rk_link_set_ctx(). shared: threads
- * of this process listen at the same address; see rk_addr_is_free(). */
+/* Accepts links at addr ("ip:port"; the kernel chooses the port if it is 0). The
+ * links use `ops`. on_accept() gets each new link, owns it from then on and sets
+ * the ctx of its callbacks by rk_link_set_ctx(). `shared` lets several threads of
+ * this process listen at the same address; see rk_addr_is_free(). Returns NULL and
+ * sets rk_last_error() if addr is malformed or can't be bound. */
 struct rk_listener *
 rk_listener_create(struct rk_loop *loop, const char *addr, bool shared,
                    const struct rk_link_ops *ops,
                    void (*on_accept)(void *ctx, struct rk_link *l), void *ctx);
+
+/* Stops listening and frees l; accepted links stay. Does nothing if l is NULL. */
 void rk_listener_destroy(struct rk_listener *l);
 
-/* The address it is bound to, with the port the kernel gave. */
+/* Returns the bound address as "ip:port". The listener owns the string. */
 const char *rk_listener_addr(const struct rk_listener *l);
 
-/* Read frames out of bytes; exposed for tests. Returns the bytes used by the
- * first whole frame and the frame (NULL: none yet), or -1 for garbage. */
+/* Decodes the first frame in data; exposed for tests. Returns the number of bytes
+ * that it took, 0 if it is not complete yet, or -1 if the bytes are not a frame.
+ * *frame is NULL unless the result is positive; the caller frees it with
+ * rillknot__frame__free_unpacked(). */
 long rk_frame_decode(const uint8_t *data, size_t len, Rillknot__Frame **frame);
-/* The same; the frame lies in the arena and isn't freed by itself. */
+
+/* Like rk_frame_decode(), but allocates the frame in `arena`. It is released with
+ * the arena and must not be freed. */
 long rk_frame_decode_in(const uint8_t *data, size_t len, struct rk_arena *arena,
                         Rillknot__Frame **frame);
 
