--- a/services/attempt.c
+++ b/services/attempt.c
@@ -11,9 +11,9 @@
 #include "common/util.h"
 #include "core/call.h"
 
-#define URL_MAX    (RK_PATH_MAX + 64)
-#define HEADER_MAX 192
-#define ANSWER_MAX (4 * 1024 * 1024)
+#define URL_MAX          (RK_PATH_MAX + 64)
+#define HEADER_LINE_MAX  192
+#define ANSWER_MAX_BYTES (4 * 1024 * 1024) /* an attempt with more fails */
 
 struct rk_service_attempt {
     struct rk_loop *loop;
@@ -23,15 +23,15 @@
     char request_id[RK_ID_MAX];
     char content_type[RK_CTYPE_MAX];
     struct rk_buf body;
-    struct rk_timer silence;
+    struct rk_timer inactivity_timer;
     int64_t silence_ms;
-    int64_t rest_ms; /* that the answer asks for; -1: it can't be read */
-    bool crossed;
+    int64_t retry_after_ms; /* from the answer; -1: unreadable; 0: none */
+    bool is_mismatched;     /* the answer has the request id of another request */
 };
 
 static void free_attempt(struct rk_service_attempt *a)
 {
-    rk_timer_stop(a->loop, &a->silence);
+    rk_timer_stop(a->loop, &a->inactivity_timer);
     rk_buf_free(&a->body);
     free(a);
 }
@@ -40,42 +40,42 @@
 {
     struct rk_service_attempt *a = ctx;
     if (!strcmp(name, "x-request-id") && strcmp(value, a->request_id) != 0)
-        a->crossed = true;
+        a->is_mismatched = true;
     else if (!strcmp(name, "content-type"))
         rk_strcpy(a->content_type, sizeof(a->content_type), value);
     else if (!strcmp(name, "retry-after"))
-        a->rest_ms = rk_retry_after_ms(value);
+        a->retry_after_ms = rk_retry_after_ms(value);
 }
 
 static bool on_data(void *ctx, const char *data, size_t len)
 {
     struct rk_service_attempt *a = ctx;
-    if (a->crossed)
+    if (a->is_mismatched)
         return false;
-    rk_timer_start(a->loop, &a->silence, a->silence_ms);
+    rk_timer_start(a->loop, &a->inactivity_timer, a->silence_ms);
     return rk_buf_add(&a->body, data, len);
 }
 
 static void on_done(void *ctx, const struct rk_http_result *res)
 {
     struct rk_service_attempt *a = ctx;
-    if (a->crossed)
+    if (a->is_mismatched)
         rk_count(RK_C_CROSSED, 1);
     struct rk_service_answer answer = {
         .end = {.handed = res->handed,
-                .answered = !res->curl_code && !a->crossed,
+                .answered = !res->curl_code && !a->is_mismatched,
                 .http_status = (int)res->status,
-                .rest_ms = rk_attempt_rest_ms(res->status, a->rest_ms)},
+                .rest_ms = rk_attempt_rest_ms(res->status, a->retry_after_ms)},
         .content_type = a->content_type,
         .body = a->body.data ? a->body.data : "",
         .len = a->body.len,
-        .detail = a->crossed ? "an answer to another request" : res->error,
+        .detail = a->is_mismatched ? "an answer to another request" : res->error,
     };
     a->fn(a->ctx, &answer);
     free_attempt(a);
 }
 
-static void on_silence(void *ctx)
+static void on_inactivity(void *ctx)
 {
     struct rk_service_attempt *a = ctx;
     struct rk_service_answer answer = {
@@ -96,11 +96,11 @@
     struct rk_service_attempt *a = rk_alloc(1, sizeof(*a));
     *a = (struct rk_service_attempt){
         .loop = loop, .fn = fn, .ctx = ctx, .silence_ms = spec->silence_ms};
-    a->body.max = ANSWER_MAX;
+    a->body.max = ANSWER_MAX_BYTES;
     rk_strcpy(a->request_id, sizeof(a->request_id), spec->request_id);
-    a->silence = (struct rk_timer){.fn = on_silence, .ctx = a};
-    char url[URL_MAX], id[HEADER_MAX], attempt[HEADER_MAX], key[HEADER_MAX],
-        type[HEADER_MAX];
+    a->inactivity_timer = (struct rk_timer){.fn = on_inactivity, .ctx = a};
+    char url[URL_MAX], id[HEADER_LINE_MAX], attempt[HEADER_LINE_MAX],
+        key[HEADER_LINE_MAX], type[HEADER_LINE_MAX];
     snprintf(url, sizeof(url), "http://%s%s", spec->addr, spec->path);
     snprintf(id, sizeof(id), "X-Request-Id: %s", spec->request_id);
     snprintf(attempt, sizeof(attempt), "X-Attempt: %d", spec->attempt);
@@ -128,7 +128,7 @@
         .ctx = a,
     };
     a->req = rk_http_start(http, &http_spec);
-    rk_timer_start(loop, &a->silence, spec->silence_ms);
+    rk_timer_start(loop, &a->inactivity_timer, spec->silence_ms);
     return a;
 }
 
--- a/services/upstream.c
+++ b/services/upstream.c
@@ -8,35 +8,38 @@
 #include "common/loop.h"
 #include "common/util.h"
 
-#define HEAD_MAX        (64 * 1024)
-#define IDLE_DEFAULT_MS 8000 /* when the vm doesn't tell how long it keeps one */
-#define IDLE_MARGIN_MS  1200 /* less than what it tells */
-#define SWEEP_MS        1000
-
-/* A connection to a vm: idle in its pool, or with a call. */
-struct link {
+#define HEAD_MAX_BYTES (64 * 1024)
+/* Assumed keep-alive time of a VM that sends no Keep-Alive header. */
+#define KEEP_ALIVE_DEFAULT_MS 8000
+/* Idle connections are used for this much less time than the VM advertises. */
+#define KEEP_ALIVE_MARGIN_MS 1200
+#define SWEEP_INTERVAL_MS    1000
+
+/* A connection to a VM. It is idle in its pool, or serves a call. */
+struct pooled_conn {
     struct pool *pool;
-    struct rk_conn *conn;
+    struct rk_conn *tcp;
     struct rk_http1 reader;
-    struct rk_upstream_call *call; /* NULL: idle */
-    struct link *next, **prev;     /* among the pool's idle ones */
+    struct rk_upstream_call *call;    /* NULL: idle */
+    struct pooled_conn *next, **prev; /* in the idle list of the pool */
     int64_t idle_since_ms;
-    int64_t keep_ms; /* how long the vm keeps it when idle */
-    bool used;       /* it has served a call */
-    bool reusable;
-    bool skipping; /* an answer that is not the call's */
-    bool gone;     /* its connection is over */
-    bool dropped;  /* freed in the loop's next turn */
+    int64_t keep_alive_ms; /* how long it can be used after it became idle */
+    bool has_served;       /* has served an earlier call */
+    bool reusable;         /* the answers so far allow keep-alive */
+    bool skipping_answer;  /* discards an answer to another request */
+    bool is_closed_by_vm;
+    bool released; /* aborted; freed in the loop's next iteration */
     struct rk_timer timer;
 };
 
+/* The connections to one address of a VM. */
 struct pool {
     struct rk_upstreams *u;
     struct pool *next;
     char vm_id[RK_ID_MAX];
     char addr[RK_ADDR_MAX];
-    struct link *idle;
-    int open;
+    struct pooled_conn *idle; /* last used first */
+    int open;                 /* idle connections and those with a call */
 };
 
 struct rk_upstreams {
@@ -46,193 +49,195 @@
 };
 
 struct rk_upstream_call {
-    struct link *link;
+    struct pooled_conn *conn;
     const struct rk_upstream_ops *ops;
     void *ctx;
     bool no_body;
     bool reused;
 };
 
-/* ---- links ---- */
+/* ---- connections ---- */
 
-static void unlink_idle(struct link *l)
+static void unlink_idle(struct pooled_conn *c)
 {
-    if (!l->prev)
+    if (!c->prev)
         return;
-    *l->prev = l->next;
-    if (l->next)
-        l->next->prev = l->prev;
-    l->prev = NULL;
+    *c->prev = c->next;
+    if (c->next)
+        c->next->prev = c->prev;
+    c->prev = NULL;
 }
 
-static void free_link(void *ctx)
+static void free_conn(void *ctx)
 {
-    struct link *l = ctx;
-    rk_http1_free(&l->reader);
-    free(l);
+    struct pooled_conn *c = ctx;
+    rk_http1_free(&c->reader);
+    free(c);
 }
 
-/* Abort: what is in flight is nobody's any more. Its functions may be on the
- * stack: memory goes when they have returned. */
-static void drop_link(struct link *l)
+/* Aborts a connection: nobody needs the bytes in flight any more. Its functions may
+ * be on the stack, so its memory is freed in the loop's next iteration. */
+static void release_conn(struct pooled_conn *c)
 {
-    if (l->dropped)
+    if (c->released)
         return;
-    l->dropped = true;
-    rk_conn_abort(l->conn);
-    unlink_idle(l);
-    l->pool->open--;
-    l->timer = (struct rk_timer){.fn = free_link, .ctx = l};
-    rk_timer_start(l->pool->u->loop, &l->timer, 0);
+    c->released = true;
+    rk_conn_abort(c->tcp);
+    unlink_idle(c);
+    c->pool->open--;
+    c->timer = (struct rk_timer){.fn = free_conn, .ctx = c};
+    rk_timer_start(c->pool->u->loop, &c->timer, 0);
 }
 
-static void fail_call(struct link *l, int error, const char *what)
+/* Frees the call, ends its connection and reports the failure. */
+static void fail_call(struct pooled_conn *c, int error, const char *what)
 {
-    struct rk_upstream_call *call = l->call;
+    struct rk_upstream_call *call = c->call;
     const struct rk_upstream_failure failure = {.sent = rk_upstream_sent(call),
                                                 .reused = call->reused,
                                                 .error = error,
                                                 .what = what};
     const struct rk_upstream_ops *ops = call->ops;
     void *ctx = call->ctx;
-    l->call = NULL;
-    drop_link(l);
+    c->call = NULL;
+    release_conn(c);
     free(call);
     ops->on_fail(ctx, &failure);
 }
 
-static void make_idle(struct link *l)
+static void push_idle(struct pooled_conn *c)
 {
-    struct pool *p = l->pool;
-    l->idle_since_ms = rk_mono_ms();
-    l->next = p->idle;
-    l->prev = &p->idle;
-    if (l->next)
-        l->next->prev = &l->next;
-    p->idle = l;
+    struct pool *p = c->pool;
+    c->idle_since_ms = rk_mono_ms();
+    c->next = p->idle;
+    c->prev = &p->idle;
+    if (c->next)
+        c->next->prev = &c->next;
+    p->idle = c;
 }
 
-/* "timeout=N" of a Keep-Alive header, in ms. */
-static int64_t keep_alive_ms(const struct rk_head *h)
+/* Returns how long an idle connection can be used, in ms. The header has the form
+ * "Keep-Alive: timeout=N", with N in seconds. */
+static int64_t parse_keep_alive_ms(const struct rk_head *h)
 {
     const char *value = rk_head_get(h, "Keep-Alive");
     const char *timeout = value ? strstr(value, "timeout=") : NULL;
     if (!timeout)
-        return IDLE_DEFAULT_MS;
+        return KEEP_ALIVE_DEFAULT_MS;
     int64_t ms = strtol(timeout + strlen("timeout="), NULL, 10) * RK_MS_PER_S;
-    return ms - IDLE_MARGIN_MS;
+    return ms - KEEP_ALIVE_MARGIN_MS;
 }
 
-/* ---- reading ---- */
+/* ---- answers ---- */
 
 static bool on_head(void *ctx, const struct rk_head *head)
 {
-    struct link *l = ctx;
-    struct rk_upstream_call *call = l->call;
+    struct pooled_conn *c = ctx;
+    struct rk_upstream_call *call = c->call;
     if (!call)
-        return true; /* cancelled in this very block */
-    l->skipping = call->ops->on_head(call->ctx, head) == RK_HEAD_SKIP;
-    if (l->dropped || !l->call)
+        return true; /* cancelled while this input is parsed */
+    c->skipping_answer = call->ops->on_head(call->ctx, head) == RK_HEAD_SKIP;
+    if (c->released || !c->call)
         return true;
-    l->reusable = l->reusable && head->keep_alive && !l->skipping;
-    l->keep_ms = keep_alive_ms(head);
-    return l->skipping || !call->no_body;
+    c->reusable = c->reusable && head->keep_alive && !c->skipping_answer;
+    c->keep_alive_ms = parse_keep_alive_ms(head);
+    return c->skipping_answer || !call->no_body;
 }
 
 static void on_body(void *ctx, const char *data, size_t len)
 {
-    struct link *l = ctx;
-    if (l->call && !l->skipping)
-        l->call->ops->on_body(l->call->ctx, data, len);
+    struct pooled_conn *c = ctx;
+    if (c->call && !c->skipping_answer)
+        c->call->ops->on_body(c->call->ctx, data, len);
 }
 
 static void on_end(void *ctx)
 {
-    (void)ctx; /* the feeding function looks at reader.ended */
+    (void)ctx; /* feed() checks reader.ended */
 }
 
 static const struct rk_http1_ops reader_ops = {
     .on_head = on_head, .on_body = on_body, .on_end = on_end};
 
-/* The call's answer is whole; surplus: bytes came behind it. */
-static void finish_call(struct link *l, bool surplus)
+/* Ends a call whose answer is complete. has_surplus: bytes followed the answer. */
+static void complete_call(struct pooled_conn *c, bool has_surplus)
 {
-    struct rk_upstream_call *call = l->call;
+    struct rk_upstream_call *call = c->call;
     const struct rk_upstream_ops *ops = call->ops;
     void *ctx = call->ctx;
-    l->call = NULL;
+    c->call = NULL;
     free(call);
-    /* A request that is not all out leaves a connection nobody can use. */
-    bool keep = l->reusable && !surplus && !l->gone && !rk_conn_unsent(l->conn) &&
-                l->keep_ms > 0;
+    /* A connection with unsent bytes of this request can't be reused. */
+    bool keep = c->reusable && !has_surplus && !c->is_closed_by_vm &&
+                !rk_conn_unsent(c->tcp) && c->keep_alive_ms > 0;
     if (keep) {
-        rk_http1_next(&l->reader);
-        l->used = true;
-        make_idle(l);
+        rk_http1_next(&c->reader);
+        c->has_served = true;
+        push_idle(c);
     } else {
-        drop_link(l);
+        release_conn(c);
     }
     ops->on_end(ctx);
 }
 
-/* Messages in the bytes, until the call's own is whole. */
-static void feed(struct link *l, const char *data, size_t len)
+/* Parses answers until the call's own is complete. */
+static void feed(struct pooled_conn *c, const char *data, size_t len)
 {
-    while (len && l->call && !l->dropped) {
-        size_t n = rk_http1_feed(&l->reader, data, len);
-        if (l->dropped || !l->call)
+    while (len && c->call && !c->released) {
+        size_t n = rk_http1_feed(&c->reader, data, len);
+        if (c->released || !c->call)
             return;
-        if (l->reader.failed) {
-            fail_call(l, 0, "the answer is no HTTP");
+        if (c->reader.failed) {
+            fail_call(c, 0, "the answer is no HTTP");
             return;
         }
         data += n;
         len -= n;
-        if (!l->reader.ended)
+        if (!c->reader.ended)
             return;
-        if (!l->skipping) {
-            finish_call(l, len > 0);
+        if (!c->skipping_answer) {
+            complete_call(c, len > 0);
             return;
         }
-        rk_http1_next(&l->reader);
-        l->skipping = false;
+        rk_http1_next(&c->reader);
+        c->skipping_answer = false;
     }
 }
 
 static void on_data(void *ctx, const char *data, size_t len)
 {
-    struct link *l = ctx;
-    if (!l->call) {
-        drop_link(l); /* bytes that no call asked for */
+    struct pooled_conn *c = ctx;
+    if (!c->call) {
+        release_conn(c); /* bytes without a request */
         return;
     }
-    feed(l, data, len);
+    feed(c, data, len);
 }
 
 static void on_eof(void *ctx)
 {
-    struct link *l = ctx;
-    if (!l->call) {
-        drop_link(l);
+    struct pooled_conn *c = ctx;
+    if (!c->call) {
+        release_conn(c);
         return;
     }
-    l->gone = true;
-    rk_http1_eof(&l->reader);
-    if (!l->dropped && l->call) {
-        if (l->reader.ended && !l->skipping)
-            finish_call(l, false);
+    c->is_closed_by_vm = true;
+    rk_http1_eof(&c->reader);
+    if (!c->released && c->call) {
+        if (c->reader.ended && !c->skipping_answer)
+            complete_call(c, false);
         else
-            fail_call(l, 0, "the vm closed before its answer was whole");
+            fail_call(c, 0, "the vm closed before its answer was whole");
     }
 }
 
 static void on_error(void *ctx, int error)
 {
-    struct link *l = ctx;
-    if (!l->call)
-        drop_link(l);
+    struct pooled_conn *c = ctx;
+    if (!c->call)
+        release_conn(c);
     else
-        fail_call(l, error, strerror(error));
+        fail_call(c, error, strerror(error));
 }
 
 static const struct rk_conn_ops conn_ops = {
@@ -240,15 +245,17 @@
 
 /* ---- pools ---- */
 
+/* Closes the connections whose keep-alive time is over. */
 static void sweep_idle(struct pool *p, int64_t now_ms)
 {
-    for (struct link *l = p->idle, *next; l; l = next) {
-        next = l->next;
-        if (now_ms - l->idle_since_ms >= l->keep_ms)
-            drop_link(l);
+    for (struct pooled_conn *c = p->idle, *next; c; c = next) {
+        next = c->next;
+        if (now_ms - c->idle_since_ms >= c->keep_alive_ms)
+            release_conn(c);
     }
 }
 
+/* Closes expired connections and frees pools without connections. */
 static void on_sweep(void *ctx)
 {
     struct rk_upstreams *u = ctx;
@@ -263,7 +270,7 @@
         *at = p->next;
         free(p);
     }
-    rk_timer_start(u->loop, &u->sweep, SWEEP_MS);
+    rk_timer_start(u->loop, &u->sweep, SWEEP_INTERVAL_MS);
 }
 
 struct rk_upstreams *rk_upstreams_create(struct rk_loop *loop)
@@ -271,7 +278,7 @@
     struct rk_upstreams *u = rk_alloc(1, sizeof(*u));
     u->loop = loop;
     u->sweep = (struct rk_timer){.fn = on_sweep, .ctx = u};
-    rk_timer_start(loop, &u->sweep, SWEEP_MS);
+    rk_timer_start(loop, &u->sweep, SWEEP_INTERVAL_MS);
     return u;
 }
 
@@ -282,16 +289,17 @@
         struct pool *p = u->pools;
         u->pools = p->next;
         while (p->idle)
-            drop_link(p->idle);
+            release_conn(p->idle);
         free(p);
     }
     free(u);
 }
 
-/* A vm that starts again may do so at another address while calls are still in hand
- * at the old one. */
-static struct pool *pool_of(struct rk_upstreams *u, const char *vm_id,
-                            const char *addr)
+/* Returns the pool of a VM's address, and creates it if there is none. A restarted
+ * VM may have a new address while calls are still in flight at its old one, so each
+ * address has a pool of its own. */
+static struct pool *get_pool(struct rk_upstreams *u, const char *vm_id,
+                             const char *addr)
 {
     struct pool *p = u->pools;
     while (p && (strcmp(p->vm_id, vm_id) != 0 || strcmp(p->addr, addr) != 0))
@@ -307,54 +315,57 @@
     return p;
 }
 
-/* The idle link used last, if it rested for less than the limit. */
-static struct link *take_idle(struct pool *p, int64_t max_idle_ms)
+/* Returns the most recently used idle connection, or NULL if there is none or it
+ * was idle for too long. */
+static struct pooled_conn *pop_idle(struct pool *p, int64_t max_idle_ms)
 {
-    struct link *l = p->idle;
-    if (!l)
+    struct pooled_conn *c = p->idle;
+    if (!c)
         return NULL;
-    int64_t rest_ms = rk_mono_ms() - l->idle_since_ms;
-    if (rest_ms >= max_idle_ms || rest_ms >= l->keep_ms)
+    int64_t idle_ms = rk_mono_ms() - c->idle_since_ms;
+    if (idle_ms >= max_idle_ms || idle_ms >= c->keep_alive_ms)
         return NULL;
-    unlink_idle(l);
-    return l;
+    unlink_idle(c);
+    return c;
 }
 
-static struct link *open_link(struct pool *p, const struct rk_upstream_spec *spec)
+/* Returns a new connection, or NULL if the limit is reached or connecting fails. */
+static struct pooled_conn *open_conn(struct pool *p,
+                                     const struct rk_upstream_spec *spec)
 {
     if (p->open >= spec->max_conns)
         return NULL;
-    struct link *l = rk_alloc(1, sizeof(*l));
-    l->conn = rk_conn_connect(p->u->loop, p->addr, spec->connect_ms, &conn_ops, l);
-    if (!l->conn) {
-        free(l);
+    struct pooled_conn *c = rk_alloc(1, sizeof(*c));
+    c->tcp = rk_conn_connect(p->u->loop, p->addr, spec->connect_ms, &conn_ops, c);
+    if (!c->tcp) {
+        free(c);
         return NULL;
     }
-    l->pool = p;
-    l->reusable = true;
-    rk_http1_init(&l->reader, false, HEAD_MAX, &reader_ops, l);
+    c->pool = p;
+    c->reusable = true;
+    rk_http1_init(&c->reader, false, HEAD_MAX_BYTES, &reader_ops, c);
     p->open++;
-    return l;
+    return c;
 }
 
 struct rk_upstream_call *rk_upstream_start(struct rk_upstreams *u,
                                            const struct rk_upstream_spec *spec)
 {
-    struct pool *p = pool_of(u, spec->vm_id, spec->addr);
-    struct link *l = take_idle(p, spec->max_idle_ms);
-    if (!l)
-        l = open_link(p, spec);
-    if (!l)
+    struct pool *p = get_pool(u, spec->vm_id, spec->addr);
+    struct pooled_conn *c = pop_idle(p, spec->max_idle_ms);
+    if (!c)
+        c = open_conn(p, spec);
+    if (!c)
         return NULL;
     struct rk_upstream_call *call = rk_alloc(1, sizeof(*call));
-    *call = (struct rk_upstream_call){.link = l,
+    *call = (struct rk_upstream_call){.conn = c,
                                       .ops = spec->ops,
                                       .ctx = spec->ctx,
                                       .no_body = spec->no_body,
-                                      .reused = l->used};
-    l->call = call;
-    rk_conn_write(l->conn, spec->head, spec->head_len);
-    rk_conn_write(l->conn, spec->body, spec->body_len);
+                                      .reused = c->has_served};
+    c->call = call;
+    rk_conn_write(c->tcp, spec->head, spec->head_len);
+    rk_conn_write(c->tcp, spec->body, spec->body_len);
     return call;
 }
 
@@ -362,18 +373,18 @@
 {
     for (struct pool *p = u->pools; p; p = p->next)
         while (!strcmp(p->vm_id, vm_id) && p->idle)
-            drop_link(p->idle);
+            release_conn(p->idle);
 }
 
 bool rk_upstream_sent(const struct rk_upstream_call *call)
 {
-    return call->reused || rk_conn_has_sent(call->link->conn);
+    return call->reused || rk_conn_has_sent(call->conn->tcp);
 }
 
 void rk_upstream_cancel(struct rk_upstream_call *call)
 {
-    struct link *l = call->link;
-    l->call = NULL;
+    struct pooled_conn *c = call->conn;
+    c->call = NULL;
     free(call);
-    drop_link(l);
+    release_conn(c);
 }
--- a/services/upstream.h
+++ b/services/upstream.h
@@ -1,6 +1,8 @@
-/* Calls to upstream vms over HTTP/1.1, byte for byte, on connections kept for
- * each vm. It decides nothing; it tells exactly what is known: whether a byte of
- * the request may have left, and whether the answer is whole. Loop thread only. */
+/* HTTP/1.1 client for calls to upstream VMs. It sends requests byte for byte as
+ * given, and keeps idle connections to each VM for reuse. It never retries: it
+ * reports whether a byte of the request may have been sent and whether the answer
+ * is complete, and leaves the decision to its user. All functions are called on the
+ * loop's thread. */
 #ifndef RK_SERVICES_UPSTREAM_H
 #define RK_SERVICES_UPSTREAM_H
 
@@ -13,20 +15,23 @@
 struct rk_upstreams;
 struct rk_upstream_call;
 
+/* What to do with an answer, decided by its head. */
 enum rk_head_fate {
-    RK_HEAD_TAKE,
-    RK_HEAD_SKIP, /* of another request: the own answer may follow */
+    RK_HEAD_TAKE, /* it answers the call */
+    RK_HEAD_SKIP, /* it answers another request: discard it and read the next one */
 };
 
 struct rk_upstream_failure {
-    bool sent;   /* a byte of the request may have reached the vm */
-    bool reused; /* on a connection that had served before */
-    int error;   /* errno; 0: closed in order too early, or no HTTP */
-    const char *what;
+    bool sent;        /* a byte of the request may have reached the VM */
+    bool reused;      /* the connection had served an earlier call */
+    int error;        /* errno; 0: closed by the VM too early, or invalid HTTP */
+    const char *what; /* description; valid during the callback */
 };
 
-/* Exactly one of on_end and on_fail ends a call, unless it is cancelled. The call
- * may be cancelled in on_head and on_body. */
+/* Exactly one of on_end() and on_fail() ends a call, unless it is cancelled. The
+ * call may be cancelled in on_head() and on_body(), and must not be used in or
+ * after on_end() and on_fail(). on_body() gets the body in pieces, without chunk
+ * framing. */
 struct rk_upstream_ops {
     enum rk_head_fate (*on_head)(void *ctx, const struct rk_head *head);
     void (*on_body)(void *ctx, const char *data, size_t len);
@@ -36,34 +41,40 @@
 
 struct rk_upstream_spec {
     const char *vm_id;
-    const char *addr;
+    const char *addr; /* "ip:port" of the VM */
     const char *head; /* request line and headers, with the empty line */
     size_t head_len;
     const char *body;
     size_t body_len;
-    bool no_body;        /* the answer has none whatever its head says */
-    int64_t max_idle_ms; /* a kept connection that rested longer isn't used */
-    int64_t connect_ms;
-    int max_conns; /* open ones to this vm */
+    bool no_body;        /* the answer has no body whatever its head says (HEAD) */
+    int64_t max_idle_ms; /* connections that were idle for this long are not used */
+    int64_t connect_ms;  /* time-out of connecting */
+    int max_conns;       /* limit of open connections to this address of the VM */
     const struct rk_upstream_ops *ops;
     void *ctx;
 };
 
+/* Creates an empty set of connection pools on a loop, which must outlive it. */
 struct rk_upstreams *rk_upstreams_create(struct rk_loop *loop);
+
+/* Closes all idle connections and frees u. No call may be in flight. */
 void rk_upstreams_destroy(struct rk_upstreams *u);
 
-/* NULL: no connection may or can be opened; nothing was sent and no callback
- * comes. Callbacks never come before this returns. */
+/* Sends a request on an idle connection or on a new one. Copies what it needs of
+ * *spec; spec->ops must outlive the call. Returns NULL if max_conns is reached or
+ * no connection can be opened: nothing was sent then, and no callback is called.
+ * Never calls back before it returns. */
 struct rk_upstream_call *rk_upstream_start(struct rk_upstreams *u,
                                            const struct rk_upstream_spec *spec);
 
-/* Close the connections to a vm that have no call: it was started again. */
+/* Closes the idle connections to a VM. Used when the VM was restarted. */
 void rk_upstreams_forget(struct rk_upstreams *u, const char *vm_id);
 
-/* Give up: the connection is closed, no callback comes. */
+/* Cancels and frees a call and resets its connection. No callback is called. */
 void rk_upstream_cancel(struct rk_upstream_call *call);
 
-/* Has a byte of the request left? */
+/* Returns whether a byte of the request may have been sent. This is always true on
+ * a reused connection. */
 bool rk_upstream_sent(const struct rk_upstream_call *call);
 
 #endif
