--- a/callers/callers.c
+++ b/callers/callers.c
@@ -206,6 +206,7 @@
     MHD_add_response_header(r, "Rillknot-Retry-After-Ms", value);
 }
 
+/* Hands the answer to MHD. A stream is read piece by piece as it comes in. */
 static enum MHD_Result queue_answer(struct caller_request *k)
 {
     struct MHD_Response *r;
@@ -244,6 +245,7 @@
     return MHD_lookup_connection_value(k->mhd, MHD_HEADER_KIND, name);
 }
 
+/* Answers a malformed request with a problem page. */
 static enum MHD_Result reject_request(struct caller_request *k, int status,
                                       const char *detail)
 {
--- a/callers/callers.h
+++ b/callers/callers.h
@@ -46,7 +46,7 @@
  * Does nothing if c is NULL. */
 void rk_callers_destroy(struct rk_callers *c);
 
-/* Returns the port that is listened on, in host byte order. */
+/* Returns the port that it listens on, in host byte order. */
 uint16_t rk_callers_port(const struct rk_callers *c);
 
 /* Returns the number of requests whose answer is not completely written yet. */
--- a/callers/pages.c
+++ b/callers/pages.c
@@ -39,6 +39,8 @@
     rk_buf_addstr(out, "}");
 }
 
+/* Returns the HTTP status. It is 503 until the node has settings, and while it is
+ * leaving. */
 static int render_health(struct rk_buf *out, const struct rk_view *v)
 {
     bool ready = v->config->head > 0 && !v->leaving;
--- a/callers/parse.c
+++ b/callers/parse.c
@@ -92,6 +92,7 @@
            strcat(r->path, query);
 }
 
+/* Sets the last error. */
 static enum rk_parse fail_parse(const char *what)
 {
     rk_fail(RK_EINVAL, "%s", what);
--- a/callers/server.c
+++ b/callers/server.c
@@ -351,7 +351,8 @@
     feed(c, data, len);
 }
 
-/* Ends a connection that the caller, or rk_server_destroy(), has ended. */
+/* Ends a connection that was closed or reset by the caller, or that the server
+ * gives up. Reports the disconnect if a request is in flight. */
 static void drop_disconnected(struct rk_client *c)
 {
     bool in_flight = c->state != CLIENT_READING;
--- a/callers/server.h
+++ b/callers/server.h
@@ -25,7 +25,7 @@
 
 struct rk_server_ops {
     /* Called with each complete request. Its head and body stay valid until its
-     * answer ends or on_gone() is called. */
+     * answer ends or the caller disconnects. */
     void (*on_request)(void *ctx, struct rk_client *client);
     /* Called when the caller disconnects before its answer has ended. `user` is the
      * value of rk_client_set_user(). The client must not be used any more. */
@@ -39,8 +39,8 @@
                                    const struct rk_server_limits *limits,
                                    const struct rk_server_ops *ops, void *ctx);
 
-/* Closes the listener, resets all connections and frees s. Calls on_gone() for each
- * request in flight. Does nothing if s is NULL. */
+/* Closes the listener, resets all connections and frees s. Reports a disconnect for
+ * each request in flight. Does nothing if s is NULL. */
 void rk_server_destroy(struct rk_server *s);
 
 /* Returns the bound address as "ip:port". The server owns the string. */
@@ -49,8 +49,8 @@
 /* Sets the limits of connections that are accepted from now on. */
 void rk_server_set_limits(struct rk_server *s, const struct rk_server_limits *l);
 
-/* Starts or stops accepting connections. While it is off, they wait in the kernel's
- * queue. It is on initially. */
+/* Starts or stops accepting connections. New connections wait in the kernel's queue
+ * while it is off. It is on initially. */
 void rk_server_set_accepting(struct rk_server *s, bool on);
 
 /* Makes each answer that begins from now on close its connection, and announce that
@@ -70,7 +70,8 @@
 const struct rk_head *rk_client_head(const struct rk_client *c);
 const char *rk_client_body(const struct rk_client *c, size_t *len);
 
-/* Sets the value that on_gone() gets. It is reset to NULL with the next request. */
+/* Sets the value that is passed on when the caller disconnects. It is reset to NULL
+ * with the next request. */
 void rk_client_set_user(struct rk_client *c, void *user);
 
 /* Sends a complete answer with a body of `len` bytes. `headers` is "" or header
--- a/peers/link.c
+++ b/peers/link.c
@@ -27,8 +27,8 @@
 
 /* rk_link_waiting() compares samples that are at most this far apart. */
 #define SAMPLE_MAX_GAP_MS 100
-/* Time without progress after which a path counts as broken. It is longer than a
- * saturated link takes to make some. */
+/* Time without progress after which a path counts as broken. A link that is merely
+ * saturated sends something within it. */
 #define STALL_TIMEOUT_MS 500
 /* TCP_USER_TIMEOUT: the kernel ends a connection whose bytes were not acknowledged
  * for this long. */
--- a/peers/link.h
+++ b/peers/link.h
@@ -69,7 +69,7 @@
 /* Returns the bytes that wait on this machine: those in the link's own send buffer
  * and those in the kernel's that the peer has not acknowledged. Returns 0 if they
  * have not become fewer for 500 ms: the path is broken then, and its bytes take no
- * bandwidth from other links. Progress is measured between calls, which must be
+ * bandwidth from other links. Progress is measured from call to call. Calls must be
  * less than 100 ms apart; after a longer gap the measurement starts again. */
 size_t rk_link_waiting(struct rk_link *l);
 
--- a/services/attempt.c
+++ b/services/attempt.c
@@ -24,7 +24,7 @@
     char content_type[RK_CTYPE_MAX];
     struct rk_buf body;
     struct rk_timer inactivity_timer;
-    int64_t silence_ms;
+    int64_t inactivity_timeout_ms;
     int64_t retry_after_ms; /* from the answer; -1: unreadable; 0: none */
     bool is_mismatched;     /* the answer has the request id of another request */
 };
@@ -52,7 +52,7 @@
     struct rk_service_attempt *a = ctx;
     if (a->is_mismatched)
         return false;
-    rk_timer_start(a->loop, &a->inactivity_timer, a->silence_ms);
+    rk_timer_start(a->loop, &a->inactivity_timer, a->inactivity_timeout_ms);
     return rk_buf_add(&a->body, data, len);
 }
 
@@ -94,8 +94,10 @@
                          void *ctx)
 {
     struct rk_service_attempt *a = rk_alloc(1, sizeof(*a));
-    *a = (struct rk_service_attempt){
-        .loop = loop, .fn = fn, .ctx = ctx, .silence_ms = spec->silence_ms};
+    *a = (struct rk_service_attempt){.loop = loop,
+                                     .fn = fn,
+                                     .ctx = ctx,
+                                     .inactivity_timeout_ms = spec->silence_ms};
     a->body.max = ANSWER_MAX_BYTES;
     rk_strcpy(a->request_id, sizeof(a->request_id), spec->request_id);
     a->inactivity_timer = (struct rk_timer){.fn = on_inactivity, .ctx = a};
