--- a/peers/link.h
+++ b/peers/link.h
@@ -25,8 +25,8 @@
     void (*on_frame)(void *ctx, struct rk_link *link, const Rillknot__Frame *frame);
     /* Called when an outgoing connection is established. May be NULL. */
     void (*on_up)(void *ctx, struct rk_link *link);
-    /* Called once when the connection fails or the peer closes it. The owner must
-     * destroy the link, in the callback or later. */
+    /* Called once when the connection fails, the peer closes it or its input is
+     * malformed. The owner must destroy the link, in the callback or later. */
     void (*on_down)(void *ctx, struct rk_link *link);
 };
 
