--- a/common/arena.h
+++ b/common/arena.h
@@ -1,5 +1,5 @@
-/* Memory for one thing at a time that takes many small pieces, such as a message
- * that is decoded: all are given back at once. One thread's. */
+/* Arena allocator: many small allocations that are all freed at once by a reset,
+ * such as those for decoding one message. An arena is not thread-safe. */
 #ifndef RK_COMMON_ARENA_H
 #define RK_COMMON_ARENA_H
 
@@ -10,9 +10,12 @@
 struct rk_arena *rk_arena_create(void);
 void rk_arena_destroy(struct rk_arena *a);
 
-/* Valid until the reset; zeroed only where it was never used. Never NULL. */
+/* Returns len bytes, aligned for any type and valid until the next reset. Never
+ * returns NULL: the process aborts when memory runs out. The memory is not zeroed.
+ */
 void *rk_arena_take(struct rk_arena *a, size_t len);
-/* Give all back. As much room as was used is kept for the next, within bounds. */
+/* Invalidates all allocations. Retains a block as large as all blocks together for
+ * reuse, unless that is 256 KiB or more. */
 void rk_arena_reset(struct rk_arena *a);
 
 #endif
--- a/common/json.h
+++ b/common/json.h
@@ -1,11 +1,12 @@
-/* Look-ups in json-c objects. A missing member, or a NULL object, is no error. */
+/* Lookups in json-c objects. A missing member or a NULL object is no error: the
+ * functions return a default then. */
 #ifndef RK_COMMON_JSON_H
 #define RK_COMMON_JSON_H
 
 #include <json-c/json.h>
 #include <stdint.h>
 
-/* The member, borrowed; NULL when there is none. */
+/* Returns the member; NULL if there is none. The object keeps the reference. */
 static inline struct json_object *rk_json_get(struct json_object *o,
                                               const char *name)
 {
@@ -13,13 +14,15 @@
     return json_object_object_get_ex(o, name, &v) ? v : NULL;
 }
 
-/* The member as text, borrowed; "" when there is none. */
+/* Returns the member as text, which the object owns; "" if there is none or it is
+ * null. A member of another type is returned as its JSON text. */
 static inline const char *rk_json_str(struct json_object *o, const char *name)
 {
     struct json_object *v = rk_json_get(o, name);
     return v ? json_object_get_string(v) : "";
 }
 
+/* Returns the member as an integer; fallback if there is none. */
 static inline int64_t rk_json_int(struct json_object *o, const char *name,
                                   int64_t fallback)
 {
@@ -27,7 +30,7 @@
     return v ? json_object_get_int64(v) : fallback;
 }
 
-/* Length of a list; 0 when it is none. */
+/* Returns the length of an array; 0 if list is not an array. */
 static inline size_t rk_json_len(struct json_object *list)
 {
     return json_object_is_type(list, json_type_array)
@@ -35,7 +38,7 @@
                : 0;
 }
 
-/* The member as a number; 0 when there is none. */
+/* Returns the member as a number; 0 if there is none. */
 static inline double rk_json_real(struct json_object *o, const char *name)
 {
     return json_object_get_double(rk_json_get(o, name));
--- a/common/status.c
+++ b/common/status.c
@@ -3,11 +3,11 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-#define LAST_ERROR_MAX 512
+#define ERROR_MAX_BYTES 512
 
-static _Thread_local char last_error[LAST_ERROR_MAX];
+static _Thread_local char last_error[ERROR_MAX_BYTES];
 
-static const char *const names[] = {
+static const char *const status_names[] = {
     [RK_OK] = "ok",
     [RK_EINVAL] = "invalid",
     [RK_ENOTFOUND] = "not-found",
@@ -22,7 +22,7 @@
 
 const char *rk_status_str(enum rk_status st)
 {
-    return names[st];
+    return status_names[st];
 }
 
 enum rk_status rk_fail(enum rk_status st, const char *fmt, ...)
--- a/common/tsan.h
+++ b/common/tsan.h
@@ -1,6 +1,7 @@
-/* Tells ThreadSanitizer of the order that Concurrency Kit's structures give:
- * their atomics are inline assembly, which it can't see. Nothing otherwise. The
- * file with the ring itself (common/loop.c) is built without instrumentation. */
+/* Annotations that make the ordering of Concurrency Kit's structures visible to
+ * ThreadSanitizer, which can't see their atomics: they are inline assembly. Without
+ * RK_TSAN they do nothing. common/loop.c, which holds the ring itself, is built
+ * without instrumentation. */
 #ifndef RK_COMMON_TSAN_H
 #define RK_COMMON_TSAN_H
 
--- a/common/util.c
+++ b/common/util.c
@@ -18,9 +18,9 @@
     return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
 
-/* CLOCK_MONOTONIC stands still while the machine is suspended: what a lease, a
- * peer's word or a deadline has left would look larger by that time, and a holder
- * that was suspended for longer than its lease acted on. */
+/* CLOCK_MONOTONIC stops while the machine is suspended. With it, leases, peers'
+ * reports and deadlines seemed to have more time left than they had, and a leader
+ * that was suspended for longer than its lease went on acting as the leader. */
 int64_t rk_mono_us(void)
 {
     return clock_us(CLOCK_BOOTTIME);
@@ -36,7 +36,7 @@
     return clock_us(CLOCK_REALTIME) / 1000;
 }
 
-static uint64_t avalanche(uint64_t z)
+static uint64_t mix64(uint64_t z)
 {
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
@@ -51,7 +51,7 @@
         h ^= p[i];
         h *= FNV_PRIME;
     }
-    return avalanche(h);
+    return mix64(h);
 }
 
 uint64_t rk_hash_str(uint64_t h, const char *s)
@@ -62,7 +62,7 @@
 uint64_t rk_rng_next(struct rk_rng *rng)
 {
     rng->state += 0x9e3779b97f4a7c15ULL;
-    return avalanche(rng->state);
+    return mix64(rng->state);
 }
 
 uint32_t rk_rng_below(struct rk_rng *rng, uint32_t bound)
--- a/common/util.h
+++ b/common/util.h
@@ -1,5 +1,6 @@
-/* Small helpers: clocks, hashing, a seeded generator, bounded strings and
- * growable buffers. No global state. */
+/* Small helpers: clocks, hashing, a seeded random number generator, bounded string
+ * copies and growable buffers. The module has no global state; its functions may be
+ * called on any thread. */
 #ifndef RK_COMMON_UTIL_H
 #define RK_COMMON_UTIL_H
 
@@ -9,61 +10,79 @@
 
 #define RK_ARRAY_LEN(a) (sizeof(a) / sizeof((a)[0]))
 
-/* Identifiers (vm, organisation, service, request) fit in this many bytes. */
+/* Buffer sizes in bytes, terminating NUL included: RK_ID_MAX for an identifier (of
+ * a VM, an organisation, a service or a request), RK_ADDR_MAX for an "ip:port". */
 #define RK_ID_MAX   48
 #define RK_ADDR_MAX 32
 
 #define RK_MS_PER_S  1000
 #define RK_NS_PER_MS 1000000LL
 
-/* Seconds as whole milliseconds. */
+/* Converts seconds to milliseconds, rounded to the nearest; s must not be negative.
+ */
 static inline int64_t rk_s_to_ms(double s)
 {
     return (int64_t)(s * RK_MS_PER_S + 0.5);
 }
 
-/* Monotonic and wall clock, in milliseconds. The monotonic one counts the time in
- * which the machine is suspended: for all that expires that is like a process that
- * was stopped. Timers of the loop that are due by then run at its next turn. */
+/* Returns the monotonic clock in milliseconds (rk_mono_us(): in microseconds). It
+ * counts the time during which the machine is suspended, so leases and deadlines
+ * expire in a suspend as they do while the process is stopped. Loop timers that
+ * fall due meanwhile run in the loop's next iteration. */
 int64_t rk_mono_ms(void);
+/* Returns the wall clock: milliseconds since the Unix epoch. */
 int64_t rk_wall_ms(void);
 int64_t rk_mono_us(void);
 
-/* FNV-1a over len bytes, finished with an avalanche; h chains calls. */
+/* Returns the FNV-1a hash of len bytes, with a final bit mix. h is the seed: 0, or
+ * the result of an earlier call, to hash several pieces in a row. */
 uint64_t rk_hash(uint64_t h, const void *data, size_t len);
+/* As rk_hash(), over the bytes of s without its NUL. */
 uint64_t rk_hash_str(uint64_t h, const char *s);
 
-/* splitmix64 generator: the state is the caller's, so runs repeat. */
+/* SplitMix64 random number generator. The caller holds the state and sets it to a
+ * seed, so that a run can be repeated. Not for secrets. */
 struct rk_rng {
     uint64_t state;
 };
 uint64_t rk_rng_next(struct rk_rng *rng);
-uint32_t rk_rng_below(struct rk_rng *rng, uint32_t bound); /* bound > 0 */
+/* Returns a number from 0 to bound - 1; bound must not be 0. */
+uint32_t rk_rng_below(struct rk_rng *rng, uint32_t bound);
 
-/* Copy src, cut to size - 1 bytes and terminated. True if all of it fitted. */
+/* Copies src into the size bytes at dst, truncated to size - 1 bytes and always
+ * NUL-terminated. Returns false if src was truncated. */
 bool rk_strcpy(char *dst, size_t size, const char *src);
 
-/* calloc() that ends the process when memory runs out. */
+/* As calloc(), realloc() and strdup(), but they abort the process when memory runs
+ * out. The caller frees the result with free(). */
 void *rk_alloc(size_t n, size_t size);
 void *rk_realloc(void *p, size_t size);
 char *rk_strdup(const char *s);
 
-/* Growable byte buffer with an upper limit. Always NUL-terminated once
- * something was added. Zero-initialise it; free with rk_buf_free(). */
+/* Growable byte buffer with an optional limit. Zero-initialise it and release it
+ * with rk_buf_free(). data is NULL until something is added, NUL-terminated from
+ * then on, and moves when the buffer grows. */
 struct rk_buf {
     char *data;
-    size_t len;
-    size_t cap;
-    size_t max; /* 0: no limit */
+    size_t len; /* bytes in use, without the NUL */
+    size_t cap; /* bytes allocated */
+    size_t max; /* limit of len; 0: none */
 };
+/* The functions that append return false, and add nothing, where len would exceed
+ * max. */
 bool rk_buf_add(struct rk_buf *b, const void *data, size_t len);
 bool rk_buf_addstr(struct rk_buf *b, const char *s);
 bool rk_buf_printf(struct rk_buf *b, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
+/* Removes the first len bytes; there must be as many. */
 void rk_buf_consume(struct rk_buf *b, size_t len);
+/* Frees the memory. The buffer is then empty, keeps its max and can be used again.
+ */
 void rk_buf_free(struct rk_buf *b);
 
-/* Append s as a quoted JSON string. */
+/* Appends s as a quoted JSON string; its bytes from 0x80 up are copied as they are.
+ * Where it returns false for lack of room, a part of the string may have been
+ * appended. */
 bool rk_buf_json_str(struct rk_buf *b, const char *s);
 
 #endif
