--- a/common/conn.c
+++ b/common/conn.c
@@ -13,27 +13,29 @@
 #include "common/loop.h"
 #include "common/util.h"
 
-#define READ_BLOCK (32 * 1024)
-#define KEPT_BYTES 2048 /* of a buffer whose bytes are all sent: a usual head */
-#define LINGER_MS  1000 /* for the peer to read the last bytes and close */
-#define USER_TIMEOUT_MS                                                            \
-    3000 /* unacknowledged bytes for so long: the path is gone */
+#define READ_BLOCK_LEN (32 * 1024)
+/* Largest output buffer to keep after its bytes are sent: holds a usual head. */
+#define RETAINED_MAX 2048
+/* Time for the peer to read the last bytes and to close. */
+#define LINGER_MS 1000
+/* The connection has failed when sent bytes stay unacknowledged for so long. */
+#define USER_TIMEOUT_MS 3000
 
 struct rk_conn {
     struct rk_loop *loop;
-    const struct rk_conn_ops *ops; /* NULL: no callbacks any more */
+    const struct rk_conn_ops *ops; /* NULL: no further callbacks */
     void *ctx;
     int fd;
     bool connecting;
     bool paused;
-    bool lingering; /* ended in order; only flushes and waits */
+    bool lingering; /* closed by the owner: sends the rest, waits for the peer */
     bool fin_sent;
     bool has_sent;
-    bool dead; /* freed in the loop's next turn */
-    uint32_t watched;
-    struct rk_buf out;
-    size_t out_pos;
-    struct rk_timer timer; /* of the connect, or of lingering */
+    bool released;           /* the timer will free the memory */
+    uint32_t watched_events; /* epoll events */
+    struct rk_buf out;       /* bytes to send */
+    size_t out_pos;          /* how many of them the kernel has taken */
+    struct rk_timer timer;   /* limits the connect or the lingering */
 };
 
 static void free_conn(void *ctx)
@@ -43,7 +45,8 @@
     free(c);
 }
 
-/* Its functions may be on the stack: memory goes when they have returned. */
+/* Closes the socket. The memory is freed by a timer, as functions that use c may
+ * still be on the call stack. */
 static void release(struct rk_conn *c)
 {
     if (c->fd >= 0) {
@@ -51,28 +54,29 @@
         close(c->fd);
         c->fd = -1;
     }
-    c->dead = true;
+    c->released = true;
     c->timer.fn = free_conn;
     rk_timer_start(c->loop, &c->timer, 0);
 }
 
 static void on_event(void *ctx, int fd, uint32_t events);
 
-static void watch(struct rk_conn *c)
+static void update_watch(struct rk_conn *c)
 {
-    uint32_t want = EPOLLRDHUP;
+    uint32_t events = EPOLLRDHUP;
     if (!c->paused && !c->connecting)
-        want |= EPOLLIN;
+        events |= EPOLLIN;
     if (c->connecting || rk_conn_unsent(c))
-        want |= EPOLLOUT;
-    if (want == c->watched)
+        events |= EPOLLOUT;
+    if (events == c->watched_events)
         return;
-    c->watched = want;
-    rk_loop_watch(c->loop, c->fd, want, on_event, c);
+    c->watched_events = events;
+    rk_loop_watch(c->loop, c->fd, events, on_event, c);
 }
 
-/* The connection is over: tell its owner once. error 0: closed in order. */
-static void end(struct rk_conn *c, int error)
+/* Notifies the owner that the connection has ended, once. error 0: closed in order.
+ */
+static void notify_end(struct rk_conn *c, int error)
 {
     const struct rk_conn_ops *ops = c->ops;
     if (!ops) {
@@ -81,14 +85,14 @@
     }
     c->ops = NULL;
     rk_loop_watch(c->loop, c->fd, 0, NULL, NULL);
-    c->watched = 0;
+    c->watched_events = 0;
     if (error)
         ops->on_error(c->ctx, error);
     else
         ops->on_eof(c->ctx);
 }
 
-static void finish_lingering(struct rk_conn *c)
+static void shutdown_if_sent(struct rk_conn *c)
 {
     if (rk_conn_unsent(c) || c->fin_sent)
         return;
@@ -96,13 +100,14 @@
     shutdown(c->fd, SHUT_WR);
 }
 
-/* A node keeps hundreds of connections at rest: what a long prompt needed once
- * isn't kept for each of them. */
-static void forget_sent(struct rk_conn *c)
+/* Empties the output buffer and frees it if it is large: a node keeps hundreds of
+ * idle connections, and each that once carried a long prompt would hold its memory.
+ */
+static void clear_output(struct rk_conn *c)
 {
     c->out.len = 0;
     c->out_pos = 0;
-    if (c->out.cap > KEPT_BYTES)
+    if (c->out.cap > RETAINED_MAX)
         rk_buf_free(&c->out);
 }
 
@@ -114,17 +119,18 @@
         if (n < 0) {
             if (errno == EAGAIN || errno == EINTR)
                 break;
-            c->out_pos = c->out.len; /* lost; the event that follows tells why */
+            c->out_pos =
+                c->out.len; /* drop them; an epoll event reports the error */
             break;
         }
         c->has_sent = true;
         c->out_pos += (size_t)n;
     }
     if (!rk_conn_unsent(c))
-        forget_sent(c);
+        clear_output(c);
     if (c->lingering)
-        finish_lingering(c);
-    watch(c);
+        shutdown_if_sent(c);
+    update_watch(c);
 }
 
 static void finish_connect(struct rk_conn *c)
@@ -133,29 +139,29 @@
     socklen_t len = sizeof(error);
     getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &error, &len);
     if (error) {
-        end(c, error);
+        notify_end(c, error);
         return;
     }
     c->connecting = false;
     rk_timer_stop(c->loop, &c->timer);
     if (c->ops && c->ops->on_up)
         c->ops->on_up(c->ctx);
-    if (!c->dead)
+    if (!c->released)
         flush(c);
 }
 
-/* One block; what is left raises the event again. */
-static void take(struct rk_conn *c)
+/* Reads one block. epoll is level-triggered: unread bytes raise the event again. */
+static void read_block(struct rk_conn *c)
 {
-    static _Thread_local char block[READ_BLOCK];
+    static _Thread_local char block[READ_BLOCK_LEN];
     ssize_t n = recv(c->fd, block, sizeof(block), 0);
     if (n < 0) {
         if (errno != EAGAIN && errno != EINTR)
-            end(c, errno);
+            notify_end(c, errno);
         return;
     }
     if (n == 0) {
-        end(c, 0);
+        notify_end(c, 0);
         return;
     }
     if (c->ops)
@@ -171,16 +177,17 @@
         return;
     }
     if (events & EPOLLOUT) {
-        bool had = rk_conn_unsent(c) > 0;
+        bool had_unsent = rk_conn_unsent(c) > 0;
         flush(c);
-        if (!c->dead && c->ops && had && !rk_conn_unsent(c) && c->ops->on_drained)
+        if (!c->released && c->ops && had_unsent && !rk_conn_unsent(c) &&
+            c->ops->on_drained)
             c->ops->on_drained(c->ctx);
     }
     bool readable = events & (EPOLLIN | EPOLLERR | EPOLLHUP);
-    if (!c->dead && readable && (!c->paused || !(events & EPOLLIN)))
-        take(c);
-    else if (!c->dead && c->ops && c->paused && (events & EPOLLRDHUP))
-        end(c, 0);
+    if (!c->released && readable && (!c->paused || !(events & EPOLLIN)))
+        read_block(c);
+    else if (!c->released && c->ops && c->paused && (events & EPOLLRDHUP))
+        notify_end(c, 0);
 }
 
 static void on_timer(void *ctx)
@@ -189,15 +196,15 @@
     if (c->lingering)
         release(c);
     else
-        end(c, ETIMEDOUT);
+        notify_end(c, ETIMEDOUT);
 }
 
 static struct rk_conn *create(struct rk_loop *loop, int fd,
                               const struct rk_conn_ops *ops, void *ctx)
 {
-    int one = 1, limit = USER_TIMEOUT_MS;
+    int one = 1, timeout_ms = USER_TIMEOUT_MS;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
+    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof(timeout_ms));
     struct rk_conn *c = rk_alloc(1, sizeof(*c));
     *c = (struct rk_conn){.loop = loop, .ops = ops, .ctx = ctx, .fd = fd};
     c->timer = (struct rk_timer){.fn = on_timer, .ctx = c};
@@ -205,7 +212,7 @@
 }
 
 struct rk_conn *rk_conn_connect(struct rk_loop *loop, const char *addr,
-                                int64_t limit_ms, const struct rk_conn_ops *ops,
+                                int64_t timeout_ms, const struct rk_conn_ops *ops,
                                 void *ctx)
 {
     struct sockaddr_in sin;
@@ -221,8 +228,8 @@
     }
     struct rk_conn *c = create(loop, fd, ops, ctx);
     c->connecting = true;
-    watch(c);
-    rk_timer_start(loop, &c->timer, limit_ms);
+    update_watch(c);
+    rk_timer_start(loop, &c->timer, timeout_ms);
     return c;
 }
 
@@ -230,7 +237,7 @@
                               const struct rk_conn_ops *ops, void *ctx)
 {
     struct rk_conn *c = create(loop, fd, ops, ctx);
-    watch(c);
+    update_watch(c);
     return c;
 }
 
@@ -242,7 +249,7 @@
 
 void rk_conn_write(struct rk_conn *c, const void *data, size_t len)
 {
-    if (c->dead || c->fd < 0 || !len)
+    if (c->released || c->fd < 0 || !len)
         return;
     rk_buf_add(&c->out, data, len);
     if (c->connecting)
@@ -262,38 +269,37 @@
 
 void rk_conn_pause(struct rk_conn *c, bool paused)
 {
-    if (c->dead || !c->ops || c->paused == paused)
+    if (c->released || !c->ops || c->paused == paused)
         return;
     c->paused = paused;
-    watch(c);
+    update_watch(c);
 }
 
-/* What still comes in is dropped. */
-static void drop_data(void *ctx, const char *data, size_t len)
+static void discard_data(void *ctx, const char *data, size_t len)
 {
     (void)ctx;
     (void)data;
     (void)len;
 }
 
-static void linger_over(void *ctx)
+static void on_linger_eof(void *ctx)
 {
     release(ctx);
 }
 
-static void linger_failed(void *ctx, int error)
+static void on_linger_error(void *ctx, int error)
 {
     (void)error;
     release(ctx);
 }
 
 static const struct rk_conn_ops linger_ops = {
-    .on_data = drop_data, .on_eof = linger_over, .on_error = linger_failed};
+    .on_data = discard_data, .on_eof = on_linger_eof, .on_error = on_linger_error};
 
 void rk_conn_close(struct rk_conn *c)
 {
     if (!c->ops || c->connecting) {
-        release(c); /* over already, or nothing was sent */
+        release(c); /* already ended, or nothing was sent */
         return;
     }
     rk_conn_set_owner(c, &linger_ops, c);
@@ -315,9 +321,9 @@
 
 void rk_conn_abort(struct rk_conn *c)
 {
-    const struct linger hard = {.l_onoff = 1, .l_linger = 0};
+    const struct linger reset = {.l_onoff = 1, .l_linger = 0};
     if (c->fd >= 0)
-        setsockopt(c->fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+        setsockopt(c->fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
     c->ops = NULL;
     release(c);
 }
--- a/common/conn.h
+++ b/common/conn.h
@@ -1,5 +1,7 @@
-/* A TCP connection on an event loop: buffered writes, reads as they come, and
- * three ways to end it. Loop thread only. */
+/* A TCP connection on an event loop. Writes are buffered, received data is passed
+ * on by a callback, and there are three ways to end the connection: an orderly
+ * close, the close of an idle connection, and a reset. All functions run on the
+ * loop's thread. */
 #ifndef RK_COMMON_CONN_H
 #define RK_COMMON_CONN_H
 
@@ -10,49 +12,59 @@
 struct rk_loop;
 struct rk_conn;
 
-/* Callbacks may end the connection. After on_eof or on_error no other comes. */
+/* Callbacks of a connection's owner. Each may end the connection. No callback
+ * follows on_eof or on_error; the owner must still end the connection to free it.
+ */
 struct rk_conn_ops {
     void (*on_up)(void *ctx); /* a connect succeeded; may be NULL */
     void (*on_data)(void *ctx, const char *data, size_t len);
     void (*on_eof)(void *ctx);              /* the peer closed in order */
-    void (*on_error)(void *ctx, int error); /* errno: reset, refused, timed out */
-    void (*on_drained)(void *ctx); /* all written bytes left; may be NULL */
+    void (*on_error)(void *ctx, int error); /* errno: reset, refused or timed out */
+    void (*on_drained)(void *ctx); /* queued bytes were all sent; may be NULL */
 };
 
-/* Connect in the background. NULL when addr is malformed or no socket is to be
- * had. limit_ms: how long the connect may take (on_error with ETIMEDOUT). */
+/* Starts connecting to addr, "ip:port". Returns NULL if addr is malformed or the
+ * system refuses at once. on_error gets ETIMEDOUT if the connect takes longer than
+ * timeout_ms. The caller keeps ops valid and ends the connection by one of the
+ * functions below. */
 struct rk_conn *rk_conn_connect(struct rk_loop *loop, const char *addr,
-                                int64_t limit_ms, const struct rk_conn_ops *ops,
+                                int64_t timeout_ms, const struct rk_conn_ops *ops,
                                 void *ctx);
 
-/* Take over an accepted socket. */
+/* Takes ownership of an accepted, non-blocking socket. Never returns NULL. */
 struct rk_conn *rk_conn_adopt(struct rk_loop *loop, int fd,
                               const struct rk_conn_ops *ops, void *ctx);
 
-/* Another owner takes over the callbacks. */
+/* Replaces the callbacks and their context. */
 void rk_conn_set_owner(struct rk_conn *c, const struct rk_conn_ops *ops, void *ctx);
 
-/* Queue bytes. They are copied. */
+/* Sends bytes, or queues a copy of those that can't be sent yet. The queue has no
+ * limit: callers check rk_conn_unsent(). */
 void rk_conn_write(struct rk_conn *c, const void *data, size_t len);
 
-/* Bytes written and not yet taken by the kernel. */
+/* Returns how many written bytes have not been passed to the kernel yet. */
 size_t rk_conn_unsent(const struct rk_conn *c);
 
-/* Has a byte been given to the kernel on a standing connection? */
+/* Returns whether any byte has been passed to the kernel. Until the connection is
+ * established, written bytes stay in the queue. */
 bool rk_conn_has_sent(const struct rk_conn *c);
 
-/* Stop or resume reading; the peer's close is still noticed. */
+/* Stops or resumes reading. While it is stopped, the peer's close is still noticed.
+ */
 void rk_conn_pause(struct rk_conn *c, bool paused);
 
-/* End in order: what is queued leaves first, then the peer is given a moment to
- * close, so that it reads the last answer. No callback comes any more. */
+/* Closes the connection in order and frees c: sends the queued bytes and lets the
+ * peer read them and close, for one second at most. A connection that has ended
+ * already or is still connecting is closed at once. No callback follows. */
 void rk_conn_close(struct rk_conn *c);
 
-/* End a connection at rest. What crosses the close is not read: the peer's kernel
- * is answered with a reset. False: bytes wait to be read, and it stays as it is. */
+/* Closes an idle connection at once and frees c. Data that arrives after the close
+ * is answered by the kernel with a reset, so the peer knows that it was not read.
+ * Returns false, and changes nothing, if received bytes are waiting to be read. */
 bool rk_conn_close_idle(struct rk_conn *c);
 
-/* End at once by a reset: the peer can't take what it got for whole. */
+/* Resets the connection and frees c. By the reset the peer knows that what it
+ * received is incomplete. */
 void rk_conn_abort(struct rk_conn *c);
 
 #endif
--- a/common/loop.c
+++ b/common/loop.c
@@ -13,9 +13,9 @@
 #include "common/tsan.h"
 #include "common/util.h"
 
-#define DISPATCH_SLOTS 4096 /* a power of two, as ck_ring wants */
-#define EVENT_BATCH    64
-#define IDLE_WAIT_MS   60000
+#define DISPATCH_SLOTS  4096 /* ck_ring requires a power of two */
+#define EVENT_BATCH_MAX 64
+#define IDLE_WAIT_MS    60000
 
 struct dispatch_entry {
     rk_call_fn *fn;
@@ -32,13 +32,13 @@
 
 struct rk_loop {
     int epfd;
-    int wakefd;
+    int wakefd; /* eventfd that ends a wait in epoll */
     atomic_bool stopping;
     struct watch *watches; /* indexed by fd */
     size_t watches_len;
     struct rk_timer **heap; /* min-heap by due_ms */
     size_t heap_len, heap_cap;
-    rk_call_fn *before, *after;
+    rk_call_fn *before_batch, *after_batch;
     void *hook_ctx;
     ck_ring_t ring;
     struct dispatch_entry *ring_buf;
@@ -81,7 +81,7 @@
 {
     uint64_t one = 1;
     ssize_t n = write(l->wakefd, &one, sizeof(one));
-    (void)n; /* a full eventfd counter is a pending wake-up already */
+    (void)n; /* if the eventfd's counter is full, a wake-up is pending already */
 }
 
 void rk_loop_stop(struct rk_loop *l)
@@ -90,11 +90,11 @@
     wake(l);
 }
 
-void rk_loop_set_hooks(struct rk_loop *l, rk_call_fn *before, rk_call_fn *after,
-                       void *ctx)
+void rk_loop_set_hooks(struct rk_loop *l, rk_call_fn *before_batch,
+                       rk_call_fn *after_batch, void *ctx)
 {
-    l->before = before;
-    l->after = after;
+    l->before_batch = before_batch;
+    l->after_batch = after_batch;
     l->hook_ctx = ctx;
 }
 
@@ -139,30 +139,31 @@
         epoll_ctl(l->epfd, EPOLL_CTL_DEL, fd, &ev);
     } else if (epoll_ctl(l->epfd, w->events ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd,
                          &ev) < 0) {
-        /* The fd was closed and its number used again behind our back. */
+        /* The fd was closed without ending its watch and its number was reused, so
+         * epoll and the table disagree on whether it is registered. */
         epoll_ctl(l->epfd, errno == EEXIST ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd,
                   &ev);
     }
     *w = (struct watch){.fn = fn, .ctx = ctx, .events = events};
 }
 
-static void heap_put(struct rk_loop *l, size_t i, struct rk_timer *t)
+static void heap_set(struct rk_loop *l, size_t i, struct rk_timer *t)
 {
     l->heap[i] = t;
     t->slot = i + 1;
 }
 
-static void heap_up(struct rk_loop *l, size_t i)
+static void sift_up(struct rk_loop *l, size_t i)
 {
     struct rk_timer *t = l->heap[i];
     while (i > 0 && l->heap[(i - 1) / 2]->due_ms > t->due_ms) {
-        heap_put(l, i, l->heap[(i - 1) / 2]);
+        heap_set(l, i, l->heap[(i - 1) / 2]);
         i = (i - 1) / 2;
     }
-    heap_put(l, i, t);
+    heap_set(l, i, t);
 }
 
-static void heap_down(struct rk_loop *l, size_t i)
+static void sift_down(struct rk_loop *l, size_t i)
 {
     struct rk_timer *t = l->heap[i];
     for (;;) {
@@ -174,10 +175,10 @@
             child++;
         if (l->heap[child]->due_ms >= t->due_ms)
             break;
-        heap_put(l, i, l->heap[child]);
+        heap_set(l, i, l->heap[child]);
         i = child;
     }
-    heap_put(l, i, t);
+    heap_set(l, i, t);
 }
 
 void rk_timer_stop(struct rk_loop *l, struct rk_timer *t)
@@ -189,9 +190,9 @@
     struct rk_timer *last = l->heap[--l->heap_len];
     if (last == t)
         return;
-    heap_put(l, i, last);
-    heap_up(l, i);
-    heap_down(l, last->slot - 1);
+    heap_set(l, i, last);
+    sift_up(l, i);
+    sift_down(l, last->slot - 1);
 }
 
 void rk_timer_start(struct rk_loop *l, struct rk_timer *t, int64_t delay_ms)
@@ -202,8 +203,8 @@
         l->heap = rk_realloc(l->heap, l->heap_cap * sizeof(struct rk_timer *));
     }
     t->due_ms = rk_mono_ms() + (delay_ms > 0 ? delay_ms : 0);
-    heap_put(l, l->heap_len, t);
-    heap_up(l, l->heap_len++);
+    heap_set(l, l->heap_len, t);
+    sift_up(l, l->heap_len++);
 }
 
 static void run_timers(struct rk_loop *l)
@@ -216,35 +217,36 @@
     }
 }
 
-static int wait_ms(struct rk_loop *l, int max_ms)
+static int epoll_timeout_ms(struct rk_loop *l, int max_ms)
 {
     if (!l->heap_len)
         return max_ms;
-    int64_t left = l->heap[0]->due_ms - rk_mono_ms();
-    if (left <= 0)
+    int64_t left_ms = l->heap[0]->due_ms - rk_mono_ms();
+    if (left_ms <= 0)
         return 0;
-    return left < max_ms ? (int)left : max_ms;
+    return left_ms < max_ms ? (int)left_ms : max_ms;
 }
 
 void rk_loop_step(struct rk_loop *l, int max_ms)
 {
-    struct epoll_event evs[EVENT_BATCH];
-    int n = epoll_wait(l->epfd, evs, EVENT_BATCH, wait_ms(l, max_ms));
-    if (l->before)
-        l->before(l->hook_ctx);
+    struct epoll_event ready[EVENT_BATCH_MAX];
+    int n =
+        epoll_wait(l->epfd, ready, EVENT_BATCH_MAX, epoll_timeout_ms(l, max_ms));
+    if (l->before_batch)
+        l->before_batch(l->hook_ctx);
     for (int i = 0; i < n; i++) {
-        int fd = evs[i].data.fd;
+        int fd = ready[i].data.fd;
         if (fd == l->wakefd) {
             run_dispatched(l);
             continue;
         }
         struct watch w = l->watches[fd];
         if (w.events)
-            w.fn(w.ctx, fd, evs[i].events);
+            w.fn(w.ctx, fd, ready[i].events);
     }
     run_timers(l);
-    if (l->after)
-        l->after(l->hook_ctx);
+    if (l->after_batch)
+        l->after_batch(l->hook_ctx);
 }
 
 void rk_loop_run(struct rk_loop *l)
--- a/common/loop.h
+++ b/common/loop.h
@@ -1,5 +1,6 @@
-/* Event loop of one thread: file descriptors by epoll, timers, and a bounded
- * dispatch queue through which other threads run functions on this one. */
+/* Event loop of one thread: file descriptors watched by epoll, timers, and a
+ * bounded queue of functions that other threads post to run on the loop's thread.
+ * Functions without a note on threads may be called on the loop's thread only. */
 #ifndef RK_COMMON_LOOP_H
 #define RK_COMMON_LOOP_H
 
@@ -10,49 +11,63 @@
 struct rk_arena;
 struct rk_loop;
 
-/* events: EPOLLIN, EPOLLOUT, EPOLLERR, EPOLLHUP bits that are ready. */
+/* Callback for a file descriptor. events: the epoll bits that are ready (EPOLLIN,
+ * EPOLLOUT, EPOLLERR, EPOLLHUP, EPOLLRDHUP). */
 typedef void rk_fd_fn(void *ctx, int fd, uint32_t events);
+/* Callback of a timer, a hook or a posted function. */
 typedef void rk_call_fn(void *ctx);
 
-/* A timer embedded in its owner's struct. Zero-initialise; set fn and ctx
- * before the first start. The owner stops it before it frees itself. */
+/* A one-shot timer, embedded in its owner's struct. Zero-initialise it and set fn
+ * and ctx before the first start. The owner must stop it before it frees its
+ * memory. */
 struct rk_timer {
     rk_call_fn *fn;
     void *ctx;
-    int64_t due_ms;
-    size_t slot; /* place in the heap plus one; 0 while stopped */
+    int64_t due_ms; /* by rk_mono_ms() */
+    size_t slot;    /* index in the loop's heap plus one; 0 while stopped */
 };
 
+/* Never returns NULL. */
 struct rk_loop *rk_loop_create(void);
+/* loop may be NULL. Functions still in the queue are dropped without being called.
+ */
 void rk_loop_destroy(struct rk_loop *loop);
 
-/* Memory that no event keeps beyond its handling. Loop thread only. */
+/* Returns the loop's arena for memory that is used only while one event is handled:
+ * whoever uses it resets it before the event's handler returns. */
 struct rk_arena *rk_loop_scratch(struct rk_loop *loop);
 
-/* Run until rk_loop_stop(). */
+/* Handles events until rk_loop_stop() is called. */
 void rk_loop_run(struct rk_loop *loop);
 
-/* Wait for at most one batch of events (0 <= max_ms) and handle it. */
+/* Waits up to max_ms, at least 0, for events, and handles one batch of them and the
+ * timers that are due. */
 void rk_loop_step(struct rk_loop *loop, int max_ms);
 
-/* Callable from any thread, also from a signal handler. */
+/* Makes rk_loop_run() return after its current batch, and rk_loop_post() refuse
+ * further functions. Any thread; also safe in a signal handler. */
 void rk_loop_stop(struct rk_loop *loop);
 
-/* Called before and after each batch of events: a place for per-thread read
- * sections. Loop thread only. */
+/* Sets functions to call before and after each batch of events, for instance to
+ * enter and leave a read section of a shared snapshot. Either may be NULL. */
 void rk_loop_set_hooks(struct rk_loop *loop, rk_call_fn *before, rk_call_fn *after,
                        void *ctx);
 
-/* Watch fd for events (0: forget it). Loop thread only. */
+/* Calls fn(ctx, ...) whenever one of the events is ready on fd, in place of an
+ * earlier watch of fd. events 0 ends the watch. */
 void rk_loop_watch(struct rk_loop *loop, int fd, uint32_t events, rk_fd_fn *fn,
                    void *ctx);
 
-/* Start or restart; fires once. Loop thread only. */
+/* Starts the timer, or restarts it if it is running. It fires once, after delay_ms;
+ * a delay below 0 counts as 0. */
 void rk_timer_start(struct rk_loop *loop, struct rk_timer *t, int64_t delay_ms);
+/* Does nothing if the timer isn't running. */
 void rk_timer_stop(struct rk_loop *loop, struct rk_timer *t);
 
-/* Queue fn(ctx) to run on the loop's thread. Any thread. False when the queue is
- * full or the loop was stopped: the caller keeps ctx and answers for it. */
+/* Queues fn(ctx) to run on the loop's thread. Any thread. Returns false when the
+ * queue is full or the loop was stopped: fn is not called then, and ctx stays the
+ * caller's.
+ */
 bool rk_loop_post(struct rk_loop *loop, rk_call_fn *fn, void *ctx);
 
 #endif
