--- a/common/counters.c
+++ b/common/counters.c
@@ -10,7 +10,7 @@
 static const struct {
     const char *name;
     const char *help;
-} infos[] = {
+} metrics[] = {
 #define RK_COUNTER_INFO(id, name, help) {name, help},
     RK_COUNTERS(RK_COUNTER_INFO)
 #undef RK_COUNTER_INFO
@@ -29,10 +29,10 @@
 void rk_counters_render(struct rk_buf *out)
 {
     for (int i = 0; i < RK_C_COUNT; i++) {
-        rk_buf_printf(out, "# HELP rillknot_%s %s.\n", infos[i].name,
-                      infos[i].help);
-        rk_buf_printf(out, "# TYPE rillknot_%s counter\n", infos[i].name);
-        rk_buf_printf(out, "rillknot_%s %" PRIu64 "\n", infos[i].name,
+        rk_buf_printf(out, "# HELP rillknot_%s %s.\n", metrics[i].name,
+                      metrics[i].help);
+        rk_buf_printf(out, "# TYPE rillknot_%s counter\n", metrics[i].name);
+        rk_buf_printf(out, "rillknot_%s %" PRIu64 "\n", metrics[i].name,
                       rk_counted((enum rk_counter)i));
     }
 }
--- a/common/counters.h
+++ b/common/counters.h
@@ -1,4 +1,5 @@
-/* Process-wide counters in Prometheus text. Adding is one relaxed atomic. */
+/* Process-wide counters, rendered in the Prometheus text format. Adding to one is a
+ * single relaxed atomic operation. */
 #ifndef RK_COMMON_COUNTERS_H
 #define RK_COMMON_COUNTERS_H
 
@@ -6,6 +7,7 @@
 
 struct rk_buf;
 
+/* X(identifier, metric name without "rillknot_", help text without full stop) */
 #define RK_COUNTERS(X)                                                             \
     X(CALLS, "calls_total", "Calls taken from callers")                            \
     X(ANSWERS_OK, "answers_ok_total", "Whole answers given to callers")            \
@@ -53,11 +55,13 @@
         RK_C_COUNT
 };
 
-/* Any thread. */
+/* Adds n to a counter. Any thread. */
 void rk_count(enum rk_counter c, uint64_t n);
+/* Returns a counter's value. Any thread. */
 uint64_t rk_counted(enum rk_counter c);
 
-/* Append all counters as Prometheus text, each prefixed "rillknot_". */
+/* Appends all counters in the Prometheus text format, their names prefixed with
+ * "rillknot_". Any thread. */
 void rk_counters_render(struct rk_buf *out);
 
 #endif
--- a/common/eventlog.c
+++ b/common/eventlog.c
@@ -13,10 +13,11 @@
 
 #define LINE_MAX_BYTES 4000
 #define RING_BYTES     (64 * 1024)
-#define WRITE_BYTES    4096 /* a writable pipe takes so much without waiting */
+/* A pipe that poll() reports as writable takes this many bytes without blocking. */
+#define WRITE_MAX_BYTES 4096
 
-/* Lines that standard output hasn't taken yet. A full ring costs lines, not time;
- * how many is told in a line of its own. */
+/* Lines that standard output hasn't taken yet. When the ring is full, new lines are
+ * dropped rather than waited for; an event log.dropped reports how many. */
 static struct {
     pthread_mutex_t lock;
     char bytes[RING_BYTES];
@@ -53,8 +54,9 @@
     .format = json_line_format,
 };
 
-/* ---- the ring ---- */
+/* ---- ring buffer; its functions are called with ring.lock held ---- */
 
+/* Returns false, and adds nothing, where the line doesn't fit. */
 static bool ring_add(const char *line, size_t len)
 {
     if (ring.len + len > RING_BYTES)
@@ -65,14 +67,14 @@
     return true;
 }
 
-/* Write what can be written without waiting. */
+/* Writes as much as standard output takes without blocking. */
 static void ring_drain(void)
 {
     struct pollfd out = {.fd = STDOUT_FILENO, .events = POLLOUT};
     while (ring.len && poll(&out, 1, 0) == 1 && (out.revents & POLLOUT)) {
         size_t n = RING_BYTES - ring.start;
         n = n < ring.len ? n : ring.len;
-        n = n < WRITE_BYTES ? n : WRITE_BYTES;
+        n = n < WRITE_MAX_BYTES ? n : WRITE_MAX_BYTES;
         ssize_t written = write(STDOUT_FILENO, ring.bytes + ring.start, n);
         if (written <= 0)
             return;
@@ -81,7 +83,8 @@
     }
 }
 
-static void tell_dropped(void)
+/* Adds an event that reports the dropped lines, and restarts their count. */
+static void report_dropped(void)
 {
     char line[LINE_MAX_BYTES];
     int len = snprintf(line, sizeof(line),
@@ -95,16 +98,17 @@
         ring.dropped = 0;
 }
 
-/* Only the rendered line: log4c's own stream appender adds a prefix. */
-static int write_line(log4c_appender_t *appender,
-                      const log4c_logging_event_t *event)
+/* Appender that adds the rendered line alone: log4c's stream appender adds a
+ * prefix. */
+static int append_line(log4c_appender_t *appender,
+                       const log4c_logging_event_t *event)
 {
     (void)appender;
     const char *line = event->evt_rendered_msg;
     pthread_mutex_lock(&ring.lock);
     ring_drain();
     if (ring.dropped)
-        tell_dropped();
+        report_dropped();
     if (ring.dropped || !ring_add(line, strlen(line))) {
         ring.dropped++;
         rk_count(RK_C_LOG_DROPPED, 1);
@@ -116,7 +120,7 @@
 
 static const log4c_appender_type_t stdout_appender = {
     .name = "rillknot_stdout",
-    .append = write_line,
+    .append = append_line,
 };
 
 void rk_log_init(const char *process, const char *domain, enum rk_log_level min)
@@ -162,26 +166,27 @@
     if (!category ||
         !log4c_category_is_priority_enabled(category, levels[level].priority))
         return;
-    struct rk_buf b = {.max = LINE_MAX_BYTES};
-    rk_buf_printf(&b, "{\"wall_ms\":%" PRId64 ",\"mono_us\":%" PRId64, rk_wall_ms(),
-                  rk_mono_us());
-    rk_buf_printf(&b,
+    struct rk_buf line = {.max = LINE_MAX_BYTES};
+    rk_buf_printf(&line, "{\"wall_ms\":%" PRId64 ",\"mono_us\":%" PRId64,
+                  rk_wall_ms(), rk_mono_us());
+    rk_buf_printf(&line,
                   ",\"level\":\"%s\",\"process\":\"%s\",\"failure_domain\":\"%s\"",
                   levels[level].name, process_name, domain_name);
-    rk_buf_printf(&b, ",\"event\":\"%s\"", event);
+    rk_buf_printf(&line, ",\"event\":\"%s\"", event);
     for (size_t i = 0; i < count; i++) {
-        /* One field at a time, so that a long one drops itself, not the line. */
-        struct rk_buf f = {.max = LINE_MAX_BYTES / 4};
-        bool ok = rk_buf_printf(&f, ",\"%s\":", fields[i].name);
+        /* Each field is built separately, so that one that is too long is left out
+         * without losing the line. */
+        struct rk_buf field = {.max = LINE_MAX_BYTES / 4};
+        bool ok = rk_buf_printf(&field, ",\"%s\":", fields[i].name);
         if (fields[i].str)
-            ok = ok && rk_buf_json_str(&f, fields[i].str);
+            ok = ok && rk_buf_json_str(&field, fields[i].str);
         else
-            ok = ok && rk_buf_printf(&f, "%" PRId64, fields[i].num);
-        if (ok && b.len + f.len + 2 < LINE_MAX_BYTES)
-            rk_buf_add(&b, f.data, f.len);
-        rk_buf_free(&f);
+            ok = ok && rk_buf_printf(&field, "%" PRId64, fields[i].num);
+        if (ok && line.len + field.len + 2 < LINE_MAX_BYTES)
+            rk_buf_add(&line, field.data, field.len);
+        rk_buf_free(&field);
     }
-    rk_buf_add(&b, "}", 1);
-    log4c_category_log(category, levels[level].priority, "%s", b.data);
-    rk_buf_free(&b);
+    rk_buf_add(&line, "}", 1);
+    log4c_category_log(category, levels[level].priority, "%s", line.data);
+    rk_buf_free(&line);
 }
--- a/common/latency.c
+++ b/common/latency.c
@@ -6,13 +6,14 @@
 
 #include "common/util.h"
 
-#define MAX_SERIES 96 /* more are counted under the last one's labels */
+#define MAX_SERIES                                                                 \
+    96 /* per histogram; further labels are counted in the last one */
 
-static const int64_t bounds_ms[] = {5,   10,  25,  50,   100,  150,  250,
-                                    400, 600, 800, 1000, 1500, 2500, 5000};
-#define BUCKETS (RK_ARRAY_LEN(bounds_ms) + 1)
+static const int64_t bucket_bounds_ms[] = {5,   10,  25,  50,   100,  150,  250,
+                                           400, 600, 800, 1000, 1500, 2500, 5000};
+#define BUCKETS (RK_ARRAY_LEN(bucket_bounds_ms) + 1)
 
-static const char *const names[RK_LATENCY_COUNT] = {
+static const char *const metric_names[RK_LATENCY_COUNT] = {
     [RK_LATENCY_FIRST] = "first_byte_ms",
     [RK_LATENCY_WHOLE] = "whole_ms",
     [RK_LATENCY_MISS] = "first_byte_error_ms"};
@@ -25,32 +26,32 @@
 };
 
 static struct series series[RK_LATENCY_COUNT][MAX_SERIES];
-static atomic_size_t lens[RK_LATENCY_COUNT];
+static atomic_size_t series_lens[RK_LATENCY_COUNT];
 
-static struct series *find(enum rk_latency what, const char *service,
-                           const char *outcome)
+static struct series *find_or_add_series(enum rk_latency metric,
+                                         const char *service, const char *outcome)
 {
-    size_t len = atomic_load(&lens[what]);
+    size_t len = atomic_load(&series_lens[metric]);
     for (size_t i = 0; i < len; i++) {
-        struct series *s = &series[what][i];
+        struct series *s = &series[metric][i];
         if (!strcmp(s->service, service) && !strcmp(s->outcome, outcome))
             return s;
     }
     if (len == MAX_SERIES)
-        return &series[what][len - 1];
-    struct series *s = &series[what][len];
+        return &series[metric][len - 1];
+    struct series *s = &series[metric][len];
     rk_strcpy(s->service, sizeof(s->service), service);
     rk_strcpy(s->outcome, sizeof(s->outcome), outcome);
-    atomic_store(&lens[what], len + 1);
+    atomic_store(&series_lens[metric], len + 1);
     return s;
 }
 
-void rk_latency_observe(enum rk_latency what, const char *service,
+void rk_latency_observe(enum rk_latency metric, const char *service,
                         const char *outcome, int64_t ms)
 {
-    struct series *s = find(what, service, outcome);
+    struct series *s = find_or_add_series(metric, service, outcome);
     size_t i = 0;
-    while (i < RK_ARRAY_LEN(bounds_ms) && ms > bounds_ms[i])
+    while (i < RK_ARRAY_LEN(bucket_bounds_ms) && ms > bucket_bounds_ms[i])
         i++;
     atomic_fetch_add_explicit(&s->buckets[i], 1, memory_order_relaxed);
     atomic_fetch_add_explicit(&s->sum_ms, (uint64_t)(ms > 0 ? ms : 0),
@@ -65,8 +66,8 @@
         count += atomic_load_explicit(&s->buckets[i], memory_order_relaxed);
         rk_buf_printf(out, "rillknot_%s_bucket{service=\"%s\",outcome=\"%s\",le=\"",
                       name, s->service, s->outcome);
-        if (i < RK_ARRAY_LEN(bounds_ms))
-            rk_buf_printf(out, "%" PRId64, bounds_ms[i]);
+        if (i < RK_ARRAY_LEN(bucket_bounds_ms))
+            rk_buf_printf(out, "%" PRId64, bucket_bounds_ms[i]);
         else
             rk_buf_addstr(out, "+Inf");
         rk_buf_printf(out, "\"} %" PRIu64 "\n", count);
@@ -82,11 +83,12 @@
 
 void rk_latency_render(struct rk_buf *out)
 {
-    for (int what = 0; what < RK_LATENCY_COUNT; what++) {
-        size_t len = atomic_load(&lens[what]);
+    for (int metric = 0; metric < RK_LATENCY_COUNT; metric++) {
+        size_t len = atomic_load(&series_lens[metric]);
         if (len)
-            rk_buf_printf(out, "# TYPE rillknot_%s histogram\n", names[what]);
+            rk_buf_printf(out, "# TYPE rillknot_%s histogram\n",
+                          metric_names[metric]);
         for (size_t i = 0; i < len; i++)
-            render_series(out, names[what], &series[what][i]);
+            render_series(out, metric_names[metric], &series[metric][i]);
     }
 }
--- a/common/latency.h
+++ b/common/latency.h
@@ -1,5 +1,6 @@
-/* Latency histograms in Prometheus text, by service and outcome. Observing is a few
- * relaxed atomics; series are made by one thread, the traffic's. */
+/* Latency histograms by service and outcome, rendered in the Prometheus text
+ * format. Only the traffic thread records values; recording one is a few relaxed
+ * atomic operations, so that other threads can render. */
 #ifndef RK_COMMON_LATENCY_H
 #define RK_COMMON_LATENCY_H
 
@@ -8,18 +9,21 @@
 struct rk_buf;
 
 enum rk_latency {
-    RK_LATENCY_FIRST, /* from a call's arrival to its answer's head */
-    RK_LATENCY_WHOLE, /* to the answer's end, whatever it was */
-    RK_LATENCY_MISS,  /* by how much the predicted first byte was off; the outcome
-                         says which way: early or late */
+    RK_LATENCY_FIRST, /* from a call's arrival to the head of its answer */
+    RK_LATENCY_WHOLE, /* from a call's arrival to its end, with any outcome */
+    RK_LATENCY_MISS,  /* absolute error of the predicted time to first byte; the
+                         outcome label is "early" or "late" */
     RK_LATENCY_COUNT
 };
 
-/* service and outcome label the series; both are copied. Traffic thread only. */
+/* Adds a value to the histogram's series with these labels, which are copied. A
+ * histogram has at most 96 series; values of any further labels are counted in the
+ * last one. Only one thread of the process may call this: it creates series without
+ * a lock. */
 void rk_latency_observe(enum rk_latency what, const char *service,
                         const char *outcome, int64_t ms);
 
-/* Append all series. Any thread. */
+/* Appends all series in the Prometheus text format. Any thread. */
 void rk_latency_render(struct rk_buf *out);
 
 #endif
