--- a/common/addr.h
+++ b/common/addr.h
@@ -1,4 +1,5 @@
-/* "ip:port" as a socket address, and listening at one. */
+/* Parses "ip:port" into a socket address, and checks whether an address is free to
+ * listen at. IPv4 only. */
 #ifndef RK_COMMON_ADDR_H
 #define RK_COMMON_ADDR_H
 
@@ -6,12 +7,14 @@
 
 struct sockaddr_in;
 
-/* False when s is not an IPv4 address and a port. */
+/* Parses s, a numeric IPv4 address, a colon and a port from 0 to 65535. Returns
+ * false if s is anything else; *out is then not to be used. */
 bool rk_addr_parse(const char *s, struct sockaddr_in *out);
 
-/* Does no process listen there? Sockets that share a port (SO_REUSEPORT) don't
- * notice each other: a process asks this once before its threads share one. Port 0
- * is always free. False: rk_last_error() says why. */
+/* Returns whether a socket can be bound to the address; if not, rk_last_error()
+ * says why. Port 0 always counts as free. Processes whose sockets use SO_REUSEPORT
+ * can take the same port without an error, so a process calls this once before its
+ * threads open such sockets. */
 bool rk_addr_is_free(const struct sockaddr_in *addr);
 
 #endif
--- a/common/zip.c
+++ b/common/zip.c
@@ -3,17 +3,17 @@
 #include <stdlib.h>
 #include <zlib.h>
 
-/* Of JSON with many alike routes, level 1 leaves as little as level 6 does. */
-#define LEVEL 1
+/* Level 1 compresses JSON of many similar routes as well as level 6 does. */
+#define COMPRESSION_LEVEL 1
 
 bool rk_zip(struct rk_buf *out, const char *text, size_t len)
 {
     uLongf size = compressBound(len);
-    char *zip = rk_alloc(1, size);
-    bool ok =
-        compress2((Bytef *)zip, &size, (const Bytef *)text, len, LEVEL) == Z_OK;
-    ok = ok && rk_buf_add(out, zip, size);
-    free(zip);
+    char *compressed = rk_alloc(1, size);
+    bool ok = compress2((Bytef *)compressed, &size, (const Bytef *)text, len,
+                        COMPRESSION_LEVEL) == Z_OK;
+    ok = ok && rk_buf_add(out, compressed, size);
+    free(compressed);
     return ok;
 }
 
--- a/common/zip.h
+++ b/common/zip.h
@@ -1,4 +1,5 @@
-/* Texts in zlib's format (RFC 1950), for messages that would fill a slow link. */
+/* Compresses texts in the zlib format (RFC 1950), for messages between nodes that
+ * would otherwise saturate a slow link. */
 #ifndef RK_COMMON_ZIP_H
 #define RK_COMMON_ZIP_H
 
@@ -7,11 +8,13 @@
 
 #include "common/util.h"
 
-/* Append the compressed text. False: no memory. */
+/* Appends the compressed text to out. Returns false, and appends nothing, when zlib
+ * runs out of memory or out would exceed its limit. */
 bool rk_zip(struct rk_buf *out, const char *text, size_t len);
 
-/* The text of that many bytes, with a zero behind it; the caller frees it. NULL:
- * the data is no such text. */
+/* Returns the decompressed text, NUL-terminated; the caller frees it. text_len is
+ * its expected length in bytes. Returns NULL when the data is invalid or the length
+ * differs. */
 char *rk_unzip(const void *data, size_t len, size_t text_len);
 
 #endif
