--- a/common/http.c
+++ b/common/http.c
@@ -10,16 +10,16 @@
 #include "common/loop.h"
 #include "common/util.h"
 
-#define HEADER_NAME_MAX   64
-#define HEADER_VALUE_MAX  512
-#define MAX_IDLE_CONNS    64L
-#define KEEP_IDLE_SECONDS 20L
+#define HEADER_NAME_MAX     64
+#define HEADER_VALUE_MAX    512
+#define IDLE_CONNS_MAX      64L
+#define IDLE_CONN_MAX_AGE_S 20L
 
 struct rk_http {
     struct rk_loop *loop;
     CURLM *multi;
     struct rk_timer timer;
-    struct rk_http_req *reqs; /* all under way */
+    struct rk_http_req *reqs; /* all in flight */
 };
 
 struct rk_http_req {
@@ -30,9 +30,9 @@
     char *body;
     struct rk_http_handlers handlers;
     void *ctx;
-    bool handed;
+    bool may_have_reached;
     bool no_resend;
-    struct rk_timer silence; /* no byte comes */
+    struct rk_timer inactivity; /* time-out of the wait for the next byte */
     int64_t stall_ms;
     char error[CURL_ERROR_SIZE];
 };
@@ -43,7 +43,7 @@
         *r->prev = r->next;
     if (r->next)
         r->next->prev = r->prev;
-    rk_timer_stop(r->http->loop, &r->silence);
+    rk_timer_stop(r->http->loop, &r->inactivity);
     curl_multi_remove_handle(r->http->multi, r->easy);
     curl_easy_cleanup(r->easy);
     curl_slist_free_all(r->headers);
@@ -55,7 +55,7 @@
 {
     struct rk_http_result res = {
         .curl_code = (int)code,
-        .handed = r->handed,
+        .handed = r->may_have_reached,
         .timed_out = code == CURLE_OPERATION_TIMEDOUT,
         .error = r->error[0] ? r->error : curl_easy_strerror(code),
     };
@@ -64,11 +64,11 @@
     free_req(r);
 }
 
-static void reap(struct rk_http *h)
+static void finish_completed(struct rk_http *h)
 {
     CURLMsg *msg;
-    int left;
-    while ((msg = curl_multi_info_read(h->multi, &left))) {
+    int remaining;
+    while ((msg = curl_multi_info_read(h->multi, &remaining))) {
         if (msg->msg != CURLMSG_DONE)
             continue;
         struct rk_http_req *r = NULL;
@@ -90,7 +90,7 @@
         bits |= CURL_CSELECT_ERR;
     int running;
     curl_multi_socket_action(h->multi, fd, bits, &running);
-    reap(h);
+    finish_completed(h);
 }
 
 static void on_timer(void *ctx)
@@ -98,10 +98,10 @@
     struct rk_http *h = ctx;
     int running;
     curl_multi_socket_action(h->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-    reap(h);
+    finish_completed(h);
 }
 
-static int curl_timer_cb(CURLM *multi, long ms, void *ctx)
+static int set_timer_cb(CURLM *multi, long ms, void *ctx)
 {
     (void)multi;
     struct rk_http *h = ctx;
@@ -112,18 +112,18 @@
     return 0;
 }
 
-static int curl_socket_cb(CURL *easy, curl_socket_t fd, int what, void *ctx,
-                          void *sock)
+static int watch_socket_cb(CURL *easy, curl_socket_t fd, int what, void *ctx,
+                           void *sock)
 {
     (void)easy;
     (void)sock;
-    static const uint32_t wanted[] = {
+    static const uint32_t epoll_events[] = {
         [CURL_POLL_NONE] = 0,       [CURL_POLL_IN] = EPOLLIN,
         [CURL_POLL_OUT] = EPOLLOUT, [CURL_POLL_INOUT] = EPOLLIN | EPOLLOUT,
         [CURL_POLL_REMOVE] = 0,
     };
     struct rk_http *h = ctx;
-    rk_loop_watch(h->loop, fd, wanted[what], on_fd, h);
+    rk_loop_watch(h->loop, fd, epoll_events[what], on_fd, h);
     return 0;
 }
 
@@ -134,11 +134,11 @@
     h->timer = (struct rk_timer){.fn = on_timer, .ctx = h};
     h->multi = curl_multi_init();
     assert(h->multi);
-    curl_multi_setopt(h->multi, CURLMOPT_SOCKETFUNCTION, curl_socket_cb);
+    curl_multi_setopt(h->multi, CURLMOPT_SOCKETFUNCTION, watch_socket_cb);
     curl_multi_setopt(h->multi, CURLMOPT_SOCKETDATA, h);
-    curl_multi_setopt(h->multi, CURLMOPT_TIMERFUNCTION, curl_timer_cb);
+    curl_multi_setopt(h->multi, CURLMOPT_TIMERFUNCTION, set_timer_cb);
     curl_multi_setopt(h->multi, CURLMOPT_TIMERDATA, h);
-    curl_multi_setopt(h->multi, CURLMOPT_MAXCONNECTS, MAX_IDLE_CONNS);
+    curl_multi_setopt(h->multi, CURLMOPT_MAXCONNECTS, IDLE_CONNS_MAX);
     return h;
 }
 
@@ -146,7 +146,7 @@
 {
     if (!h)
         return;
-    /* Callbacks may start others: until none is left. */
+    /* on_done may start further requests, which are aborted as well. */
     while (h->reqs) {
         struct rk_http_req *r = h->reqs;
         h->reqs = r->next;
@@ -168,29 +168,30 @@
     (void)rport;
     (void)lport;
     struct rk_http_req *r = ctx;
-    if (r->handed && r->no_resend)
+    if (r->may_have_reached && r->no_resend)
         return CURL_PREREQFUNC_ABORT;
-    r->handed = true;
+    r->may_have_reached = true;
     return CURL_PREREQFUNC_OK;
 }
 
-static void on_silence(void *ctx)
+static void on_inactivity(void *ctx)
 {
     finish(ctx, CURLE_OPERATION_TIMEDOUT);
 }
 
-static void note_byte(struct rk_http_req *r)
+/* Called whenever bytes of the response were received. */
+static void restart_inactivity(struct rk_http_req *r)
 {
     if (r->stall_ms)
-        rk_timer_start(r->http->loop, &r->silence, r->stall_ms);
+        rk_timer_start(r->http->loop, &r->inactivity, r->stall_ms);
     else
-        rk_timer_stop(r->http->loop, &r->silence);
+        rk_timer_stop(r->http->loop, &r->inactivity);
 }
 
 static size_t write_cb(char *data, size_t size, size_t n, void *ctx)
 {
     struct rk_http_req *r = ctx;
-    note_byte(r);
+    restart_inactivity(r);
     if (r->handlers.on_data && !r->handlers.on_data(r->ctx, data, size * n))
         return 0;
     return size * n;
@@ -200,7 +201,7 @@
 {
     struct rk_http_req *r = ctx;
     size_t len = size * n;
-    note_byte(r);
+    restart_inactivity(r);
     char *colon = memchr(line, ':', len);
     if (!colon || !r->handlers.on_header)
         return len;
@@ -235,14 +236,15 @@
     r->ctx = spec->ctx;
     r->no_resend = spec->no_resend || spec->once;
     r->stall_ms = spec->stall_ms;
-    r->silence = (struct rk_timer){.fn = on_silence, .ctx = r};
+    r->inactivity = (struct rk_timer){.fn = on_inactivity, .ctx = r};
     if (spec->first_byte_ms)
-        rk_timer_start(http->loop, &r->silence, spec->first_byte_ms);
+        rk_timer_start(http->loop, &r->inactivity, spec->first_byte_ms);
     CURL *e = r->easy = curl_easy_init();
     assert(e);
     for (size_t i = 0; spec->headers && spec->headers[i]; i++)
         r->headers = curl_slist_append(r->headers, spec->headers[i]);
-    /* Waiting for "100 Continue" would be one more way to send twice. */
+    /* An empty Expect header keeps libcurl from waiting for "100 Continue": on a
+     * refusal it would send the request a second time. */
     r->headers = curl_slist_append(r->headers, "Expect:");
     curl_easy_setopt(e, CURLOPT_PRIVATE, r);
     curl_easy_setopt(e, CURLOPT_ERRORBUFFER, r->error);
@@ -255,7 +257,7 @@
     curl_easy_setopt(e, CURLOPT_HTTPHEADER, r->headers);
     curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, spec->connect_timeout_ms);
     curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, spec->timeout_ms);
-    curl_easy_setopt(e, CURLOPT_MAXAGE_CONN, KEEP_IDLE_SECONDS);
+    curl_easy_setopt(e, CURLOPT_MAXAGE_CONN, IDLE_CONN_MAX_AGE_S);
     curl_easy_setopt(e, CURLOPT_PREREQFUNCTION, prereq_cb);
     curl_easy_setopt(e, CURLOPT_PREREQDATA, r);
     curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, write_cb);
@@ -282,7 +284,7 @@
 
 bool rk_http_cancel(struct rk_http_req *r)
 {
-    bool handed = r->handed;
+    bool may_have_reached = r->may_have_reached;
     free_req(r);
-    return handed;
+    return may_have_reached;
 }
--- a/common/http1.c
+++ b/common/http1.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define HEAD_SLACK 64 /* bytes of a head that are not its text */
+#define HEAD_SLACK 64 /* bytes of a head that are not part of its strings */
 
 const char *rk_head_name(const struct rk_head *h, size_t line)
 {
@@ -29,13 +29,14 @@
     return NULL;
 }
 
-static struct rk_http1 *reader(http_parser *p)
+static struct rk_http1 *reader_of(http_parser *p)
 {
     return p->data;
 }
 
-/* Append to the text; strings in it are ended by the next one's start. */
-static int add_text(struct rk_http1 *r, const char *s, size_t len)
+/* Appends to the current string. Returns -1, which ends the parse, if the head
+ * exceeds its limit or s contains a NUL. */
+static int append_text(struct rk_http1 *r, const char *s, size_t len)
 {
     r->head_len += len;
     if (r->head_len > r->head_max || memchr(s, 0, len)) {
@@ -46,7 +47,8 @@
     return 0;
 }
 
-static size_t new_string(struct rk_http1 *r)
+/* Ends the current string and returns the offset of the next one. */
+static size_t begin_string(struct rk_http1 *r)
 {
     rk_buf_add(&r->head.text, "", 1);
     return r->head.text.len;
@@ -54,24 +56,24 @@
 
 static int on_begin(http_parser *p)
 {
-    struct rk_http1 *r = reader(p);
+    struct rk_http1 *r = reader_of(p);
     r->head.text.len = 0;
     r->head.lines_len = 0;
     r->head_len = 0;
     r->in_value = false;
     r->head_done = false;
-    r->head.target = new_string(r);
+    r->head.target = begin_string(r);
     return 0;
 }
 
 static int on_url(http_parser *p, const char *s, size_t len)
 {
-    return add_text(reader(p), s, len);
+    return append_text(reader_of(p), s, len);
 }
 
 static int on_field(http_parser *p, const char *s, size_t len)
 {
-    struct rk_http1 *r = reader(p);
+    struct rk_http1 *r = reader_of(p);
     struct rk_head *h = &r->head;
     if (r->head_done)
         return 0; /* a trailer */
@@ -80,32 +82,32 @@
             r->too_large = true;
             return -1;
         }
-        h->lines[h->lines_len].name = new_string(r);
+        h->lines[h->lines_len].name = begin_string(r);
         h->lines[h->lines_len].value = 0;
         h->lines_len++;
         r->in_value = false;
-        r->head_len += 4; /* colon, blank, end of line */
+        r->head_len += 4; /* colon, space, CR and LF */
     }
-    return add_text(r, s, len);
+    return append_text(r, s, len);
 }
 
 static int on_value(http_parser *p, const char *s, size_t len)
 {
-    struct rk_http1 *r = reader(p);
+    struct rk_http1 *r = reader_of(p);
     if (r->head_done)
         return 0;
     if (!r->in_value) {
-        r->head.lines[r->head.lines_len - 1].value = new_string(r);
+        r->head.lines[r->head.lines_len - 1].value = begin_string(r);
         r->in_value = true;
     }
-    return add_text(r, s, len);
+    return append_text(r, s, len);
 }
 
 static int on_head(http_parser *p)
 {
-    struct rk_http1 *r = reader(p);
+    struct rk_http1 *r = reader_of(p);
     struct rk_head *h = &r->head;
-    new_string(r);
+    begin_string(r);
     r->head_done = true;
     h->method = (enum http_method)p->method;
     h->status = p->status_code;
@@ -123,16 +125,16 @@
 
 static int on_body(http_parser *p, const char *s, size_t len)
 {
-    struct rk_http1 *r = reader(p);
+    struct rk_http1 *r = reader_of(p);
     r->ops->on_body(r->ctx, s, len);
     return 0;
 }
 
 static int on_complete(http_parser *p)
 {
-    struct rk_http1 *r = reader(p);
+    struct rk_http1 *r = reader_of(p);
     if (p->type == HTTP_RESPONSE && r->head.status / 100 == 1)
-        return 0; /* the real answer follows */
+        return 0; /* an interim response: the final one follows */
     r->ended = true;
     http_parser_pause(p, 1);
     return 0;
@@ -171,7 +173,7 @@
     if (err != HPE_OK && err != HPE_PAUSED)
         r->failed = true;
     if (r->parser.upgrade)
-        r->failed = true; /* CONNECT and Upgrade are not spoken here */
+        r->failed = true; /* CONNECT and Upgrade are not supported */
     if (r->ended)
         r->ops->on_end(r->ctx);
     return used;
--- a/common/http1.h
+++ b/common/http1.h
@@ -1,6 +1,7 @@
-/* Reader of HTTP/1.1 messages, over http-parser: heads as they were sent, in
- * order, and bodies as they come. It stops behind each message, so that what
- * follows is told from what belongs to it. */
+/* Incremental reader of HTTP/1.1 messages, built on http-parser. It passes on each
+ * head as it was sent, header lines in order, and the body in pieces as they
+ * arrive. It stops at the end of each message, so that the caller sees which bytes
+ * follow it. */
 #ifndef RK_COMMON_HTTP1_H
 #define RK_COMMON_HTTP1_H
 
@@ -13,65 +14,76 @@
 
 #define RK_HEAD_LINES 96
 
-/* One head. Text is in one buffer; lines hold offsets into it. */
+/* The head of a message. Its strings lie in one buffer, NUL-terminated; the other
+ * members hold their offsets. */
 struct rk_head {
     struct rk_buf text;
-    size_t target; /* of a request */
+    size_t target; /* offset of a request's target */
     size_t lines_len;
     struct {
-        size_t name, value;
+        size_t name, value; /* offsets */
     } lines[RK_HEAD_LINES];
-    enum http_method method;
-    int status;          /* of an answer */
-    int major, minor;    /* HTTP/major.minor */
-    int64_t body_length; /* -1: none was given */
+    enum http_method method; /* of a request */
+    int status;              /* of a response */
+    int major, minor;        /* HTTP/major.minor */
+    int64_t body_length;     /* by Content-Length; -1: chunked or not given */
     bool chunked;
-    bool keep_alive; /* the connection may be used again */
+    bool keep_alive; /* the connection may be reused */
 };
 
-/* The value of a header by its name, in any case of letters; NULL: none. */
+/* Returns the value of the first header line with this name, compared without
+ * regard to case; NULL if there is none. All strings of a head are owned by it, and
+ * valid until its reader begins another message. */
 const char *rk_head_get(const struct rk_head *h, const char *name);
+/* Return the name and the value of a header line; line is below lines_len. */
 const char *rk_head_name(const struct rk_head *h, size_t line);
 const char *rk_head_value(const struct rk_head *h, size_t line);
+/* Returns a request's target, as it was sent. */
 const char *rk_head_target(const struct rk_head *h);
 
 struct rk_http1_ops {
-    /* False: no body follows, whatever the head says (answers to HEAD). */
+    /* Called when the head is complete; not for interim responses (1xx). Returns
+     * whether a body may follow: false for the response to a HEAD request, which
+     * has none whatever its head says. */
     bool (*on_head)(void *ctx, const struct rk_head *head);
     void (*on_body)(void *ctx, const char *data, size_t len);
-    void (*on_end)(void *ctx); /* the message is whole */
+    void (*on_end)(void *ctx); /* the message is complete */
 };
 
+/* A reader. Its owner may read head, ended, failed, too_large and head_done. */
 struct rk_http1 {
     http_parser parser;
     const struct rk_http1_ops *ops;
     void *ctx;
     struct rk_head head;
-    bool in_value;  /* the last line's value was begun */
-    bool head_done; /* on_head was called for this message */
-    bool ended;     /* a whole message was read; rk_http1_next() goes on */
-    bool failed;    /* the bytes are no message */
-    bool too_large; /* failed: the head is over its limit */
-    size_t head_max;
-    size_t head_len;
+    bool in_value;   /* part of the last line's value was read */
+    bool head_done;  /* the head of this message is complete */
+    bool ended;      /* the message is complete; rk_http1_next() begins another */
+    bool failed;     /* the data is no valid message, or asks for an upgrade */
+    bool too_large;  /* failed because the head exceeds its limits */
+    size_t head_max; /* bytes */
+    size_t head_len; /* bytes of the head read so far */
 };
 
-/* requests: reads requests, else answers. head_max: bytes a head may have. */
+/* Initialises a reader of requests or, if requests is false, of responses. A head
+ * of more than head_max bytes or RK_HEAD_LINES lines is refused. */
 void rk_http1_init(struct rk_http1 *r, bool requests, size_t head_max,
                    const struct rk_http1_ops *ops, void *ctx);
+/* Frees what the reader allocated; r itself is the caller's. */
 void rk_http1_free(struct rk_http1 *r);
 
-/* Read; returns the bytes used, fewer than len behind a whole message or where
- * reading failed. */
+/* Reads data and calls the callbacks. Returns how many bytes were used: fewer than
+ * len if a message ended before the last byte, or if reading failed. */
 size_t rk_http1_feed(struct rk_http1 *r, const char *data, size_t len);
 
-/* The peer closed in order: ends a message without a length. */
+/* Call this when the peer has closed the connection in order. It ends a response
+ * whose length is given by the close; any other incomplete message fails. */
 void rk_http1_eof(struct rk_http1 *r);
 
-/* Begin the next message. */
+/* Prepares for the next message after one has ended. */
 void rk_http1_next(struct rk_http1 *r);
 
-/* Has a byte of the message come? */
+/* Returns whether any byte of the current message was read. */
 bool rk_http1_begun(const struct rk_http1 *r);
 
 #endif
--- a/common/rest.c
+++ b/common/rest.c
@@ -6,12 +6,12 @@
 #include "common/http.h"
 #include "common/util.h"
 
-#define CONNECT_MS        500
-#define CALL_MS           2000
-#define ANSWER_MAX        (16 * 1024 * 1024)
-#define HTTP_NOT_FOUND    404
-#define HTTP_CONFLICT     409
-#define HTTP_PRECONDITION 412
+#define CONNECT_TIMEOUT_MS 500
+#define CALL_TIMEOUT_MS    2000
+#define BODY_MAX_BYTES     (16 * 1024 * 1024)
+#define HTTP_NOT_FOUND     404
+#define HTTP_CONFLICT      409
+#define HTTP_PRECONDITION  412
 
 struct op {
     rk_rest_fn *fn;
@@ -35,7 +35,7 @@
     return rk_buf_add(&op->body, data, len);
 }
 
-static enum rk_status status_of(const struct rk_http_result *res)
+static enum rk_status status_from_result(const struct rk_http_result *res)
 {
     if (res->curl_code)
         return res->handed ? RK_EUNKNOWN : RK_EUNAVAILABLE;
@@ -45,14 +45,15 @@
         return RK_ENOTFOUND;
     if (res->status == HTTP_PRECONDITION || res->status == HTTP_CONFLICT)
         return RK_ECONFLICT;
-    /* A 5xx may come from in front of a store that took the write. */
+    /* A 5xx may come from a proxy in front of a store that has applied the write.
+     */
     return RK_EUNKNOWN;
 }
 
 static void on_done(void *ctx, const struct rk_http_result *res)
 {
     struct op *op = ctx;
-    op->answer.status = status_of(res);
+    op->answer.status = status_from_result(res);
     op->answer.http_status = res->status;
     op->answer.body = op->body.data ? op->body.data : "";
     op->fn(op->ctx, &op->answer);
@@ -64,7 +65,7 @@
                    rk_rest_fn *fn, void *ctx)
 {
     struct op *op = rk_alloc(1, sizeof(*op));
-    *op = (struct op){.fn = fn, .ctx = ctx, .body.max = ANSWER_MAX};
+    *op = (struct op){.fn = fn, .ctx = ctx, .body.max = BODY_MAX_BYTES};
     const char *headers[3] = {0};
     size_t n = 0;
     if (call->match)
@@ -77,10 +78,12 @@
         .headers = headers,
         .body = call->body,
         .body_len = call->body ? strlen(call->body) : 0,
-        .connect_timeout_ms = CONNECT_MS,
-        /* A write sent again by the library would conflict with itself. */
+        .connect_timeout_ms = CONNECT_TIMEOUT_MS,
+        /* If libcurl sent a write again, the second one would conflict with the
+           first. */
         .no_resend = strcmp(call->method, "GET") != 0,
-        .timeout_ms = call->limit_ms ? call->limit_ms : CALL_MS + call->wait_ms,
+        .timeout_ms =
+            call->limit_ms ? call->limit_ms : CALL_TIMEOUT_MS + call->wait_ms,
         .handlers = {.on_header = on_header,
                      .on_data = on_data,
                      .on_done = on_done},
--- a/common/retry_after.h
+++ b/common/retry_after.h
@@ -9,8 +9,8 @@
 /* Longer delays are cut to this. */
 #define RK_RETRY_AFTER_MAX_MS (24 * 3600 * 1000)
 
-/* Parses a finite number of at least 0 as strtod() reads it. Returns false if text
- * is none or goes on after it; *out is then not to be used. */
+/* Parses a finite number of at least 0 as strtod() does. Returns false if text is
+ * anything else; *out is then not to be used. */
 bool rk_parse_decimal(const char *text, double *out);
 /* Returns the delay in milliseconds; -1 if text is no valid number of seconds. */
 int64_t rk_retry_after_ms(const char *text);
