--- a/common/http1.h
+++ b/common/http1.h
@@ -12,7 +12,7 @@
 
 #include "common/util.h"
 
-#define RK_HEAD_LINES 96
+#define RK_HEAD_LINES 96 /* most header lines of a head */
 
 /* The head of a message. Its strings lie in one buffer, NUL-terminated; the other
  * members hold their offsets. */
--- a/common/rest.c
+++ b/common/rest.c
@@ -45,8 +45,7 @@
         return RK_ENOTFOUND;
     if (res->status == HTTP_PRECONDITION || res->status == HTTP_CONFLICT)
         return RK_ECONFLICT;
-    /* A 5xx may come from a proxy in front of a store that has applied the write.
-     */
+    /* A 5xx may come from a proxy in front of a store that applied the write. */
     return RK_EUNKNOWN;
 }
 
@@ -79,8 +78,7 @@
         .body = call->body,
         .body_len = call->body ? strlen(call->body) : 0,
         .connect_timeout_ms = CONNECT_TIMEOUT_MS,
-        /* If libcurl sent a write again, the second one would conflict with the
-           first. */
+        /* A write that libcurl sent again would conflict with the first one. */
         .no_resend = strcmp(call->method, "GET") != 0,
         .timeout_ms =
             call->limit_ms ? call->limit_ms : CALL_TIMEOUT_MS + call->wait_ms,
