--- a/common/arena.c
+++ b/common/arena.c
@@ -15,8 +15,8 @@
 };
 
 struct rk_arena {
-    struct block
-        *blocks; /* newest first, at least one; the newest is allocated from */
+    /* Newest first, at least one. Allocations come from the newest. */
+    struct block *blocks;
 };
 
 static struct block *create_block(size_t len, struct block *prev)
--- a/common/arena.h
+++ b/common/arena.h
@@ -10,12 +10,11 @@
 struct rk_arena *rk_arena_create(void);
 void rk_arena_destroy(struct rk_arena *a);
 
-/* Returns len bytes, aligned for any type and valid until the next reset. Never
- * returns NULL: the process aborts when memory runs out. The memory is not zeroed.
- */
+/* Returns len bytes, not zeroed, aligned for any type and valid until the next
+ * reset. Never returns NULL: the process aborts when memory runs out. */
 void *rk_arena_take(struct rk_arena *a, size_t len);
-/* Invalidates all allocations. Retains a block as large as all blocks together for
- * reuse, unless that is 256 KiB or more. */
+/* Frees all allocations. Keeps as much memory as they took for later ones, unless
+ * that is 256 KiB or more. */
 void rk_arena_reset(struct rk_arena *a);
 
 #endif
--- a/common/conn.c
+++ b/common/conn.c
@@ -74,8 +74,8 @@
     rk_loop_watch(c->loop, c->fd, events, on_event, c);
 }
 
-/* Notifies the owner that the connection has ended, once. error 0: closed in order.
- */
+/* Notifies the owner, once, that the connection has ended. error is an errno, or 0
+ * if the peer closed in order. */
 static void notify_end(struct rk_conn *c, int error)
 {
     const struct rk_conn_ops *ops = c->ops;
@@ -100,9 +100,9 @@
     shutdown(c->fd, SHUT_WR);
 }
 
-/* Empties the output buffer and frees it if it is large: a node keeps hundreds of
- * idle connections, and each that once carried a long prompt would hold its memory.
- */
+/* Empties the output buffer, and frees it if it is large: a node has hundreds of
+ * idle connections, and each that once carried a long prompt would keep memory for
+ * it. */
 static void clear_output(struct rk_conn *c)
 {
     c->out.len = 0;
@@ -119,8 +119,8 @@
         if (n < 0) {
             if (errno == EAGAIN || errno == EINTR)
                 break;
-            c->out_pos =
-                c->out.len; /* drop them; an epoll event reports the error */
+            /* Drop the rest: an epoll event will report the error. */
+            c->out_pos = c->out.len;
             break;
         }
         c->has_sent = true;
--- a/common/conn.h
+++ b/common/conn.h
@@ -13,8 +13,8 @@
 struct rk_conn;
 
 /* Callbacks of a connection's owner. Each may end the connection. No callback
- * follows on_eof or on_error; the owner must still end the connection to free it.
- */
+ * follows on_eof or on_error, but the owner must still end the connection, which
+ * frees it. */
 struct rk_conn_ops {
     void (*on_up)(void *ctx); /* a connect succeeded; may be NULL */
     void (*on_data)(void *ctx, const char *data, size_t len);
@@ -49,8 +49,7 @@
  * established, written bytes stay in the queue. */
 bool rk_conn_has_sent(const struct rk_conn *c);
 
-/* Stops or resumes reading. While it is stopped, the peer's close is still noticed.
- */
+/* Stops (true) or resumes reading. The peer's close is noticed in either case. */
 void rk_conn_pause(struct rk_conn *c, bool paused);
 
 /* Closes the connection in order and frees c: sends the queued bytes and lets the
--- a/common/eventlog.c
+++ b/common/eventlog.c
@@ -56,7 +56,7 @@
 
 /* ---- ring buffer; its functions are called with ring.lock held ---- */
 
-/* Returns false, and adds nothing, where the line doesn't fit. */
+/* Returns false, and adds nothing, if the line doesn't fit. */
 static bool ring_add(const char *line, size_t len)
 {
     if (ring.len + len > RING_BYTES)
@@ -83,7 +83,8 @@
     }
 }
 
-/* Adds an event that reports the dropped lines, and restarts their count. */
+/* Adds an event that reports how many lines were dropped. If it fits, the count
+ * restarts at 0. */
 static void report_dropped(void)
 {
     char line[LINE_MAX_BYTES];
--- a/common/http1.c
+++ b/common/http1.c
@@ -156,6 +156,8 @@
     *r = (struct rk_http1){.ops = ops, .ctx = ctx, .head_max = head_max};
     http_parser_init(&r->parser, requests ? HTTP_REQUEST : HTTP_RESPONSE);
     r->parser.data = r;
+    /* http-parser's own limit is process-wide and counts every byte of a head. It
+     * is set well above head_max, which append_text() enforces. */
     http_parser_set_max_header_size((uint32_t)(head_max + HEAD_SLACK) * 2);
 }
 
--- a/common/http1.h
+++ b/common/http1.h
@@ -14,14 +14,13 @@
 
 #define RK_HEAD_LINES 96 /* most header lines of a head */
 
-/* The head of a message. Its strings lie in one buffer, NUL-terminated; the other
- * members hold their offsets. */
+/* The head of a message: the start line and the header lines. */
 struct rk_head {
-    struct rk_buf text;
-    size_t target; /* offset of a request's target */
+    struct rk_buf text; /* the NUL-terminated strings of the head */
+    size_t target;      /* offset in text of a request's target */
     size_t lines_len;
     struct {
-        size_t name, value; /* offsets */
+        size_t name, value; /* offsets in text */
     } lines[RK_HEAD_LINES];
     enum http_method method; /* of a request */
     int status;              /* of a response */
@@ -66,7 +65,7 @@
 };
 
 /* Initialises a reader of requests or, if requests is false, of responses. A head
- * of more than head_max bytes or RK_HEAD_LINES lines is refused. */
+ * of more than head_max bytes or RK_HEAD_LINES lines fails as too large. */
 void rk_http1_init(struct rk_http1 *r, bool requests, size_t head_max,
                    const struct rk_http1_ops *ops, void *ctx);
 /* Frees what the reader allocated; r itself is the caller's. */
--- a/common/latency.c
+++ b/common/latency.c
@@ -6,8 +6,8 @@
 
 #include "common/util.h"
 
-#define MAX_SERIES                                                                 \
-    96 /* per histogram; further labels are counted in the last one */
+/* Per histogram. Values of further labels are counted in the last series. */
+#define MAX_SERIES 96
 
 static const int64_t bucket_bounds_ms[] = {5,   10,  25,  50,   100,  150,  250,
                                            400, 600, 800, 1000, 1500, 2500, 5000};
--- a/common/loop.h
+++ b/common/loop.h
@@ -29,8 +29,7 @@
 
 /* Never returns NULL. */
 struct rk_loop *rk_loop_create(void);
-/* loop may be NULL. Functions still in the queue are dropped without being called.
- */
+/* Functions still in the queue are not called any more. loop may be NULL. */
 void rk_loop_destroy(struct rk_loop *loop);
 
 /* Returns the loop's arena for memory that is used only while one event is handled:
@@ -50,8 +49,8 @@
 
 /* Sets functions to call before and after each batch of events, for instance to
  * enter and leave a read section of a shared snapshot. Either may be NULL. */
-void rk_loop_set_hooks(struct rk_loop *loop, rk_call_fn *before, rk_call_fn *after,
-                       void *ctx);
+void rk_loop_set_hooks(struct rk_loop *loop, rk_call_fn *before_batch,
+                       rk_call_fn *after_batch, void *ctx);
 
 /* Calls fn(ctx, ...) whenever one of the events is ready on fd, in place of an
  * earlier watch of fd. events 0 ends the watch. */
@@ -64,10 +63,9 @@
 /* Does nothing if the timer isn't running. */
 void rk_timer_stop(struct rk_loop *loop, struct rk_timer *t);
 
-/* Queues fn(ctx) to run on the loop's thread. Any thread. Returns false when the
- * queue is full or the loop was stopped: fn is not called then, and ctx stays the
- * caller's.
- */
+/* Queues fn(ctx) to run on the loop's thread. Any thread. Returns false if the
+ * queue is full or the loop was stopped: fn is not called, and ctx remains the
+ * caller's. */
 bool rk_loop_post(struct rk_loop *loop, rk_call_fn *fn, void *ctx);
 
 #endif
--- a/common/util.h
+++ b/common/util.h
@@ -18,17 +18,16 @@
 #define RK_MS_PER_S  1000
 #define RK_NS_PER_MS 1000000LL
 
-/* Converts seconds to milliseconds, rounded to the nearest; s must not be negative.
- */
+/* Converts seconds, which must not be negative, to milliseconds, rounded. */
 static inline int64_t rk_s_to_ms(double s)
 {
     return (int64_t)(s * RK_MS_PER_S + 0.5);
 }
 
 /* Returns the monotonic clock in milliseconds (rk_mono_us(): in microseconds). It
- * counts the time during which the machine is suspended, so leases and deadlines
- * expire in a suspend as they do while the process is stopped. Loop timers that
- * fall due meanwhile run in the loop's next iteration. */
+ * goes on while the machine is suspended, so that leases and deadlines expire
+ * during that time, as they do while the process is stopped. Loop timers that fall
+ * due meanwhile run in the loop's next iteration. */
 int64_t rk_mono_ms(void);
 /* Returns the wall clock: milliseconds since the Unix epoch. */
 int64_t rk_wall_ms(void);
@@ -68,21 +67,20 @@
     size_t cap; /* bytes allocated */
     size_t max; /* limit of len; 0: none */
 };
-/* The functions that append return false, and add nothing, where len would exceed
- * max. */
+/* The functions that append to a buffer return false, and append nothing, if len
+ * would exceed max. */
 bool rk_buf_add(struct rk_buf *b, const void *data, size_t len);
 bool rk_buf_addstr(struct rk_buf *b, const char *s);
 bool rk_buf_printf(struct rk_buf *b, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
-/* Removes the first len bytes; there must be as many. */
+/* Removes the first len bytes; len must not exceed the buffer's. */
 void rk_buf_consume(struct rk_buf *b, size_t len);
-/* Frees the memory. The buffer is then empty, keeps its max and can be used again.
- */
+/* Frees the memory. The buffer is empty then, keeps its max and may be reused. */
 void rk_buf_free(struct rk_buf *b);
 
-/* Appends s as a quoted JSON string; its bytes from 0x80 up are copied as they are.
- * Where it returns false for lack of room, a part of the string may have been
- * appended. */
+/* Appends s as a quoted JSON string; bytes from 0x80 up are copied unchanged.
+ * Returns false if len would exceed max; part of the string may have been appended
+ * then. */
 bool rk_buf_json_str(struct rk_buf *b, const char *s);
 
 #endif
