--- a/common/latency.h
+++ b/common/latency.h
@@ -9,7 +9,7 @@
 struct rk_buf;
 
 enum rk_latency {
-    RK_LATENCY_FIRST, /* from a call's arrival to the head of its answer */
+    RK_LATENCY_FIRST, /* from a call's arrival to the head of its response */
     RK_LATENCY_WHOLE, /* from a call's arrival to its end, with any outcome */
     RK_LATENCY_MISS,  /* absolute error of the predicted time to first byte; the
                          outcome label is "early" or "late" */
