--- a/programs/entry.c
+++ b/programs/entry.c
@@ -1,6 +1,7 @@
-/* rillknot-entry: an entry VM. Traffic threads take calls and answer them; the
- * main thread runs control state; a third waits for signals and walks the node
- * through a planned stop. */
+/* rillknot-entry: the process of an entry node. Traffic threads accept callers'
+ * requests, forward them to upstreams and answer them. The main thread runs the
+ * control loop. A signal thread waits for SIGTERM or SIGINT and then carries out
+ * the planned stop. */
 #include <argp.h>
 #include <curl/curl.h>
 #include <inttypes.h>
@@ -23,19 +24,25 @@
 #include "serve/traffic.h"
 #include "serve/view.h"
 
-#define IDLE_S        20
-#define MAX_UPLOAD_MS 20000
-#define MAX_UNREAD    (1024 * 1024)
-#define DRAIN_STEP_MS 50
-#define BALANCER_MS   500  /* least time health says "leaving" before the end */
-#define HAND_OVER_MS  1000 /* before the notice is over */
+#define IDLE_TIMEOUT_S    20
+#define UPLOAD_TIMEOUT_MS 20000
+#define MAX_UNREAD_BYTES  (1024 * 1024)
+#define DRAIN_POLL_MS     50
+/* A stopping node reports "leaving" at /health for at least this long, and waits
+ * until no call has been in flight for this long, so that the external balancer
+ * notices. */
+#define MIN_LEAVING_MS 500
+/* Resumable streams are ended this long before the notice time is over, so that
+ * callers can resume them at another node. */
+#define HANDOVER_LEAD_MS 1000
 
 struct worker {
     pthread_t thread;
     struct rk_traffic *traffic;
     struct rk_callers *callers;
     char id_prefix[RK_ID_MAX];
-    _Atomic size_t busy; /* calls and answers in hand, as told last */
+    /* Calls and answers in flight, as last counted by the traffic thread. */
+    _Atomic size_t in_flight;
 };
 
 struct node {
@@ -47,7 +54,7 @@
 };
 
 static struct {
-    const char *settings;
+    const char *procfile;
     enum rk_route_policy policy;
     enum rk_log_level level;
 } args = {.level = RK_LOG_INFO};
@@ -63,12 +70,12 @@
             argp_error(state, "unknown routing policy '%s'", arg);
         return 0;
     case ARGP_KEY_ARG:
-        if (args.settings)
+        if (args.procfile)
             argp_usage(state);
-        args.settings = arg;
+        args.procfile = arg;
         return 0;
     case ARGP_KEY_END:
-        if (!args.settings)
+        if (!args.procfile)
             argp_usage(state);
         return 0;
     default:
@@ -91,7 +98,7 @@
     "SETTINGS-FILE",
     "Take calls, route them to upstreams, and answer them.\v"
     "SETTINGS-FILE says who this process is and where it listens. Events go to "
-    "standard output, a JSON object a line. SIGTERM begins a planned stop.",
+    "standard output, a JSON object per line. SIGTERM begins a planned stop.",
     0,
     0,
     0};
@@ -103,6 +110,7 @@
     return NULL;
 }
 
+/* Falls back to the time and a stack address if /dev/urandom can't be read. */
 static uint64_t random_seed(void)
 {
     uint64_t seed = (uint64_t)rk_wall_ms() ^ (uint64_t)(uintptr_t)&seed;
@@ -117,27 +125,31 @@
 
 /* ---- planned stop ---- */
 
-static void count_busy(void *ctx)
+/* Runs on the traffic thread. */
+static void update_in_flight(void *ctx)
 {
     struct worker *w = ctx;
-    atomic_store(&w->busy,
+    atomic_store(&w->in_flight,
                  rk_traffic_in_hand(w->traffic) + rk_callers_open(w->callers));
 }
 
-static void hand_over(void *ctx)
+/* Runs on the traffic thread. */
+static void hand_over_streams(void *ctx)
 {
     struct worker *w = ctx;
     rk_traffic_hand_over(w->traffic);
 }
 
-static size_t total_busy(struct node *n)
+/* Returns the sum of the threads' last counts, and requests a new count from each
+ * thread. */
+static size_t total_in_flight(struct node *n)
 {
-    size_t busy = 0;
+    size_t in_flight = 0;
     for (size_t i = 0; i < n->workers_len; i++) {
-        rk_loop_post(n->workers[i].traffic->loop, count_busy, &n->workers[i]);
-        busy += atomic_load(&n->workers[i].busy);
+        rk_loop_post(n->workers[i].traffic->loop, update_in_flight, &n->workers[i]);
+        in_flight += atomic_load(&n->workers[i].in_flight);
     }
-    return busy;
+    return in_flight;
 }
 
 static void sleep_ms(int64_t ms)
@@ -146,35 +158,39 @@
     nanosleep(&ts, NULL);
 }
 
-/* Health says leaving; what comes is still served; the node goes when it has
- * been idle for a while, or hands its streams over when the notice ends. */
+/* Drains the node. Health reports "leaving", but new calls are still served.
+ * Returns once no call has been in flight for MIN_LEAVING_MS, or when the notice
+ * time is over. Shortly before the notice time is over, resumable streams are ended
+ * so that callers resume them at another node. */
 static void planned_stop(struct node *n)
 {
-    int64_t begin = rk_mono_ms(), notice = n->file.notice_ms, idle_since = begin;
-    bool handed = false;
+    int64_t start_ms = rk_mono_ms(), notice = n->file.notice_ms,
+            idle_since_ms = start_ms;
+    bool handed_over = false;
     RK_EVENT("node.leaving", RK_N("notice_ms", notice));
     rk_control_leave(n->control);
     for (size_t i = 0; i < n->workers_len; i++)
-        atomic_store(&n->workers[i].busy, 1);
-    while (rk_mono_ms() - begin < notice) {
-        int64_t now = rk_mono_ms();
-        if (total_busy(n))
-            idle_since = now;
-        else if (now - idle_since >= BALANCER_MS && now - begin >= BALANCER_MS)
+        atomic_store(&n->workers[i].in_flight, 1);
+    while (rk_mono_ms() - start_ms < notice) {
+        int64_t now_ms = rk_mono_ms();
+        if (total_in_flight(n))
+            idle_since_ms = now_ms;
+        else if (now_ms - idle_since_ms >= MIN_LEAVING_MS &&
+                 now_ms - start_ms >= MIN_LEAVING_MS)
             break;
-        if (!handed && now - begin > notice - HAND_OVER_MS) {
-            handed = true;
+        if (!handed_over && now_ms - start_ms > notice - HANDOVER_LEAD_MS) {
+            handed_over = true;
             for (size_t i = 0; i < n->workers_len; i++)
-                rk_loop_post(n->workers[i].traffic->loop, hand_over,
+                rk_loop_post(n->workers[i].traffic->loop, hand_over_streams,
                              &n->workers[i]);
         }
-        sleep_ms(DRAIN_STEP_MS);
+        sleep_ms(DRAIN_POLL_MS);
     }
-    RK_EVENT("node.stopped", RK_N("in_hand", (int64_t)total_busy(n)),
-             RK_N("took_ms", rk_mono_ms() - begin));
+    RK_EVENT("node.stopped", RK_N("in_hand", (int64_t)total_in_flight(n)),
+             RK_N("took_ms", rk_mono_ms() - start_ms));
 }
 
-static void *wait_for_signal(void *arg)
+static void *run_signal_thread(void *arg)
 {
     struct node *n = arg;
     sigset_t set;
@@ -194,7 +210,8 @@
 
 /* ---- start ---- */
 
-static const char *or_any(const char *addr)
+/* Returns addr, or any free port on loopback if addr is empty. */
+static const char *addr_or_any(const char *addr)
 {
     return addr[0] ? addr : "127.0.0.1:0";
 }
@@ -206,7 +223,7 @@
     rk_strcpy(opt.id, sizeof(opt.id), f->id);
     rk_strcpy(opt.domain, sizeof(opt.domain), f->failure_domain);
     rk_strcpy(opt.platform, sizeof(opt.platform), f->platform);
-    rk_strcpy(opt.control_listen, RK_ADDR_MAX, or_any(f->control_listen));
+    rk_strcpy(opt.control_listen, RK_ADDR_MAX, addr_or_any(f->control_listen));
     rk_strcpy(opt.control_advertise, RK_ADDR_MAX, f->control_advertise);
     rk_strcpy(opt.forward_advertise, RK_ADDR_MAX,
               f->forward_advertise[0] ? f->forward_advertise : forward_addr);
@@ -230,24 +247,25 @@
         return false;
     snprintf(w->id_prefix, sizeof(w->id_prefix), "%.24s-%x%u", n->file.id,
              (unsigned)(rk_wall_ms() & 0xffffff), (unsigned)i);
-    const struct rk_callers_options copt = {
+    const struct rk_callers_options caller_opt = {
         .listen = listen,
         .id_prefix = w->id_prefix,
         .max_body = (size_t)n->file.max_body,
         .max_connections = (unsigned)n->file.max_connections,
-        .idle_s = IDLE_S,
-        .max_upload_ms = MAX_UPLOAD_MS,
-        .max_unread = MAX_UNREAD,
+        .idle_s = IDLE_TIMEOUT_S,
+        .max_upload_ms = UPLOAD_TIMEOUT_MS,
+        .max_unread = MAX_UNREAD_BYTES,
     };
-    w->callers = rk_callers_create(w->traffic, &copt);
+    w->callers = rk_callers_create(w->traffic, &caller_opt);
     if (!w->callers)
         return false;
     n->workers_len++;
     return true;
 }
 
-/* The traffic threads share their ports, with nobody else. */
-static bool is_free(const char *listen)
+/* Checks that no other process listens on the address. The traffic threads share
+ * their ports by SO_REUSEPORT, which would let a second process share them, too. */
+static bool is_addr_free(const char *listen)
 {
     struct sockaddr_in addr;
     if (rk_addr_parse(listen, &addr))
@@ -261,16 +279,16 @@
     uint64_t seed = random_seed();
     char listen[RK_ADDR_MAX], forward[RK_ADDR_MAX];
     n->views = rk_view_cell_create();
-    rk_strcpy(listen, sizeof(listen), or_any(n->file.listen));
-    rk_strcpy(forward, sizeof(forward), or_any(n->file.forward_listen));
-    if (!is_free(listen) || !is_free(forward))
+    rk_strcpy(listen, sizeof(listen), addr_or_any(n->file.listen));
+    rk_strcpy(forward, sizeof(forward), addr_or_any(n->file.forward_listen));
+    if (!is_addr_free(listen) || !is_addr_free(forward))
         return false;
     for (size_t i = 0; i < (size_t)n->file.traffic_threads; i++) {
         if (!create_worker(n, i, listen, forward, seed))
             return false;
         if (i > 0)
             continue;
-        /* The other threads share the ports the first one got. */
+        /* The other threads listen on the ports that the first one was given. */
         char *colon = strrchr(listen, ':');
         snprintf(colon, (size_t)(listen + sizeof(listen) - colon), ":%u",
                  rk_callers_port(n->workers[0].callers));
@@ -307,7 +325,7 @@
 {
     argp_parse(&argp, argc, argv, 0, NULL, NULL);
     static struct node n;
-    if (rk_procfile_load(args.settings, &n.file) != RK_OK) {
+    if (rk_procfile_load(args.procfile, &n.file) != RK_OK) {
         fprintf(stderr, "rillknot-entry: %s\n", rk_last_error());
         return 2;
     }
@@ -318,6 +336,7 @@
     pthread_sigmask(SIG_BLOCK, &set, NULL);
     signal(SIGPIPE, SIG_IGN);
     curl_global_init(CURL_GLOBAL_DEFAULT);
+    /* The "listening" event is logged even with --quiet: it carries the ports. */
     rk_log_init(n.file.id, n.file.failure_domain, RK_LOG_INFO);
     if (!create_node(&n)) {
         fprintf(stderr, "rillknot-entry: %s\n", rk_last_error());
@@ -327,10 +346,10 @@
     rk_control_start(n.control);
     for (size_t i = 0; i < n.workers_len; i++)
         pthread_create(&n.workers[i].thread, NULL, run_worker, &n.workers[i]);
-    pthread_t signals;
-    pthread_create(&signals, NULL, wait_for_signal, &n);
+    pthread_t signal_thread;
+    pthread_create(&signal_thread, NULL, run_signal_thread, &n);
     rk_control_run(n.control);
-    pthread_join(signals, NULL);
+    pthread_join(signal_thread, NULL);
     destroy_node(&n);
     rk_log_shutdown();
     curl_global_cleanup();
--- a/programs/keeper.c
+++ b/programs/keeper.c
@@ -1,5 +1,6 @@
-/* rillknot-keeper: runs beside an entry node and, while it has its failure
- * domain's lease, holds vms and orders engines. */
+/* rillknot-keeper: the process of a keeper, which runs beside an entry node. While
+ * it holds its failure domain's lease, it starts and stops VMs through the cloud
+ * API and sends orders to engines. */
 #include <argp.h>
 #include <curl/curl.h>
 #include <signal.h>
@@ -14,18 +15,18 @@
 #include "core/procfile.h"
 #include "keeper/keeper.h"
 
-static const char *settings;
+static const char *procfile;
 
 static error_t parse_opt(int key, char *arg, struct argp_state *state)
 {
     switch (key) {
     case ARGP_KEY_ARG:
-        if (settings)
+        if (procfile)
             argp_usage(state);
-        settings = arg;
+        procfile = arg;
         return 0;
     case ARGP_KEY_END:
-        if (!settings)
+        if (!procfile)
             argp_usage(state);
         return 0;
     default:
@@ -37,14 +38,14 @@
     NULL,
     parse_opt,
     "SETTINGS-FILE",
-    "Hold the vms of a failure domain and order its engines.\v"
+    "Manage the vms of a failure domain and order its engines.\v"
     "SETTINGS-FILE names the platform and the entry node beside it (entry). One "
     "keeper of a failure domain is active at a time, by a lease.",
     0,
     0,
     0};
 
-static void on_signal(void *ctx, int fd, uint32_t events)
+static void on_stop_signal(void *ctx, int fd, uint32_t events)
 {
     (void)events;
     struct signalfd_siginfo info;
@@ -53,7 +54,9 @@
     rk_loop_stop(ctx);
 }
 
-static int watch_signals(struct rk_loop *loop)
+/* Stops the loop on SIGTERM or SIGINT. Returns the signalfd, which the caller
+ * closes after the loop has ended. */
+static int watch_stop_signals(struct rk_loop *loop)
 {
     sigset_t set;
     sigemptyset(&set);
@@ -62,7 +65,7 @@
     sigprocmask(SIG_BLOCK, &set, NULL);
     signal(SIGPIPE, SIG_IGN);
     int fd = signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK);
-    rk_loop_watch(loop, fd, EPOLLIN, on_signal, loop);
+    rk_loop_watch(loop, fd, EPOLLIN, on_stop_signal, loop);
     return fd;
 }
 
@@ -70,13 +73,13 @@
 {
     static struct rk_procfile file;
     argp_parse(&argp, argc, argv, 0, NULL, NULL);
-    if (rk_procfile_load(settings, &file) != RK_OK) {
+    if (rk_procfile_load(procfile, &file) != RK_OK) {
         fprintf(stderr, "rillknot-keeper: %s\n", rk_last_error());
         return 2;
     }
     if (!file.entry[0]) {
         fprintf(stderr, "rillknot-keeper: %s: /entry: expected ip:port\n",
-                settings);
+                procfile);
         return 2;
     }
     uint64_t seed = 0;
@@ -85,14 +88,14 @@
     curl_global_init(CURL_GLOBAL_DEFAULT);
     rk_log_init(file.id, file.failure_domain, RK_LOG_INFO);
     struct rk_loop *loop = rk_loop_create();
-    int signals = watch_signals(loop);
-    struct rk_keeper *k = rk_keeper_create(loop, &file, seed);
+    int signal_fd = watch_stop_signals(loop);
+    struct rk_keeper *keeper = rk_keeper_create(loop, &file, seed);
     RK_EVENT("keeper.started", RK_S("entry", file.entry));
-    rk_keeper_start(k);
+    rk_keeper_start(keeper);
     rk_loop_run(loop);
     RK_EVENT("keeper.stopped", RK_S("entry", file.entry));
-    rk_keeper_destroy(k);
-    close(signals);
+    rk_keeper_destroy(keeper);
+    close(signal_fd);
     rk_loop_destroy(loop);
     rk_log_shutdown();
     curl_global_cleanup();
--- a/programs/node.c
+++ b/programs/node.c
@@ -1,6 +1,7 @@
-/* rillknot-node: an entry VM of a deployment whose routes, vms and duties live on
- * the users' platform. The main thread runs control state, another one traffic, a
- * third waits for signals. */
+/* rillknot-node: the process of an entry node in a deployment whose routes, VM list
+ * and leader duties are held by the users' platform. The main thread runs the
+ * control loop and a second thread the traffic. A third waits for signals and polls
+ * the process file for changes. */
 #include <argp.h>
 #include <curl/curl.h>
 #include <pthread.h>
@@ -15,11 +16,11 @@
 #include "core/procfile.h"
 #include "node/node.h"
 
-#define SETTINGS_VARIABLE "RILLKNOT_CONFIG"
-#define FILE_LOOK_S       2 /* between looks at the process file */
+#define PROCFILE_VARIABLE "RILLKNOT_CONFIG"
+#define PROCFILE_POLL_S   2 /* interval between checks for a changed process file */
 
 static struct {
-    const char *settings;
+    const char *procfile;
     enum rk_log_level level;
     bool check;
 } args = {.level = RK_LOG_INFO};
@@ -34,15 +35,15 @@
         args.check = true;
         return 0;
     case ARGP_KEY_ARG:
-        if (args.settings)
+        if (args.procfile)
             argp_usage(state);
-        args.settings = arg;
+        args.procfile = arg;
         return 0;
     case ARGP_KEY_END:
-        if (!args.settings)
-            args.settings = getenv(SETTINGS_VARIABLE);
-        if (!args.settings)
-            argp_error(state, "expected a process file, or %s", SETTINGS_VARIABLE);
+        if (!args.procfile)
+            args.procfile = getenv(PROCFILE_VARIABLE);
+        if (!args.procfile)
+            argp_error(state, "expected a process file, or %s", PROCFILE_VARIABLE);
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -51,7 +52,7 @@
 
 static const struct argp_option options[] = {
     {"quiet", 'q', NULL, 0, "Log warnings and errors only", 0},
-    {"check", 'c', NULL, 0, "Check the process file and end", 0},
+    {"check", 'c', NULL, 0, "Check the process file and exit", 0},
     {0},
 };
 
@@ -62,52 +63,52 @@
     "Relay calls by the routes in the platform's store.\v"
     "PROCESS-FILE says who this process is and where it listens; without it, the "
     "variable RILLKNOT_CONFIG names it. Events go to standard output, a JSON "
-    "object "
-    "a line. SIGTERM begins a planned stop; PROCESS-FILE is read again on SIGHUP "
-    "and "
-    "when it has changed.",
+    "object per line. SIGTERM begins a planned stop; PROCESS-FILE is read again on "
+    "SIGHUP and when it has changed.",
     0,
     0,
     0};
 
-static void reload(struct rk_node *n)
+/* Reads the process file again. If it is invalid, the node keeps its old values. */
+static void reload(struct rk_node *node)
 {
     struct rk_procfile file;
-    if (rk_procfile_load(args.settings, &file) == RK_OK)
-        rk_node_reload(n, &file);
+    if (rk_procfile_load(args.procfile, &file) == RK_OK)
+        rk_node_reload(node, &file);
     else
         RK_WARN("node.reload_failed", RK_S("why", rk_last_error()));
 }
 
-/* Did the process file change since it was looked at last? */
-static bool file_changed(struct timespec *seen)
+/* Returns whether the process file's modification time differs from *last_mtime,
+ * and updates *last_mtime. */
+static bool procfile_changed(struct timespec *last_mtime)
 {
     struct stat st;
-    if (stat(args.settings, &st) != 0)
-        return false; /* being replaced: the next look tells */
-    bool changed =
-        st.st_mtim.tv_sec != seen->tv_sec || st.st_mtim.tv_nsec != seen->tv_nsec;
-    *seen = st.st_mtim;
+    if (stat(args.procfile, &st) != 0)
+        return false; /* being replaced: the next poll sees the new file */
+    bool changed = st.st_mtim.tv_sec != last_mtime->tv_sec ||
+                   st.st_mtim.tv_nsec != last_mtime->tv_nsec;
+    *last_mtime = st.st_mtim;
     return changed;
 }
 
-static void *wait_for_signals(void *arg)
+static void *run_signal_thread(void *arg)
 {
-    struct rk_node *n = arg;
-    const struct timespec look = {.tv_sec = FILE_LOOK_S};
-    struct timespec seen = {0};
+    struct rk_node *node = arg;
+    const struct timespec poll_interval = {.tv_sec = PROCFILE_POLL_S};
+    struct timespec last_mtime = {0};
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
     sigaddset(&set, SIGHUP);
-    file_changed(&seen);
+    procfile_changed(&last_mtime);
     for (;;) {
-        int sig = sigtimedwait(&set, NULL, &look);
+        int sig = sigtimedwait(&set, NULL, &poll_interval);
         if (sig == SIGTERM || sig == SIGINT)
-            rk_node_leave(n);
-        else if (file_changed(&seen) || sig == SIGHUP)
-            reload(n);
+            rk_node_leave(node);
+        else if (procfile_changed(&last_mtime) || sig == SIGHUP)
+            reload(node);
     }
     return NULL;
 }
@@ -127,27 +128,27 @@
 {
     argp_parse(&argp, argc, argv, 0, NULL, NULL);
     static struct rk_procfile file;
-    if (rk_procfile_load(args.settings, &file) != RK_OK) {
+    if (rk_procfile_load(args.procfile, &file) != RK_OK) {
         fprintf(stderr, "rillknot-node: %s\n", rk_last_error());
         return 2;
     }
     if (args.check) {
-        printf("%s: ok\n", args.settings);
+        printf("%s: ok\n", args.procfile);
         return 0;
     }
     block_signals();
     curl_global_init(CURL_GLOBAL_DEFAULT);
     rk_log_init(file.id, file.failure_domain, args.level);
-    struct rk_node *n;
-    if (rk_node_create(&file, &n) != RK_OK) {
+    struct rk_node *node;
+    if (rk_node_create(&file, &node) != RK_OK) {
         fprintf(stderr, "rillknot-node: %s\n", rk_last_error());
         return 1;
     }
-    pthread_t signals;
-    pthread_create(&signals, NULL, wait_for_signals, n);
-    pthread_detach(signals);
-    rk_node_run(n);
-    /* The signals' thread still holds the node: the process ends as a whole. */
+    pthread_t signal_thread;
+    pthread_create(&signal_thread, NULL, run_signal_thread, node);
+    pthread_detach(signal_thread);
+    rk_node_run(node);
+    /* The signal thread still uses the node, so the node isn't destroyed here. */
     rk_log_shutdown();
     return 0;
 }
