--- a/programs/replay.c
+++ b/programs/replay.c
@@ -1,19 +1,23 @@
-/* rillknot-replay: runs a recorded trace through the core in simulated time,
- * against engines modelled by the settings' own figures, and compares what came
- * out with the outcomes the trace states. The same trace gives the same verdict
- * each time.
+/* rillknot-replay: runs a recorded trace through the core in simulated time and
+ * compares the outcomes with those that the trace expects. Engines are modelled by
+ * the latency figures in the settings. The simulation is deterministic: the same
+ * trace always gives the same outcomes.
  *
- * A trace has one JSON object a line:
- *   {"settings": TREE}                                       first
- *   {"at_ms", "vm": ID, "service", "vm_class", "state"}      a vm's row
- *   {"at_ms", "reclaim": ID, "in_ms"}                        a notice
- *   {"at_ms", "kill": ID}                                    a vm is gone,
- * unannounced
- *   {"at_ms", "fault": ID, "mode"}     of its next call: "refuse" (503),
- *                                      "cut" (broken off halfway), "silent"
+ * A trace holds one JSON object per line:
+ *   {"settings": TREE}              must come first
+ *   {"at_ms", "vm": ID, "service", "vm_class", "state"}
+ *                                   a VM is listed, or its state changes
+ *   {"at_ms", "reclaim": ID, "in_ms"}
+ *                                   a notice that the VM is reclaimed in in_ms
+ *   {"at_ms", "kill": ID}           the VM is gone without a notice
+ *   {"at_ms", "fault": ID, "mode"}  a fault of the next attempt sent to the VM:
+ *                                   "refuse" (503), "cut" (the answer breaks off
+ *                                   halfway) or "silent" (no answer)
  *   {"at_ms", "call": N, "organisation", "class", "service", "tenant",
- *    "prompt_tokens", "max_tokens", "key"}
- *   {"expect": {NAME: {"min", "max"}}}                       last; names below */
+ *    "prompt_tokens", "max_tokens", "key", "deadline_ms"}
+ *   {"expect": {NAME: {"min", "max"}}}
+ *                                   comes last; the names are those of
+ *                                   compute_outcomes() */
 #include <argp.h>
 #include <inttypes.h>
 #include <stdio.h>
@@ -29,16 +33,16 @@
 #include "core/settings.h"
 #include "core/verdict.h"
 
-#define MAX_VMS      256
-#define MAX_CALLS    100000
-#define MAX_ATTEMPTS 8
-#define STEP_MS      25
-#define PLAIN_MS     8 /* of a plain service's call */
-#define LINE_LIMIT   65536
-#define DOMAIN_NAME  "trace"
-#define MS_PER_HOUR  3600000.0
+#define MAX_VMS          256
+#define MAX_CALLS        100000
+#define MAX_ATTEMPTS     8
+#define STEP_MS          25 /* resolution of simulated time */
+#define PLAIN_SERVICE_MS 8  /* time that a plain service takes for a call */
+#define MAX_LINE         65536
+#define DOMAIN_NAME      "trace"
+#define MS_PER_HOUR      3600000.0
 
-enum call_end { CALL_OPEN, CALL_WHOLE, CALL_NOT_RUN, CALL_MAYBE };
+enum call_result { CALL_PENDING, CALL_COMPLETED, CALL_NOT_RUN, CALL_MAY_HAVE_RUN };
 
 struct call {
     int64_t at_ms;
@@ -47,23 +51,25 @@
     const struct rk_policy *policy;
     char org[RK_ID_MAX], cls[RK_ID_MAX], key[RK_ID_MAX];
     int64_t deadline_ms;
-    int64_t done_tokens; /* the caller has */
-    int64_t begin_ms;    /* of the attempt: when its first token is due */
-    int64_t end_ms;
-    int64_t first_ms; /* when the first token came; -1 */
-    int attempts, runs;
-    enum call_end end;
+    int64_t received_tokens; /* tokens that the caller has received */
+    int64_t first_due_ms;    /* when the attempt's first token is due */
+    int64_t end_ms;          /* when the answer is due in full, or the call ended */
+    int64_t first_token_ms;  /* when the first token came; -1: not yet */
+    int attempts;
+    int runs; /* attempts that ran at a VM */
+    enum call_result result;
     enum rk_verdict verdict;
-    bool cut, silent, refuse;
-    bool unreachable; /* its vm was gone when it was sent */
+    bool cut_halfway, unresponsive, refuse; /* fault of the current attempt */
+    bool unreachable; /* the VM was gone when the attempt was sent */
     int vm;           /* index in sim.vms while sent */
 };
 
 struct sim_vm {
     struct rk_vm row;
-    int64_t live_from_ms, gone_ms; /* gone_ms -1: not yet */
-    int64_t reclaim_ms;            /* -1: none announced */
-    char fault[16];
+    int64_t live_from_ms;
+    int64_t gone_ms;    /* when the VM is gone; -1: not known */
+    int64_t reclaim_ms; /* when an announced reclaim takes place; -1: none */
+    char fault[16];     /* mode for the next attempt; "": none */
 };
 
 static struct {
@@ -79,21 +85,24 @@
     struct json_object *expect;
     struct rk_budget budget;
     int64_t now_ms;
-    int64_t recomputed, attempts, late_work_at_leaving;
+    int64_t recomputed_tokens; /* tokens computed again after a broken attempt */
+    int64_t attempts;
+    int64_t sent_to_leaving; /* attempts sent to VMs that weren't listed as live */
 } sim;
 
 static struct {
     const char *file;
-    bool decisions;
+    bool decisions; /* print each decision */
     enum rk_route_policy policy;
 } args;
 
-static bool has(struct json_object *o, const char *name)
+static bool has_member(struct json_object *o, const char *name)
 {
     return json_object_object_get_ex(o, name, NULL);
 }
 
-static void say(const struct call *c, const char *what, const char *where)
+static void print_decision(const struct call *c, const char *what,
+                           const char *where)
 {
     if (args.decisions)
         printf("%8" PRId64 " ms  call %-6zu %-14s %-12s %s\n", sim.now_ms,
@@ -111,7 +120,8 @@
     return NULL;
 }
 
-static void tell_router(void)
+/* Passes all VM rows to the router. */
+static void update_router(void)
 {
     static struct rk_vm rows[MAX_VMS];
     for (size_t i = 0; i < sim.vms_len; i++)
@@ -120,7 +130,8 @@
                      sim.now_ms);
 }
 
-static void take_vm(struct json_object *o)
+/* Adds the VM if it is new, and applies its state. */
+static void apply_vm_event(struct json_object *o)
 {
     struct sim_vm *v = find_vm(rk_json_str(o, "vm"));
     if (!v) {
@@ -136,54 +147,59 @@
         rk_strcpy(v->row.service, RK_ID_MAX, rk_json_str(o, "service"));
         rk_strcpy(v->row.vm_class, RK_ID_MAX, rk_json_str(o, "vm_class"));
     }
-    /* As in the members' table: a state never falls. */
+    /* The state never goes back, as in the members' table. */
     enum rk_vm_state state =
         !strcmp(rk_json_str(o, "state"), "leaving") ? RK_VM_LEAVING : RK_VM_LIVE;
     if (state > v->row.state)
         v->row.state = state;
 }
 
-/* ---- the life of a call ---- */
+/* ---- calls ---- */
 
-static void finish(struct call *c, enum call_end end, enum rk_verdict v,
-                   bool vm_failed)
+static void end_call(struct call *c, enum call_result result, enum rk_verdict v,
+                     bool vm_failed)
 {
     rk_router_end(sim.router, &c->job, vm_failed, sim.now_ms);
-    c->end = end;
+    c->result = result;
     c->verdict = v;
     c->end_ms = sim.now_ms;
-    say(c, end == CALL_WHOLE ? "whole" : "given up", rk_verdict_str(v));
+    print_decision(c, result == CALL_COMPLETED ? "whole" : "given up",
+                   rk_verdict_str(v));
 }
 
-static void give_up(struct call *c)
+/* Ends a failed call with the verdict of all its attempts. */
+static void end_failed_call(struct call *c)
 {
-    finish(c, c->verdict == RK_NOT_RUN ? CALL_NOT_RUN : CALL_MAYBE, c->verdict,
-           false);
+    end_call(c, c->verdict == RK_NOT_RUN ? CALL_NOT_RUN : CALL_MAY_HAVE_RUN,
+             c->verdict, false);
 }
 
-static void attempt_failed(struct call *c, struct rk_attempt_end end)
+/* Retries the call at another VM, if its verdict, the limit of attempts and the
+ * retry budget allow that, and ends it otherwise. A repeatable or not-run call that
+ * has failed at all VMs may go to them again. */
+static void handle_failed_attempt(struct call *c, struct rk_attempt_end end)
 {
     const struct rk_refusal_contract contract = {c->policy->refusal_not_run};
     enum rk_verdict v = rk_verdict_of(&end, &contract);
     c->verdict = rk_verdict_join(c->verdict, v);
-    say(c, "failed", rk_verdict_str(v));
+    print_decision(c, "failed", rk_verdict_str(v));
     bool overload = end.http_status != 0;
-    bool may = c->attempts < MAX_ATTEMPTS &&
-               rk_verdict_allows_retry(v, c->policy->repeatable) &&
-               (!overload || rk_budget_spend(&sim.budget));
-    if (!may) {
-        give_up(c);
+    bool may_retry = c->attempts < MAX_ATTEMPTS &&
+                     rk_verdict_allows_retry(v, c->policy->repeatable) &&
+                     (!overload || rk_budget_spend(&sim.budget));
+    if (!may_retry) {
+        end_failed_call(c);
         return;
     }
     rk_router_retry(sim.router, &c->job, sim.now_ms);
     if (!rk_router_can_serve(sim.router, &c->job)) {
         if (!c->policy->repeatable && v != RK_NOT_RUN) {
-            give_up(c);
+            end_failed_call(c);
             return;
         }
         rk_router_forgive(&c->job);
         if (!rk_router_can_serve(sim.router, &c->job))
-            give_up(c);
+            end_failed_call(c);
     }
 }
 
@@ -195,26 +211,27 @@
     return -1;
 }
 
-/* The attempt's times, by the settings' model of an engine. */
+/* Sets when the attempt's first token and end are due, by the policy's prefill and
+ * token times, and applies the VM's fault. */
 static void begin_attempt(struct call *c)
 {
     struct sim_vm *v = &sim.vms[c->vm];
     const struct rk_policy *p = c->policy;
     c->attempts++;
     sim.attempts++;
-    say(c, "sent to", v->row.id);
+    print_decision(c, "sent to", v->row.id);
     if (v->row.state != RK_VM_LIVE)
-        sim.late_work_at_leaving++;
-    if (c->done_tokens)
-        sim.recomputed += c->job.uncached_tokens + c->done_tokens;
+        sim.sent_to_leaving++;
+    if (c->received_tokens)
+        sim.recomputed_tokens += c->job.uncached_tokens + c->received_tokens;
     double prefill = p->engine ? p->prefill_base_ms +
                                      p->prefill_token_ms * c->job.uncached_tokens
-                               : PLAIN_MS;
-    int64_t left = p->engine ? c->job.max_tokens - c->done_tokens : 0;
-    c->begin_ms = sim.now_ms + (int64_t)prefill;
-    c->end_ms = c->begin_ms + (int64_t)(p->token_ms * (double)left);
-    c->cut = !strcmp(v->fault, "cut");
-    c->silent = !strcmp(v->fault, "silent");
+                               : PLAIN_SERVICE_MS;
+    int64_t remaining = p->engine ? c->job.max_tokens - c->received_tokens : 0;
+    c->first_due_ms = sim.now_ms + (int64_t)prefill;
+    c->end_ms = c->first_due_ms + (int64_t)(p->token_ms * (double)remaining);
+    c->cut_halfway = !strcmp(v->fault, "cut");
+    c->unresponsive = !strcmp(v->fault, "silent");
     c->refuse = !strcmp(v->fault, "refuse");
     v->fault[0] = '\0';
     c->unreachable = v->gone_ms >= 0 && sim.now_ms >= v->gone_ms;
@@ -232,46 +249,53 @@
     }
 }
 
+/* Returns how many tokens the caller has by now, earlier attempts included. */
 static int64_t tokens_by_now(const struct call *c)
 {
-    if (!c->policy->engine || sim.now_ms <= c->begin_ms)
-        return c->done_tokens;
-    int64_t made =
-        (int64_t)((double)(sim.now_ms - c->begin_ms) / c->policy->token_ms);
-    int64_t left = c->job.max_tokens - c->done_tokens;
-    return c->done_tokens + (made < left ? made : left);
+    if (!c->policy->engine || sim.now_ms <= c->first_due_ms)
+        return c->received_tokens;
+    int64_t generated =
+        (int64_t)((double)(sim.now_ms - c->first_due_ms) / c->policy->token_ms);
+    int64_t remaining = c->job.max_tokens - c->received_tokens;
+    return c->received_tokens + (generated < remaining ? generated : remaining);
 }
 
-/* Must the rest of it move before its vm goes? */
+/* Returns whether the rest of an answer must be resumed at another VM: less than
+ * 500 ms would be left between its end and the announced reclaim of its VM. */
 static bool must_move(const struct call *c, const struct sim_vm *v)
 {
     return v->reclaim_ms >= 0 && c->policy->engine && c->policy->repeatable &&
            c->end_ms + 500 > v->reclaim_ms;
 }
 
+/* Advances a sent call to sim.now_ms. */
 static void step_call(struct call *c)
 {
     struct sim_vm *v = &sim.vms[c->vm];
     const struct rk_policy *p = c->policy;
-    if (c->first_ms < 0 && sim.now_ms >= c->begin_ms && !c->refuse && !c->silent) {
-        c->first_ms = sim.now_ms;
+    if (c->first_token_ms < 0 && sim.now_ms >= c->first_due_ms && !c->refuse &&
+        !c->unresponsive) {
+        c->first_token_ms = sim.now_ms;
         rk_router_first(sim.router, &c->job, sim.now_ms);
     }
     bool gone = v->gone_ms >= 0 && sim.now_ms >= v->gone_ms;
-    bool half = c->cut && sim.now_ms >= (c->begin_ms + c->end_ms) / 2;
+    bool cut_now =
+        c->cut_halfway && sim.now_ms >= (c->first_due_ms + c->end_ms) / 2;
     if (c->refuse) {
-        attempt_failed(c, (struct rk_attempt_end){.handed = true,
-                                                  .answered = true,
-                                                  .http_status = 503});
+        handle_failed_attempt(c, (struct rk_attempt_end){.handed = true,
+                                                         .answered = true,
+                                                         .http_status = 503});
     } else if (c->unreachable) {
-        attempt_failed(c, (struct rk_attempt_end){0});
-    } else if (gone || half || (must_move(c, v) && sim.now_ms < v->reclaim_ms) ||
-               (c->silent && sim.now_ms - (c->begin_ms - 20) > p->attempt_ms)) {
-        c->done_tokens = c->silent ? c->done_tokens : tokens_by_now(c);
-        attempt_failed(c, (struct rk_attempt_end){.handed = true});
-    } else if (sim.now_ms >= c->end_ms && !c->silent) {
-        c->done_tokens = c->job.max_tokens;
-        finish(c, CALL_WHOLE, RK_RAN, false);
+        handle_failed_attempt(c, (struct rk_attempt_end){0});
+    } else if (gone || cut_now || (must_move(c, v) && sim.now_ms < v->reclaim_ms) ||
+               (c->unresponsive &&
+                sim.now_ms - (c->first_due_ms - 20) > p->attempt_ms)) {
+        c->received_tokens =
+            c->unresponsive ? c->received_tokens : tokens_by_now(c);
+        handle_failed_attempt(c, (struct rk_attempt_end){.handed = true});
+    } else if (sim.now_ms >= c->end_ms && !c->unresponsive) {
+        c->received_tokens = c->job.max_tokens;
+        end_call(c, CALL_COMPLETED, RK_RAN, false);
     }
 }
 
@@ -279,21 +303,22 @@
 {
     for (size_t i = 0; i < sim.next_call; i++) {
         struct call *c = &sim.calls[i];
-        if (c->end != CALL_OPEN)
+        if (c->result != CALL_PENDING)
             continue;
         if (c->job.state == RK_JOB_SENT)
             step_call(c);
-        if (c->end == CALL_OPEN && sim.now_ms >= c->deadline_ms) {
+        if (c->result == CALL_PENDING && sim.now_ms >= c->deadline_ms) {
             if (c->job.state == RK_JOB_SENT)
                 c->verdict = rk_verdict_join(c->verdict, RK_MAY_HAVE_RUN);
-            give_up(c);
+            end_failed_call(c);
         }
     }
 }
 
 /* ---- arrivals ---- */
 
-/* Words of a tenant stand for its prompt; the last block is the call's own. */
+/* Makes a prompt of `tokens` words that all calls of the tenant share, and one word
+ * that only this call has. */
 static void make_prompt(struct rk_prompt *p, int64_t tenant, int64_t tokens,
                         size_t n)
 {
@@ -316,8 +341,8 @@
     struct rk_job *j = &c->job;
     int64_t limit =
         cls && cls->deadline_ms ? cls->deadline_ms : c->policy->deadline_ms;
-    int64_t asked = rk_json_int(o, "deadline_ms", limit);
-    c->deadline_ms = sim.now_ms + (asked < limit ? asked : limit);
+    int64_t requested = rk_json_int(o, "deadline_ms", limit);
+    c->deadline_ms = sim.now_ms + (requested < limit ? requested : limit);
     rk_strcpy(j->service, RK_ID_MAX, c->policy->service);
     rk_strcpy(j->org, RK_ID_MAX, c->org);
     j->org_weight = org ? org->weight : 1;
@@ -331,26 +356,27 @@
     j->max_tokens = c->policy->engine ? rk_json_int(o, "max_tokens", 16) : 0;
 }
 
-/* A key seen before is answered from its first call: it never runs again. */
-static bool key_is_taken(const struct call *c)
+/* Returns whether an earlier call of the organisation has the same key and may have
+ * run. Such a call is not run again. */
+static bool is_repeated_key(const struct call *c)
 {
     if (!c->key[0] || c->policy->repeatable)
         return false;
     for (const struct call *o = sim.calls; o < c; o++)
         if (!strcmp(o->key, c->key) && !strcmp(o->org, c->org) &&
-            o->end != CALL_NOT_RUN)
+            o->result != CALL_NOT_RUN)
             return true;
     return false;
 }
 
-static void arrive(struct json_object *o)
+static void apply_call_event(struct json_object *o)
 {
     struct call *c = &sim.calls[sim.next_call++];
     char service[RK_ID_MAX], *slash;
     rk_strcpy(service, sizeof(service), rk_json_str(o, "service"));
     if ((slash = strchr(service, '/')))
         *slash++ = '\0';
-    *c = (struct call){.at_ms = sim.now_ms, .first_ms = -1, .vm = -1};
+    *c = (struct call){.at_ms = sim.now_ms, .first_token_ms = -1, .vm = -1};
     rk_strcpy(c->org, RK_ID_MAX, rk_json_str(o, "organisation"));
     rk_strcpy(c->cls, RK_ID_MAX, rk_json_str(o, "class"));
     rk_strcpy(c->key, RK_ID_MAX, rk_json_str(o, "key"));
@@ -361,77 +387,79 @@
     if (!c->policy)
         c->policy = rk_config_model(sim.cfg, service);
     if (!c->policy || !org) {
-        c->end = CALL_NOT_RUN;
+        c->result = CALL_NOT_RUN;
         return;
     }
-    if (key_is_taken(c)) {
-        c->end = CALL_MAYBE;
+    if (is_repeated_key(c)) {
+        c->result = CALL_MAY_HAVE_RUN;
         c->verdict = RK_MAY_HAVE_RUN;
-        say(c, "key is taken", c->key);
+        print_decision(c, "key is taken", c->key);
         return;
     }
     make_prompt(&c->prompt, rk_json_int(o, "tenant", 0),
                 rk_json_int(o, "prompt_tokens", 0), sim.next_call);
     fill_job(c, o);
     rk_budget_earn(&sim.budget, sim.cfg->retry_budget_pct);
-    int64_t after;
-    enum rk_submit s = rk_router_submit(sim.router, &c->job, sim.now_ms, &after);
-    if (s == RK_SUBMIT_QUEUED) {
-        say(c, "queued", "");
+    int64_t retry_after_ms;
+    enum rk_submit admission =
+        rk_router_submit(sim.router, &c->job, sim.now_ms, &retry_after_ms);
+    if (admission == RK_SUBMIT_QUEUED) {
+        print_decision(c, "queued", "");
         return;
     }
-    c->end = CALL_NOT_RUN;
+    c->result = CALL_NOT_RUN;
     c->end_ms = sim.now_ms;
-    say(c, "refused", "not-run");
+    print_decision(c, "refused", "not-run");
 }
 
-static void take_event(struct json_object *o)
+static void apply_event(struct json_object *o)
 {
     struct sim_vm *v = NULL;
-    if (has(o, "vm"))
-        take_vm(o);
-    else if (has(o, "call"))
-        arrive(o);
-    else if (has(o, "reclaim") && (v = find_vm(rk_json_str(o, "reclaim")))) {
+    if (has_member(o, "vm"))
+        apply_vm_event(o);
+    else if (has_member(o, "call"))
+        apply_call_event(o);
+    else if (has_member(o, "reclaim") && (v = find_vm(rk_json_str(o, "reclaim")))) {
         v->row.state = RK_VM_LEAVING;
         v->reclaim_ms = sim.now_ms + rk_json_int(o, "in_ms", 30000);
         v->gone_ms = v->reclaim_ms;
-    } else if (has(o, "kill") && (v = find_vm(rk_json_str(o, "kill")))) {
+    } else if (has_member(o, "kill") && (v = find_vm(rk_json_str(o, "kill")))) {
         v->gone_ms = sim.now_ms;
-    } else if (has(o, "fault") && (v = find_vm(rk_json_str(o, "fault")))) {
+    } else if (has_member(o, "fault") && (v = find_vm(rk_json_str(o, "fault")))) {
         rk_strcpy(v->fault, sizeof(v->fault), rk_json_str(o, "mode"));
     }
-    if (!has(o, "call"))
-        tell_router();
+    if (!has_member(o, "call"))
+        update_router();
 }
 
-static bool all_over(void)
+static bool is_finished(void)
 {
     if (sim.next_event < sim.events_len)
         return false;
     for (size_t i = 0; i < sim.next_call; i++)
-        if (sim.calls[i].end == CALL_OPEN)
+        if (sim.calls[i].result == CALL_PENDING)
             return false;
     return true;
 }
 
-/* An announced reclaim is over. Of a crash nobody tells the router. */
-static void forget_if_gone(struct sim_vm *v)
+/* Removes a VM whose announced reclaim has taken place. The router isn't
+ * informed of a crash; it notices failed attempts. */
+static void remove_if_reclaimed(struct sim_vm *v)
 {
     if (v->row.state != RK_VM_LEAVING || v->gone_ms < 0 || sim.now_ms < v->gone_ms)
         return;
     v->row.state = RK_VM_GONE;
-    tell_router();
+    update_router();
 }
 
-static void run(void)
+static void run_simulation(void)
 {
-    while (!all_over()) {
+    while (!is_finished()) {
         while (sim.next_event < sim.events_len &&
                rk_json_int(sim.events[sim.next_event], "at_ms", 0) <= sim.now_ms)
-            take_event(sim.events[sim.next_event++]);
+            apply_event(sim.events[sim.next_event++]);
         for (size_t i = 0; i < sim.vms_len; i++)
-            forget_if_gone(&sim.vms[i]);
+            remove_if_reclaimed(&sim.vms[i]);
         step_calls();
         dispatch();
         sim.now_ms += STEP_MS;
@@ -445,6 +473,7 @@
     double value;
 };
 
+/* Returns the cost of all VMs, each from its first row until it was gone. */
 static double vm_cost(void)
 {
     double cost = 0;
@@ -460,46 +489,49 @@
     return cost;
 }
 
-/* Whole, its first token or answer within the target, and its deadline kept. */
+/* Returns whether the call completed by its deadline and, unless it is deferrable,
+ * its first token or answer came within the target. */
 static bool met_target(const struct call *c)
 {
-    if (!c->policy || c->end != CALL_WHOLE || c->end_ms > c->deadline_ms)
+    if (!c->policy || c->result != CALL_COMPLETED || c->end_ms > c->deadline_ms)
         return false;
     return c->job.deferrable ||
-           c->first_ms - c->at_ms <= c->policy->target_first_ms;
+           c->first_token_ms - c->at_ms <= c->policy->target_first_ms;
 }
 
-static size_t outcomes(struct outcome *out)
+/* Fills out, which has room for all outcomes. Returns their number. */
+static size_t compute_outcomes(struct outcome *out)
 {
-    double whole = 0, not_run = 0, maybe = 0, on_target = 0, twice = 0, lies = 0,
-           late = 0, most = 0;
+    double completed = 0, not_run = 0, may_have_run = 0, on_target = 0,
+           ran_twice = 0, false_not_run = 0, past_deadline = 0, most_attempts = 0;
     for (size_t i = 0; i < sim.next_call; i++) {
         const struct call *c = &sim.calls[i];
-        bool once = c->policy && !c->policy->repeatable;
-        whole += c->end == CALL_WHOLE;
-        not_run += c->end == CALL_NOT_RUN;
-        maybe += c->end == CALL_MAYBE;
-        on_target += c->end == CALL_WHOLE && met_target(c);
-        twice += once && c->runs > 1;
-        lies += c->end == CALL_NOT_RUN && c->runs > 0;
-        late += c->end == CALL_WHOLE && c->end_ms > c->deadline_ms + STEP_MS;
-        most = c->attempts > most ? c->attempts : most;
+        bool non_repeatable = c->policy && !c->policy->repeatable;
+        completed += c->result == CALL_COMPLETED;
+        not_run += c->result == CALL_NOT_RUN;
+        may_have_run += c->result == CALL_MAY_HAVE_RUN;
+        on_target += c->result == CALL_COMPLETED && met_target(c);
+        ran_twice += non_repeatable && c->runs > 1;
+        false_not_run += c->result == CALL_NOT_RUN && c->runs > 0;
+        past_deadline +=
+            c->result == CALL_COMPLETED && c->end_ms > c->deadline_ms + STEP_MS;
+        most_attempts = c->attempts > most_attempts ? c->attempts : most_attempts;
     }
     double cost = vm_cost();
     const struct outcome all[] = {
         {"calls", (double)sim.next_call},
-        {"whole", whole},
+        {"whole", completed},
         {"not_run", not_run},
-        {"may_have_run", maybe},
+        {"may_have_run", may_have_run},
         {"on_target", on_target},
-        {"ran_twice", twice},
-        {"false_not_run", lies},
-        {"past_deadline", late},
+        {"ran_twice", ran_twice},
+        {"false_not_run", false_not_run},
+        {"past_deadline", past_deadline},
         {"attempts_per_call",
          sim.next_call ? (double)sim.attempts / (double)sim.next_call : 0},
-        {"most_attempts", most},
-        {"recomputed_tokens", (double)sim.recomputed},
-        {"new_work_at_leaving", (double)sim.late_work_at_leaving},
+        {"most_attempts", most_attempts},
+        {"recomputed_tokens", (double)sim.recomputed_tokens},
+        {"new_work_at_leaving", (double)sim.sent_to_leaving},
         {"cost", cost},
         {"cost_per_1000_on_target", on_target ? cost / on_target * 1000 : 0},
     };
@@ -507,7 +539,8 @@
     return RK_ARRAY_LEN(all);
 }
 
-static void print_by(const char *what, size_t offset)
+/* Prints counts of calls by the string member of struct call at `offset`. */
+static void print_counts_by(const char *what, size_t offset)
 {
     for (size_t i = 0; i < sim.next_call; i++) {
         const char *name = (const char *)&sim.calls[i] + offset;
@@ -516,27 +549,27 @@
             seen = !strcmp((const char *)&sim.calls[k] + offset, name);
         if (seen)
             continue;
-        int calls = 0, whole = 0, target = 0;
+        int calls = 0, completed = 0, on_target = 0;
         for (size_t k = i; k < sim.next_call; k++) {
             const struct call *c = &sim.calls[k];
             if (strcmp((const char *)c + offset, name) != 0)
                 continue;
             calls++;
-            whole += c->end == CALL_WHOLE;
-            target += c->end == CALL_WHOLE && met_target(c);
+            completed += c->result == CALL_COMPLETED;
+            on_target += c->result == CALL_COMPLETED && met_target(c);
         }
         printf("  %s %-18s calls %5d whole %5d on target %5d\n", what, name, calls,
-               whole, target);
+               completed, on_target);
     }
 }
 
-static bool check_one(const struct outcome *o, struct json_object *bounds)
+static bool check_bounds(const struct outcome *o, struct json_object *bounds)
 {
-    double low = has(bounds, "min")
+    double low = has_member(bounds, "min")
                      ? json_object_get_double(json_object_object_get(bounds, "min"))
                      : -1e300;
     double high =
-        has(bounds, "max")
+        has_member(bounds, "max")
             ? json_object_get_double(json_object_object_get(bounds, "max"))
             : 1e300;
     bool ok = o->value >= low && o->value <= high;
@@ -545,15 +578,17 @@
     return ok;
 }
 
-static bool compare(void)
+/* Prints all outcomes. Returns whether they are within the bounds that the trace
+ * expects. */
+static bool check_outcomes(void)
 {
     struct outcome out[32];
-    size_t n = outcomes(out);
+    size_t n = compute_outcomes(out);
     bool ok = true;
     for (size_t i = 0; i < n; i++)
         printf("  %-24s %g\n", out[i].name, out[i].value);
-    print_by("organisation", offsetof(struct call, org));
-    print_by("class", offsetof(struct call, cls));
+    print_counts_by("organisation", offsetof(struct call, org));
+    print_counts_by("class", offsetof(struct call, cls));
     if (!sim.expect)
         return true;
     json_object_object_foreach(sim.expect, name, bounds)
@@ -565,7 +600,7 @@
             printf("NOT AS STATED: no outcome is called %s\n", name);
             ok = false;
         } else {
-            ok = check_one(&out[i], bounds) && ok;
+            ok = check_bounds(&out[i], bounds) && ok;
         }
     }
     return ok;
@@ -584,7 +619,9 @@
     return true;
 }
 
-static bool take_line(struct json_object *o, int line)
+/* Handles one line of the trace: the settings, the expected outcomes, or an event
+ * that is kept until its time. */
+static bool parse_line(struct json_object *o, int line)
 {
     struct json_object *v;
     if (!json_object_is_type(o, json_type_object)) {
@@ -600,7 +637,7 @@
     if (sim.events_len == MAX_CALLS)
         return false;
     sim.events[sim.events_len++] = json_object_get(o);
-    sim.calls_len += has(o, "call");
+    sim.calls_len += has_member(o, "call");
     return true;
 }
 
@@ -611,14 +648,14 @@
         perror(args.file);
         return false;
     }
-    static char line[LINE_LIMIT];
+    static char line[MAX_LINE];
     bool ok = true;
     sim.events = rk_alloc(MAX_CALLS, sizeof(struct json_object *));
     for (int n = 1; ok && fgets(line, sizeof(line), f); n++) {
         if (line[0] == '#' || line[0] == '\n')
             continue;
         struct json_object *o = json_tokener_parse(line);
-        ok = take_line(o, n);
+        ok = parse_line(o, n);
         json_object_put(o);
     }
     fclose(f);
@@ -663,7 +700,7 @@
     parse_opt,
     "TRACE",
     "Run a recorded trace through the core and compare the "
-    "outcomes with those it states.",
+    "outcomes with those it expects.",
     0,
     0,
     0};
@@ -675,10 +712,10 @@
         return 2;
     sim.calls = rk_alloc(sim.calls_len + 1, sizeof(*sim.calls));
     sim.router = rk_router_create(1, args.policy);
-    run();
+    run_simulation();
     printf("%s: %zu calls over %.1f s of trace time\n", args.file, sim.next_call,
            (double)sim.now_ms / RK_MS_PER_S);
-    bool ok = compare();
+    bool ok = check_outcomes();
     printf("%s\n", ok ? "as stated" : "NOT as stated");
     rk_router_destroy(sim.router);
     for (size_t i = 0; i < sim.events_len; i++)
--- a/programs/timeline.c
+++ b/programs/timeline.c
@@ -1,7 +1,8 @@
-/* rillknot-timeline: merges the event logs of many processes into one time
- * line, as text or as a picture, and follows one request through them. Clocks
- * of different machines are brought together by matched pairs of events: a call
- * is taken by a peer after it was forwarded and before its end came back. */
+/* rillknot-timeline: merges the event logs of many processes into one time line, as
+ * text or as an SVG picture, and can show the events of a single request. Offsets
+ * between the clocks of different machines are estimated from forwarded calls: a
+ * peer starts a call after it was forwarded, and ends it before the forwarding
+ * process sees its end. */
 #include <argp.h>
 #include <inttypes.h>
 #include <math.h>
@@ -14,27 +15,27 @@
 #include "core/procfile.h"
 
 #define MAX_PROCESSES 512
-#define LINE_LIMIT    8192
-#define LANE_PX       26
-#define LABEL_PX      190
-#define WIDTH_PX      1400
-#define PAIRS_MAX     4096
+#define MAX_LINE      8192
+#define LANE_PX       26   /* height of a process's row in the picture */
+#define LABEL_PX      190  /* width of the process names */
+#define WIDTH_PX      1400 /* of the picture */
+#define MAX_PAIRS     4096
 
 struct event {
     int process;
-    double at_ms; /* wall clock, corrected */
+    double at_ms; /* wall clock, with the process's offset added once it is known */
     char name[40];
     char request[RK_ID_MAX];
     int64_t hops, attempt;
     char peer[RK_ID_MAX];
-    char *fields; /* the rest, as text */
+    char *fields; /* the other fields, each as " KEY=VALUE"; owned */
 };
 
 struct process {
     char name[RK_ID_MAX];
     char domain[RK_ID_MAX];
-    double offset_ms; /* added to its clock */
-    bool placed;
+    double offset_ms; /* added to the process's wall clock */
+    bool aligned;     /* offset_ms is known */
 };
 
 static struct {
@@ -42,33 +43,36 @@
     size_t len, cap;
     struct process processes[MAX_PROCESSES];
     size_t processes_len;
-    size_t skipped; /* lines that are no events */
+    size_t skipped; /* lines that aren't events */
 } tl;
 
 static struct {
     const char *request;
     const char *html;
-    bool no_offsets;
+    bool raw_clocks; /* don't align the clocks */
     char **files;
     int files_len;
 } args;
 
 /* ---- reading ---- */
 
-static int process_of(const char *name, const char *domain)
+/* Returns the index of the process, which is added if it is new; -1 if the table is
+ * full. */
+static int get_process(const char *name, const char *domain)
 {
     for (size_t i = 0; i < tl.processes_len; i++)
         if (!strcmp(tl.processes[i].name, name))
             return (int)i;
     if (tl.processes_len == MAX_PROCESSES)
         return -1;
-    struct process *p = &tl.processes[tl.processes_len];
-    rk_strcpy(p->name, sizeof(p->name), name);
-    rk_strcpy(p->domain, sizeof(p->domain), domain);
+    struct process *pair = &tl.processes[tl.processes_len];
+    rk_strcpy(pair->name, sizeof(pair->name), name);
+    rk_strcpy(pair->domain, sizeof(pair->domain), domain);
     return (int)tl.processes_len++;
 }
 
-static bool is_common(const char *key)
+/* Returns whether the field is left out of event::fields. */
+static bool is_header_field(const char *key)
 {
     static const char *const keys[] = {"wall_ms", "mono_us",        "level",
                                        "process", "failure_domain", "event",
@@ -79,6 +83,7 @@
     return false;
 }
 
+/* Returns the remaining fields as text. The caller frees it. */
 static char *other_fields(struct json_object *o)
 {
     struct rk_buf b = {0};
@@ -86,15 +91,15 @@
     json_object_object_foreach(o, key, v)
     {
         const char *text = json_object_get_string(v);
-        if (!is_common(key) && text && *text)
+        if (!is_header_field(key) && text && *text)
             rk_buf_printf(&b, " %s=%s", key, text);
     }
     return b.data;
 }
 
-/* Something else may stand before the event, as where many processes' lines were
- * collected: a time, a name. */
-static void take_line(const char *line)
+/* Adds the event of a log line. Text before the JSON object is ignored: tools that
+ * collect the lines of many processes put a time or a name there. */
+static void parse_line(const char *line)
 {
     const char *event = strchr(line, '{');
     struct json_object *o = event ? json_tokener_parse(event) : NULL;
@@ -105,7 +110,7 @@
         return;
     }
     int process =
-        process_of(rk_json_str(o, "process"), rk_json_str(o, "failure_domain"));
+        get_process(rk_json_str(o, "process"), rk_json_str(o, "failure_domain"));
     if (process >= 0) {
         if (tl.len == tl.cap) {
             tl.cap = tl.cap ? tl.cap * 2 : 1024;
@@ -114,7 +119,8 @@
         struct event *e = &tl.events[tl.len++];
         *e = (struct event){
             .process = process,
-            /* The wall clock has whole ms; the other's rest orders. */
+            /* wall_ms has whole milliseconds. A fraction of mono_us, below 0.001
+             * ms, orders the events within one. */
             .at_ms = (double)rk_json_int(o, "wall_ms", 0) +
                      (double)(rk_json_int(o, "mono_us", 0) % 1000) / 1e6,
             .hops = rk_json_int(o, "hops", 0),
@@ -134,33 +140,35 @@
         perror(path);
         return false;
     }
-    static char line[LINE_LIMIT];
+    static char line[MAX_LINE];
     while (fgets(line, sizeof(line), f))
-        take_line(line);
+        parse_line(line);
     fclose(f);
     return true;
 }
 
 /* ---- clocks ---- */
 
-struct pair {
+struct clock_pair {
     int from, to;
-    double least, most; /* bounds of to's clock less from's */
+    /* Bounds of the clock of `to` minus the clock of `from`. */
+    double min_skew_ms, max_skew_ms;
 };
 
-static struct pair pairs[PAIRS_MAX];
-static size_t pairs_len;
+static struct clock_pair clock_pairs[MAX_PAIRS];
+static size_t clock_pairs_len;
 
-static struct pair *pair_of(int from, int to)
+/* Returns the pair, which is added if it is new; NULL if the table is full. */
+static struct clock_pair *get_clock_pair(int from, int to)
 {
-    for (size_t i = 0; i < pairs_len; i++)
-        if (pairs[i].from == from && pairs[i].to == to)
-            return &pairs[i];
-    if (pairs_len == PAIRS_MAX)
+    for (size_t i = 0; i < clock_pairs_len; i++)
+        if (clock_pairs[i].from == from && clock_pairs[i].to == to)
+            return &clock_pairs[i];
+    if (clock_pairs_len == MAX_PAIRS)
         return NULL;
-    pairs[pairs_len] =
-        (struct pair){.from = from, .to = to, .least = -INFINITY, .most = INFINITY};
-    return &pairs[pairs_len++];
+    clock_pairs[clock_pairs_len] = (struct clock_pair){
+        .from = from, .to = to, .min_skew_ms = -INFINITY, .max_skew_ms = INFINITY};
+    return &clock_pairs[clock_pairs_len++];
 }
 
 static struct event *find_event(int process, const char *name, const char *request)
@@ -174,8 +182,10 @@
     return NULL;
 }
 
-/* Sent before taken: most; ended there before the end came: least. */
-static void bound_by(const struct event *sent)
+/* Narrows the bounds of the skew between two processes by one forwarded call. The
+ * peer starts the call after it was sent, which gives the upper bound, and ends it
+ * before the sender sees the end, which gives the lower bound. */
+static void narrow_skew(const struct event *sent)
 {
     int to = -1;
     for (size_t i = 0; i < tl.processes_len; i++)
@@ -183,49 +193,55 @@
             to = (int)i;
     if (to < 0)
         return;
-    const struct event *taken = find_event(to, "call.start", sent->request);
-    const struct event *done = find_event(to, "call.end", sent->request);
-    const struct event *back =
+    const struct event *started = find_event(to, "call.start", sent->request);
+    const struct event *ended = find_event(to, "call.end", sent->request);
+    const struct event *returned =
         find_event(sent->process, "forward.end", sent->request);
-    struct pair *p = pair_of(sent->process, to);
-    if (!p)
+    struct clock_pair *pair = get_clock_pair(sent->process, to);
+    if (!pair)
         return;
-    if (taken && taken->at_ms - sent->at_ms < p->most)
-        p->most = taken->at_ms - sent->at_ms;
-    if (done && back && done->at_ms - back->at_ms > p->least)
-        p->least = done->at_ms - back->at_ms;
+    if (started && started->at_ms - sent->at_ms < pair->max_skew_ms)
+        pair->max_skew_ms = started->at_ms - sent->at_ms;
+    if (ended && returned && ended->at_ms - returned->at_ms > pair->min_skew_ms)
+        pair->min_skew_ms = ended->at_ms - returned->at_ms;
 }
 
-static double skew_of(const struct pair *p)
+/* Returns the estimated skew: the middle of the bounds, or 0 if they allow it. With
+ * only one bound, it is the value nearest to 0 that the bound allows. */
+static double estimate_skew_ms(const struct clock_pair *pair)
 {
-    if (isinf(p->least) || isinf(p->most))
-        return isinf(p->least) ? (isinf(p->most) ? 0 : fmin(p->most, 0))
-                               : fmax(p->least, 0);
-    if (p->least <= 0 && p->most >= 0)
-        return 0; /* the clocks agree as far as can be seen */
-    return (p->least + p->most) / 2;
+    if (isinf(pair->min_skew_ms) || isinf(pair->max_skew_ms))
+        return isinf(pair->min_skew_ms)
+                   ? (isinf(pair->max_skew_ms) ? 0 : fmin(pair->max_skew_ms, 0))
+                   : fmax(pair->min_skew_ms, 0);
+    if (pair->min_skew_ms <= 0 && pair->max_skew_ms >= 0)
+        return 0; /* the events give no evidence of a skew */
+    return (pair->min_skew_ms + pair->max_skew_ms) / 2;
 }
 
-static void correct_clocks(void)
+/* Aligns the clocks. The first process keeps its clock; every process that
+ * exchanged calls with an aligned one is aligned to it. If some processes can't be
+ * reached that way, the first of them keeps its clock, and so on. */
+static void align_clocks(void)
 {
     for (size_t i = 0; i < tl.len; i++)
         if (!strcmp(tl.events[i].name, "forward.start"))
-            bound_by(&tl.events[i]);
+            narrow_skew(&tl.events[i]);
     for (size_t root = 0; root < tl.processes_len; root++) {
-        tl.processes[root].placed = true;
-        for (bool moved = true; moved;) {
-            moved = false;
-            for (size_t i = 0; i < pairs_len; i++) {
-                struct process *a = &tl.processes[pairs[i].from];
-                struct process *b = &tl.processes[pairs[i].to];
-                if (a->placed == b->placed)
+        tl.processes[root].aligned = true;
+        for (bool progress = true; progress;) {
+            progress = false;
+            for (size_t i = 0; i < clock_pairs_len; i++) {
+                struct process *a = &tl.processes[clock_pairs[i].from];
+                struct process *b = &tl.processes[clock_pairs[i].to];
+                if (a->aligned == b->aligned)
                     continue;
-                double skew = skew_of(&pairs[i]);
-                if (a->placed)
-                    b->offset_ms = a->offset_ms - skew;
+                double skew_ms = estimate_skew_ms(&clock_pairs[i]);
+                if (a->aligned)
+                    b->offset_ms = a->offset_ms - skew_ms;
                 else
-                    a->offset_ms = b->offset_ms + skew;
-                a->placed = b->placed = moved = true;
+                    a->offset_ms = b->offset_ms + skew_ms;
+                a->aligned = b->aligned = progress = true;
             }
         }
     }
@@ -235,13 +251,13 @@
 
 /* ---- output ---- */
 
-static int by_time(const void *a, const void *b)
+static int compare_times(const void *a, const void *b)
 {
     const struct event *x = a, *y = b;
     return x->at_ms < y->at_ms ? -1 : x->at_ms > y->at_ms;
 }
 
-static bool shown(const struct event *e)
+static bool is_selected(const struct event *e)
 {
     return !args.request || !strcmp(e->request, args.request);
 }
@@ -250,7 +266,7 @@
 {
     for (size_t i = 0; i < tl.len; i++) {
         const struct event *e = &tl.events[i];
-        if (shown(e))
+        if (is_selected(e))
             printf("%10.1f ms  %-18s %-18s %s%s%s\n", e->at_ms - tl.events[0].at_ms,
                    tl.processes[e->process].name, e->name, e->request,
                    e->request[0] ? "" : "-", e->fields);
@@ -269,12 +285,13 @@
     return span > 0 ? span : 1;
 }
 
-static double x_of(const struct event *e)
+static double x_px(const struct event *e)
 {
     return LABEL_PX +
            (e->at_ms - tl.events[0].at_ms) / span_ms() * (WIDTH_PX - LABEL_PX - 10);
 }
 
+/* Prints text with < and & escaped for SVG. */
 static void print_escaped(FILE *f, const char *s)
 {
     for (; *s; s++) {
@@ -287,7 +304,9 @@
     }
 }
 
-static const struct event *end_of(size_t start, const char *end_prefix)
+/* Returns the first event after `start` of the same process, request and attempt
+ * whose name begins with end_prefix, or the start event if there is none. */
+static const struct event *find_end(size_t start, const char *end_prefix)
 {
     const struct event *s = &tl.events[start];
     for (size_t i = start + 1; i < tl.len; i++) {
@@ -303,11 +322,11 @@
 static void draw_bar(FILE *f, size_t i, const char *end_prefix, const char *colour,
                      int dy, int height)
 {
-    const struct event *s = &tl.events[i], *e = end_of(i, end_prefix);
-    double width = x_of(e) - x_of(s);
+    const struct event *s = &tl.events[i], *e = find_end(i, end_prefix);
+    double width = x_px(e) - x_px(s);
     fprintf(f,
             "<rect x='%.1f' y='%d' width='%.1f' height='%d' fill='%s'><title>%s ",
-            x_of(s), s->process * LANE_PX + dy + 30, width > 1 ? width : 1, height,
+            x_px(s), s->process * LANE_PX + dy + 30, width > 1 ? width : 1, height,
             colour, s->request);
     print_escaped(f, e->fields);
     fprintf(f, "</title></rect>\n");
@@ -327,7 +346,7 @@
         fprintf(
             f,
             "<line x1='%.1f' x2='%.1f' y1='%d' y2='%d' stroke='#b03030'><title>%s ",
-            x_of(e), x_of(e), e->process * LANE_PX + 30,
+            x_px(e), x_px(e), e->process * LANE_PX + 30,
             e->process * LANE_PX + LANE_PX + 26, e->name);
         print_escaped(f, e->fields);
         fprintf(f, "</title></line>\n");
@@ -360,7 +379,7 @@
                 WIDTH_PX, y, y);
     }
     for (size_t i = 0; i < tl.len; i++)
-        if (shown(&tl.events[i]))
+        if (is_selected(&tl.events[i]))
             draw_event(f, i);
     fprintf(f, "</svg>\n");
     fclose(f);
@@ -379,7 +398,7 @@
         args.html = arg;
         return 0;
     case 'n':
-        args.no_offsets = true;
+        args.raw_clocks = true;
         return 0;
     case ARGP_KEY_ARGS:
         args.files = state->argv + state->next;
@@ -412,10 +431,10 @@
     bool ok = true;
     for (int i = 0; i < args.files_len; i++)
         ok = read_log(args.files[i]) && ok;
-    if (!args.no_offsets)
-        correct_clocks();
+    if (!args.raw_clocks)
+        align_clocks();
     if (tl.len)
-        qsort(tl.events, tl.len, sizeof(*tl.events), by_time);
+        qsort(tl.events, tl.len, sizeof(*tl.events), compare_times);
     if (args.html)
         ok = write_html(args.html) && ok;
     else
