--- a/standins/engine.c
+++ b/standins/engine.c
@@ -1,21 +1,27 @@
-/* Stand-in for a model engine behind the OpenAI completion paths: continuous
- * batching with a few slots, a prefix cache of limited size, prefill paid only
- * for uncached tokens, resume, cancel (by closing), KV import, a load report
- * and fenced orders. Tokens are a function of the prompt and the index, so an
- * answer resumed anywhere must equal the one never cut, byte for byte.
+/* standin-engine: a stand-in for a model engine with the OpenAI completion paths.
+ * It has a limited number of slots and a prefix cache of limited size, takes time
+ * for the prefill of uncached tokens only, and supports resuming, cancelling (by
+ * closing the connection), KV import, a load report and fenced orders. A token is
+ * a function of the prompt and its index only, so an answer that was resumed at
+ * another engine must equal an uninterrupted one byte for byte.
  *
  *   POST /v1/completions, /v1/chat/completions   always streams
- *        X-Request-Id echoed; X-Priority: lower runs first;
- *        X-Resume-From: first token index wanted
- *   GET  /load            {"running","queued"}
- *   POST /kv/import       {"from","request_id","completion"}  the request's
- *                         prompt and tokens so far count as cached
- *   POST /orders          {"order","epoch"}; 409 below the highest epoch seen
- *   GET  /_runs           {"prefill_tokens","hit_tokens","tokens","calls",
- *                          "orders"}
- *   POST /_fault          cut-before, cut-mid (after ms tokens), crossed, twice
- *                         (a token sent twice), gap (a token left out), late
- *                         (ms before the first token), refuse (503) */
+ *        X-Request-Id is echoed; X-Priority: lower runs first;
+ *        X-Resume-From: index of the first token to send
+ *   GET  /load        {"running","queued"}
+ *   POST /kv/import   {"from","request_id","completion"}: the request's prompt
+ *                     and the tokens sent so far count as cached
+ *   POST /orders      {"order","epoch"}; 409 below the highest epoch accepted
+ *   GET  /_runs       {"prefill_tokens","hit_tokens","tokens","calls",
+ *                     "orders","epoch"}
+ *   POST /_fault      modes:
+ *        cut-before   the connection is closed, nothing is run
+ *        cut-mid      the connection is closed after `ms` tokens
+ *        crossed      the answer has another request's id
+ *        twice        a token is sent twice
+ *        gap          a token is left out
+ *        late         the first token is sent `ms` later
+ *        refuse       503, nothing is run */
 #include <argp.h>
 #include <inttypes.h>
 #include <pthread.h>
@@ -31,70 +37,80 @@
 #define DEFAULT_MAX_TOKENS 16
 #define MAX_IMPORTED       64
 
+/* A block of BLOCK_TOKENS prompt tokens in the prefix cache. */
 struct block {
-    uint64_t hash;
-    int64_t used; /* logical time of the last use; 0: free */
+    uint64_t hash;     /* of the prompt up to the end of the block */
+    int64_t last_used; /* logical time of the last use; 0: free */
 };
 
 static struct {
     pthread_mutex_t lock;
-    pthread_cond_t freed;
+    pthread_cond_t slot_freed;
     struct block *blocks;
     size_t max_blocks;
-    int64_t tick;
+    int64_t use_clock; /* logical time of the cache */
     int slots, running, queued;
     int64_t waiting[8]; /* queued calls by priority */
-    int64_t epoch, orders;
+    int64_t epoch;      /* highest epoch of an accepted order */
+    int64_t orders;
     int64_t prefill_tokens, hit_tokens, tokens, calls;
-    double base_ms, per_token_ms, step_ms;
+    /* Time of a prefill: a fixed part and a part for each uncached token. */
+    double prefill_base_ms, prefill_token_ms;
+    double token_ms; /* time between tokens of an answer */
     bool checks_fences;
     struct si_fault fault;
-    char imported[MAX_IMPORTED][RK_ID_MAX]; /* requests whose KV cache is here */
+    /* Ids of the last requests whose KV cache was imported; a ring. */
+    char imported[MAX_IMPORTED][RK_ID_MAX];
     size_t imports;
 } eng = {
     .lock = PTHREAD_MUTEX_INITIALIZER,
-    .freed = PTHREAD_COND_INITIALIZER,
+    .slot_freed = PTHREAD_COND_INITIALIZER,
     .slots = 4,
     .max_blocks = 16000 / BLOCK_TOKENS,
-    .base_ms = 20,
-    .per_token_ms = 0.2,
-    .step_ms = 15,
+    .prefill_base_ms = 20,
+    .prefill_token_ms = 0.2,
+    .token_ms = 15,
     .checks_fences = true,
 };
 
+/* The answer to one request. */
 struct stream {
     char id[RK_ID_MAX];
     uint64_t prompt_hash;
-    int64_t next, max_tokens;
+    int64_t next_index; /* index of the next token */
+    int64_t max_tokens;
     int priority;
     bool has_slot, done;
     struct si_fault fault;
-    int64_t sent;
-    int64_t due_us; /* when the next token is ready */
+    int64_t sent;   /* tokens sent in this answer */
+    int64_t due_us; /* when the last token was ready */
 };
 
-/* Find the block or take the least recently used place. True if it was there. */
-static bool touch_block(uint64_t hash)
+/* Marks the block as used now. If it isn't cached, it replaces the least recently
+ * used one. Returns whether it was cached. Call with eng.lock held. */
+static bool use_block(uint64_t hash)
 {
     size_t oldest = 0;
     for (size_t i = 0; i < eng.max_blocks; i++) {
-        if (eng.blocks[i].hash == hash && eng.blocks[i].used) {
-            eng.blocks[i].used = ++eng.tick;
+        if (eng.blocks[i].hash == hash && eng.blocks[i].last_used) {
+            eng.blocks[i].last_used = ++eng.use_clock;
             return true;
         }
-        if (eng.blocks[i].used < eng.blocks[oldest].used)
+        if (eng.blocks[i].last_used < eng.blocks[oldest].last_used)
             oldest = i;
     }
-    eng.blocks[oldest] = (struct block){.hash = hash, .used = ++eng.tick};
+    eng.blocks[oldest] = (struct block){.hash = hash, .last_used = ++eng.use_clock};
     return false;
 }
 
-/* Walk the prompt's blocks of words; returns the words not cached. */
+/* Looks up the prompt's blocks in the cache and adds those that are missing. Each
+ * word counts as a token. Returns the tokens to compute: uncached ones and
+ * extra_tokens. Call with eng.lock held. */
 static int64_t prefill(const char *prompt, int64_t extra_tokens)
 {
-    int64_t words = 0, missed = 0;
-    bool hit = true;
-    uint64_t h = 0;
+    int64_t words = 0, uncached = 0;
+    bool prefix_cached = true;
+    uint64_t prefix_hash = 0;
     const char *p = prompt;
     while (*p) {
         const char *start = p;
@@ -107,31 +123,33 @@
             while (*p && *p != ' ')
                 p++;
         }
-        h = rk_hash(h, start, (size_t)(p - start));
+        prefix_hash = rk_hash(prefix_hash, start, (size_t)(p - start));
         if (n < BLOCK_TOKENS) {
-            missed += n; /* a part block is never cached */
-        } else if (!touch_block(h) || !hit) {
-            hit = false;
-            missed += n;
+            uncached += n; /* an incomplete block is never cached */
+        } else if (!use_block(prefix_hash) || !prefix_cached) {
+            prefix_cached = false;
+            uncached += n;
         }
         words += n;
     }
-    eng.prefill_tokens += missed + extra_tokens;
-    eng.hit_tokens += words - missed;
-    return missed + extra_tokens;
+    eng.prefill_tokens += uncached + extra_tokens;
+    eng.hit_tokens += words - uncached;
+    return uncached + extra_tokens;
 }
 
-static void take_slot(struct stream *s)
+/* Waits for a free slot, behind requests of higher priority. Call with eng.lock
+ * held. */
+static void acquire_slot(struct stream *s)
 {
     eng.queued++;
     eng.waiting[s->priority]++;
     for (;;) {
-        bool first = true;
+        bool is_first = true;
         for (int p = 0; p < s->priority; p++)
-            first = first && !eng.waiting[p];
-        if (first && eng.running < eng.slots)
+            is_first = is_first && !eng.waiting[p];
+        if (is_first && eng.running < eng.slots)
             break;
-        pthread_cond_wait(&eng.freed, &eng.lock);
+        pthread_cond_wait(&eng.slot_freed, &eng.lock);
     }
     eng.queued--;
     eng.waiting[s->priority]--;
@@ -139,58 +157,63 @@
     s->has_slot = true;
 }
 
-static void give_slot(struct stream *s)
+static void release_slot(struct stream *s)
 {
     pthread_mutex_lock(&eng.lock);
     if (s->has_slot)
         eng.running--;
     s->has_slot = false;
-    pthread_cond_broadcast(&eng.freed);
+    pthread_cond_broadcast(&eng.slot_freed);
     pthread_mutex_unlock(&eng.lock);
 }
 
+/* Writes the next token as a server-sent event. Returns its length in bytes. */
 static int format_token(struct stream *s, char *buf, size_t max)
 {
-    uint64_t word = rk_hash(s->prompt_hash, &s->next, sizeof(s->next)) % 9973;
+    uint64_t word =
+        rk_hash(s->prompt_hash, &s->next_index, sizeof(s->next_index)) % 9973;
     return snprintf(buf, max,
                     "data: {\"id\":\"%s\",\"choices\":[{\"index\":0,\"delta\":"
                     "{\"content\":\"w%" PRIu64 " \"}}],\"rk_index\":%" PRId64
                     "}\n\n",
-                    s->id, word, s->next);
+                    s->id, word, s->next_index);
 }
 
-/* Blocks until the next token is ready: the step time is the batch's. */
+/* libmicrohttpd's content reader: writes one token, or the end mark. Blocks until
+ * the token is ready, token_ms after the last one. */
 static ssize_t next_token(void *cls, uint64_t pos, char *buf, size_t max)
 {
     (void)pos;
     struct stream *s = cls;
     if (s->done)
         return MHD_CONTENT_READER_END_OF_STREAM;
-    if (s->next >= s->max_tokens) {
+    if (s->next_index >= s->max_tokens) {
         s->done = true;
         memcpy(buf, "data: [DONE]\n\n", 14);
         return 14;
     }
     if (!strcmp(s->fault.mode, "cut-mid") && s->sent >= s->fault.ms)
         return MHD_CONTENT_READER_END_WITH_ERROR;
-    s->due_us += (int64_t)(eng.step_ms * 1000);
-    int64_t left = s->due_us - rk_mono_us();
-    if (left > 0)
-        si_sleep_ms((left + 999) / 1000);
+    s->due_us += (int64_t)(eng.token_ms * 1000);
+    int64_t remaining_us = s->due_us - rk_mono_us();
+    if (remaining_us > 0)
+        si_sleep_ms((remaining_us + 999) / 1000);
     if (!strcmp(s->fault.mode, "gap") && s->sent == 2)
-        s->next++;
+        s->next_index++;
     int n = format_token(s, buf, max);
-    bool again = !strcmp(s->fault.mode, "twice") && s->sent == 2;
+    bool repeat = !strcmp(s->fault.mode, "twice") && s->sent == 2;
     s->sent++;
-    if (!again)
-        s->next++;
+    if (!repeat)
+        s->next_index++;
     pthread_mutex_lock(&eng.lock);
     eng.tokens++;
     pthread_mutex_unlock(&eng.lock);
     return n;
 }
 
-static char *prompt_of(struct json_object *o)
+/* Returns the prompt of a completion request, or the joined contents of its
+ * messages. The caller frees it. */
+static char *join_prompt(struct json_object *o)
 {
     struct json_object *v, *content;
     struct rk_buf b = {0};
@@ -227,7 +250,8 @@
     return false;
 }
 
-static enum MHD_Result complete(struct si_req *req)
+/* Answers a completion request. Waits for a slot and for the prefill. */
+static enum MHD_Result handle_completion(struct si_req *req)
 {
     struct si_fault fault = {0};
     si_take_fault(&eng.fault, &fault);
@@ -245,27 +269,30 @@
     bool crossed = !strcmp(fault.mode, "crossed");
     rk_strcpy(s->id, sizeof(s->id), crossed ? "somebody-elses" : id ? id : "none");
     s->fault = fault;
-    s->next = from ? atoll(from) : 0;
+    s->next_index = from ? atoll(from) : 0;
     s->priority = priority ? atoi(priority) & 7 : 4;
     s->max_tokens = rk_json_int(o, "max_tokens", DEFAULT_MAX_TOKENS);
-    char *prompt = prompt_of(o);
+    char *prompt = join_prompt(o);
     s->prompt_hash = rk_hash_str(0, prompt);
     req->state = s;
     pthread_mutex_lock(&eng.lock);
     eng.calls++;
-    take_slot(s);
-    int64_t uncached = prefill(prompt, was_imported(s->id) ? 0 : s->next);
+    acquire_slot(s);
+    int64_t uncached = prefill(prompt, was_imported(s->id) ? 0 : s->next_index);
     pthread_mutex_unlock(&eng.lock);
     free(prompt);
     json_object_put(o);
-    si_sleep_ms((int64_t)(eng.base_ms + eng.per_token_ms * (double)uncached));
+    si_sleep_ms(
+        (int64_t)(eng.prefill_base_ms + eng.prefill_token_ms * (double)uncached));
     if (!strcmp(fault.mode, "late"))
         si_sleep_ms(fault.ms);
     s->due_us = rk_mono_us();
     return reply_stream(req, s);
 }
 
-static enum MHD_Result take_order(struct si_req *req)
+/* Accepts an order. With checks_fences, orders below the highest epoch accepted so
+ * far are rejected. */
+static enum MHD_Result handle_order(struct si_req *req)
 {
     struct json_object *o = json_tokener_parse(req->body.data);
     int64_t epoch = rk_json_int(o, "epoch", 0);
@@ -280,7 +307,9 @@
     return si_reply(req, stale ? 409 : 200, "", 0, NULL);
 }
 
-static enum MHD_Result import_kv(struct si_req *req)
+/* Puts the prompt into the cache. The counts of prefill and hit tokens don't
+ * change, as nothing is computed. */
+static enum MHD_Result handle_kv_import(struct si_req *req)
 {
     struct json_object *o = json_tokener_parse(req->body.data), *completion, *id;
     if (!json_object_object_get_ex(o, "completion", &completion) ||
@@ -288,25 +317,25 @@
         json_object_put(o);
         return si_reply(req, 400, "", 0, NULL);
     }
-    char *prompt = prompt_of(completion);
+    char *prompt = join_prompt(completion);
     pthread_mutex_lock(&eng.lock);
     rk_strcpy(eng.imported[eng.imports++ % MAX_IMPORTED], RK_ID_MAX,
               json_object_get_string(id));
-    int64_t before = eng.prefill_tokens, hits = eng.hit_tokens;
+    int64_t saved_prefill = eng.prefill_tokens, saved_hits = eng.hit_tokens;
     prefill(prompt, 0);
-    eng.prefill_tokens = before;
-    eng.hit_tokens = hits;
+    eng.prefill_tokens = saved_prefill;
+    eng.hit_tokens = saved_hits;
     pthread_mutex_unlock(&eng.lock);
     free(prompt);
     json_object_put(o);
     return si_reply(req, 200, "", 0, NULL);
 }
 
-static enum MHD_Result show(struct si_req *req, const char *what)
+static enum MHD_Result reply_counts(struct si_req *req, const char *path)
 {
     struct rk_buf b = {0};
     pthread_mutex_lock(&eng.lock);
-    if (!strcmp(what, "/load"))
+    if (!strcmp(path, "/load"))
         rk_buf_printf(&b, "{\"running\":%d,\"queued\":%d}\n", eng.running,
                       eng.queued);
     else
@@ -326,13 +355,13 @@
     if (!strcmp(req->path, "/_fault"))
         return si_set_fault(req, &eng.fault);
     if (!strcmp(req->path, "/load") || !strcmp(req->path, "/_runs"))
-        return show(req, req->path);
+        return reply_counts(req, req->path);
     if (!strcmp(req->path, "/orders"))
-        return take_order(req);
+        return handle_order(req);
     if (!strcmp(req->path, "/kv/import"))
-        return import_kv(req);
+        return handle_kv_import(req);
     if (!strncmp(req->path, "/v1/", 4))
-        return complete(req);
+        return handle_completion(req);
     return si_reply(req, 404, "", 0, NULL);
 }
 
@@ -343,7 +372,7 @@
     struct stream *s = req->state;
     if (!s)
         return;
-    give_slot(s);
+    release_slot(s);
     free(s);
 }
 
@@ -359,9 +388,9 @@
     else if (key == 'c')
         eng.max_blocks = (size_t)atoi(arg) / BLOCK_TOKENS;
     else if (key == 'b')
-        eng.base_ms = atof(arg);
+        eng.prefill_base_ms = atof(arg);
     else if (key == 't')
-        eng.step_ms = atof(arg);
+        eng.token_ms = atof(arg);
     else if (key == 'n')
         eng.checks_fences = false;
     else
@@ -377,7 +406,7 @@
         {"cache-tokens", 'c', "N", 0, "Size of the prefix cache", 0},
         {"base-ms", 'b', "MS", 0, "Prefill time of an empty prompt", 0},
         {"step-ms", 't', "MS", 0, "Time between tokens", 0},
-        {"no-fences", 'n', NULL, 0, "Obey orders of any epoch", 0},
+        {"no-fences", 'n', NULL, 0, "Accept orders of any epoch", 0},
         {0},
     };
     static const struct argp argp = {
--- a/standins/httpd.c
+++ b/standins/httpd.c
@@ -12,7 +12,7 @@
 
 static pthread_mutex_t fault_lock = PTHREAD_MUTEX_INITIALIZER;
 
-static enum MHD_Result access_cb(void *cls, struct MHD_Connection *conn,
+static enum MHD_Result on_access(void *cls, struct MHD_Connection *conn,
                                  const char *url, const char *method,
                                  const char *version, const char *data, size_t *len,
                                  void **con_cls)
@@ -38,7 +38,7 @@
     return s->handle(s->ctx, req);
 }
 
-static void completed_cb(void *cls, struct MHD_Connection *conn, void **con_cls,
+static void on_completed(void *cls, struct MHD_Connection *conn, void **con_cls,
                          enum MHD_RequestTerminationCode code)
 {
     (void)conn;
@@ -62,23 +62,23 @@
     signal(SIGPIPE, SIG_IGN);
     struct sockaddr_in addr = {.sin_family = AF_INET, .sin_port = htons(port)};
     addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    struct MHD_Daemon *d = MHD_start_daemon(
+    struct MHD_Daemon *daemon = MHD_start_daemon(
         MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, port, NULL,
-        NULL, access_cb, (void *)server, MHD_OPTION_SOCK_ADDR, &addr,
-        MHD_OPTION_NOTIFY_COMPLETED, completed_cb, (void *)server,
+        NULL, on_access, (void *)server, MHD_OPTION_SOCK_ADDR, &addr,
+        MHD_OPTION_NOTIFY_COMPLETED, on_completed, (void *)server,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
-    if (!d) {
+    if (!daemon) {
         fprintf(stderr, "%s: can't listen on port %u\n", name, port);
         return 1;
     }
     const union MHD_DaemonInfo *info =
-        MHD_get_daemon_info(d, MHD_DAEMON_INFO_BIND_PORT);
+        MHD_get_daemon_info(daemon, MHD_DAEMON_INFO_BIND_PORT);
     printf("{\"event\":\"listening\",\"process\":\"%s\",\"port\":%u}\n", name,
            info->port);
     fflush(stdout);
     int sig;
     sigwait(&set, &sig);
-    /* Connections of sleeping handlers would hold a tidy stop back. */
+    /* An orderly stop would have to wait for handlers that sleep. */
     _Exit(0);
 }
 
@@ -145,12 +145,12 @@
 bool si_take_fault(struct si_fault *fault, struct si_fault *taken)
 {
     pthread_mutex_lock(&fault_lock);
-    bool on = fault->mode[0] && fault->count != 0;
-    if (on) {
+    bool active = fault->mode[0] && fault->count != 0;
+    if (active) {
         *taken = *fault;
         if (fault->count > 0)
             fault->count--;
     }
     pthread_mutex_unlock(&fault_lock);
-    return on;
+    return active;
 }
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -1,25 +1,33 @@
-/* Stand-in for the platform: object API, cloud API and VM list.
+/* standin-platform: a stand-in for the users' platform, with its object API, cloud
+ * API and VM list. All state is in memory.
  *
- *   GET    /objects/NAME              value; ETag: version
- *   PUT    /objects/NAME              If-Match: V or If-None-Match: *; 412
+ *   GET    /objects/NAME   value; ETag: version
+ *   PUT    /objects/NAME   If-Match: V or If-None-Match: *; 412 if it doesn't hold
  *   GET    /objects?prefix=P[&after=NAME]   [{"name","version","value"}]
- *   GET    /objects?prefix=P&since=R&wait_ms=T   waiting watch: the same with
- *          objects changed after revision R; X-Revision: the newest
- *   GET    /vms?since=R&wait_ms=T     rows {"id","addr","failure_domain",
- *          "service","vm_class","incarnation","state"}; a waiting watch too
- *   POST   /cloud/vms                 {"vm_class","failure_domain","service",
- *          "token"}: 201 {"id"}, 503 when starts are refused
- *   DELETE /cloud/vms/ID
- *   GET    /cloud/notices?after=N&wait_ms=T   [{"seq","id",
- *          "incarnation","in_ms"}]
+ *   GET    /objects?prefix=P&since=R&wait_ms=T   long poll: the same for objects
+ *          that changed after revision R; X-Revision: the newest revision
+ *   GET    /vms?since=R&wait_ms=T   long poll for rows {"id","addr",
+ *          "failure_domain","service","vm_class","incarnation","state","token"}
+ *   POST   /cloud/vms      {"vm_class","failure_domain","service","token"}: starts
+ *          a VM; 201 with its row, 503 if there is no capacity
+ *   DELETE /cloud/vms/ID   stops a VM
+ *   GET    /cloud/notices?after=N&wait_ms=T   long poll for notices of reclaims,
+ *          [{"seq","id","incarnation","in_ms"}]
  * Test controls:
- *   POST   /_vms                      add a row; state "spare": startable
- *   POST   /_reclaim                  {"id","in_ms","list":bool}: a notice; the
- *          row turns leaving only with list (the list lags)
- *   GET    /_stats                    calls by kind
- *   POST   /_fault                    down (503), cut, slow (ms), lose-answer
- *          (a write takes effect, its answer is cut), stale (reads of the past),
- *          no-starts */
+ *   POST   /_vms           adds or changes a row; a VM in state "spare" isn't
+ *          listed, and can be started by the cloud API
+ *   POST   /_reclaim       {"id","in_ms","list"}: adds a notice; unless "list" is
+ *          set, the VM list lags and doesn't show the VM as leaving
+ *   GET    /_stats         counts of calls by kind
+ *   POST   /_starts        sets the fault of starts; mode "" clears it
+ *   POST   /_fault         modes:
+ *          down            503
+ *          cut             the connection is closed
+ *          slow            the answer is sent `ms` later
+ *          lose-answer     a write takes effect, but the connection is closed
+ *                          without an answer
+ *          stale           reads give the previous version
+ *          no-starts       503 for starts of VMs */
 #include <argp.h>
 #include <inttypes.h>
 #include <pthread.h>
@@ -30,37 +38,38 @@
 
 #include "standins/httpd.h"
 
-#define MAX_OBJECTS  20000
-#define MAX_VMS      2000
-#define MAX_NOTICES  4000
-#define NAME_MAX_LEN 160
-#define VALUE_LIMIT  (1024 * 1024)
+#define MAX_OBJECTS 20000
+#define MAX_VMS     2000
+#define MAX_NOTICES 4000
+#define MAX_NAME    160
+#define MAX_VALUE   (1024 * 1024)
 
 struct object {
-    char name[NAME_MAX_LEN];
+    char name[MAX_NAME];
     char *value;
-    char *old_value; /* what a stale read shows; NULL: not there yet */
+    char *old_value; /* given to stale reads; NULL: they don't see the object */
     int64_t version, old_version;
-    int64_t revision;
+    int64_t revision; /* of the last change */
 };
 
 struct vm {
     char id[RK_ID_MAX], addr[RK_ADDR_MAX], domain[RK_ID_MAX];
     char service[RK_ID_MAX], vm_class[RK_ID_MAX], state[16];
-    char token[RK_ID_MAX];
-    int64_t incarnation, revision;
+    char token[RK_ID_MAX]; /* of the order that started it; "": none */
+    int64_t incarnation;
+    int64_t revision; /* of the last change */
 };
 
 struct notice {
     char id[RK_ID_MAX];
     int64_t incarnation;
-    int64_t in_ms;
+    int64_t in_ms; /* time from the notice to the reclaim */
 };
 
 static struct {
     pthread_mutex_t lock;
     pthread_cond_t changed;
-    int64_t revision;
+    int64_t revision; /* raised by each change of an object, VM or notice */
     struct object *objects;
     size_t objects_len;
     struct vm *vms;
@@ -97,30 +106,32 @@
     return false;
 }
 
-static bool notice_came(const char *unused, int64_t after)
+static bool notice_added(const char *unused, int64_t after)
 {
     (void)unused;
     return (int64_t)plat.notices_len > after;
 }
 
-/* Wait until there is something after `since` or wait_ms is over. Lock held. */
-static void wait_changed(bool (*changed)(const char *prefix, int64_t since),
-                         const char *prefix, int64_t since, int64_t wait_ms)
+/* Waits until changed(prefix, since) holds, at most wait_ms. Call with plat.lock
+ * held. */
+static void wait_for_change(bool (*changed)(const char *prefix, int64_t since),
+                            const char *prefix, int64_t since, int64_t wait_ms)
 {
-    struct timespec until;
-    clock_gettime(CLOCK_REALTIME, &until);
-    until.tv_sec += wait_ms / 1000;
-    until.tv_nsec += wait_ms % 1000 * 1000000;
-    if (until.tv_nsec >= 1000000000) {
-        until.tv_sec++;
-        until.tv_nsec -= 1000000000;
+    struct timespec wait_until;
+    clock_gettime(CLOCK_REALTIME, &wait_until);
+    wait_until.tv_sec += wait_ms / 1000;
+    wait_until.tv_nsec += wait_ms % 1000 * 1000000;
+    if (wait_until.tv_nsec >= 1000000000) {
+        wait_until.tv_sec++;
+        wait_until.tv_nsec -= 1000000000;
     }
     plat.watches++;
     while (!changed(prefix, since))
-        if (pthread_cond_timedwait(&plat.changed, &plat.lock, &until))
+        if (pthread_cond_timedwait(&plat.changed, &plat.lock, &wait_until))
             return;
 }
 
+/* Sends a list with the newest revision, and frees it. Unlocks plat.lock. */
 static enum MHD_Result reply_rows(struct si_req *req, struct rk_buf *b)
 {
     char revision[24];
@@ -133,7 +144,7 @@
     return ret;
 }
 
-static int by_name(const void *a, const void *b)
+static int compare_names(const void *a, const void *b)
 {
     const struct object *const *x = a, *const *y = b;
     return strcmp((*x)->name, (*y)->name);
@@ -144,12 +155,12 @@
     const char *prefix = si_query(req, "prefix"), *after = si_query(req, "after");
     int64_t since = si_query_int(req, "since", -1);
     struct rk_buf b = {0};
-    struct object **found = rk_alloc(MAX_OBJECTS, sizeof(*found));
+    struct object **matches = rk_alloc(MAX_OBJECTS, sizeof(*matches));
     size_t n = 0;
     pthread_mutex_lock(&plat.lock);
     if (since >= 0)
-        wait_changed(object_changed, prefix ? prefix : "", since,
-                     si_query_int(req, "wait_ms", 0));
+        wait_for_change(object_changed, prefix ? prefix : "", since,
+                        si_query_int(req, "wait_ms", 0));
     plat.reads++;
     for (size_t i = 0; i < plat.objects_len; i++) {
         struct object *o = &plat.objects[i];
@@ -159,19 +170,19 @@
         if ((after && strcmp(o->name, after) <= 0) || o->revision <= since)
             continue;
         if (!stale || o->old_value)
-            found[n++] = o;
+            matches[n++] = o;
     }
-    qsort(found, n, sizeof(*found), by_name);
+    qsort(matches, n, sizeof(*matches), compare_names);
     rk_buf_addstr(&b, "[");
     for (size_t i = 0; i < n; i++) {
         rk_buf_printf(&b, "%s{\"name\":\"%s\",\"version\":%" PRId64 ",\"value\":",
-                      i ? "," : "", found[i]->name,
-                      stale ? found[i]->old_version : found[i]->version);
-        rk_buf_json_str(&b, stale ? found[i]->old_value : found[i]->value);
+                      i ? "," : "", matches[i]->name,
+                      stale ? matches[i]->old_version : matches[i]->version);
+        rk_buf_json_str(&b, stale ? matches[i]->old_value : matches[i]->value);
         rk_buf_addstr(&b, "}");
     }
     rk_buf_addstr(&b, "]\n");
-    free(found);
+    free(matches);
     return reply_rows(req, &b);
 }
 
@@ -180,10 +191,10 @@
     pthread_mutex_lock(&plat.lock);
     plat.reads++;
     struct object *o = find_object(name);
-    bool there = o && (!stale || o->old_value);
+    bool exists = o && (!stale || o->old_value);
     char version[24] = "0";
     char *value = NULL;
-    if (there) {
+    if (exists) {
         snprintf(version, sizeof(version), "%" PRId64,
                  stale ? o->old_version : o->version);
         value = rk_strdup(stale ? o->old_value : o->value);
@@ -191,29 +202,33 @@
     pthread_mutex_unlock(&plat.lock);
     const char *headers[] = {"ETag", version, NULL};
     enum MHD_Result ret =
-        si_reply(req, there ? 200 : 404, there ? value : "",
-                 there ? strlen(value) : 0, there ? headers : NULL);
+        si_reply(req, exists ? 200 : 404, exists ? value : "",
+                 exists ? strlen(value) : 0, exists ? headers : NULL);
     free(value);
     return ret;
 }
 
-static bool may_write(struct si_req *req, struct object *o)
+/* Returns whether the request's If-Match and If-None-Match allow a write to the
+ * object (NULL if it doesn't exist). */
+static bool preconditions_hold(struct si_req *req, struct object *o)
 {
-    const char *match = si_header(req, "If-Match");
-    const char *none = si_header(req, "If-None-Match");
-    if (none && o)
+    const char *if_match = si_header(req, "If-Match");
+    const char *if_none_match = si_header(req, "If-None-Match");
+    if (if_none_match && o)
         return false;
-    return !match || (o && o->version == atoll(match));
+    return !if_match || (o && o->version == atoll(if_match));
 }
 
-static enum MHD_Result put_object(struct si_req *req, const char *name, bool lose)
+/* Writes an object. drop_answer: closes the connection without an answer. */
+static enum MHD_Result put_object(struct si_req *req, const char *name,
+                                  bool drop_answer)
 {
-    if (req->body.len > VALUE_LIMIT || strlen(name) >= NAME_MAX_LEN)
+    if (req->body.len > MAX_VALUE || strlen(name) >= MAX_NAME)
         return si_reply(req, 413, "", 0, NULL);
     pthread_mutex_lock(&plat.lock);
     plat.writes++;
     struct object *o = find_object(name);
-    bool ok = may_write(req, o) && (o || plat.objects_len < MAX_OBJECTS);
+    bool ok = preconditions_hold(req, o) && (o || plat.objects_len < MAX_OBJECTS);
     char version[24] = "";
     if (ok) {
         if (!o) {
@@ -232,7 +247,7 @@
         plat.conflicts++;
     }
     pthread_mutex_unlock(&plat.lock);
-    if (lose)
+    if (drop_answer)
         return MHD_NO;
     const char *headers[] = {"ETag", version, NULL};
     return si_reply(req, ok ? 200 : 412, "", 0, headers);
@@ -254,7 +269,7 @@
     struct rk_buf b = {0};
     pthread_mutex_lock(&plat.lock);
     if (since >= 0)
-        wait_changed(vm_changed, "", since, si_query_int(req, "wait_ms", 0));
+        wait_for_change(vm_changed, "", since, si_query_int(req, "wait_ms", 0));
     plat.reads++;
     rk_buf_addstr(&b, "[");
     for (size_t i = 0, n = 0; i < plat.vms_len; i++) {
@@ -275,7 +290,8 @@
     return NULL;
 }
 
-static void touch_vm(struct vm *v, const char *state)
+/* Sets the VM's state and wakes waiting requests. Call with plat.lock held. */
+static void set_vm_state(struct vm *v, const char *state)
 {
     rk_strcpy(v->state, sizeof(v->state), state);
     v->revision = ++plat.revision;
@@ -296,19 +312,19 @@
         rk_strcpy(v->service, sizeof(v->service), rk_json_str(o, "service"));
         rk_strcpy(v->vm_class, sizeof(v->vm_class), rk_json_str(o, "vm_class"));
         v->incarnation = rk_json_int(o, "incarnation", 1);
-        touch_vm(v, rk_json_str(o, "state"));
+        set_vm_state(v, rk_json_str(o, "state"));
     }
     pthread_mutex_unlock(&plat.lock);
     json_object_put(o);
     return si_reply(req, v ? 200 : 507, "", 0, NULL);
 }
 
-static bool spare_fits(const struct vm *v, struct json_object *want)
+static bool spare_matches(const struct vm *v, struct json_object *order)
 {
     return !strcmp(v->state, "spare") &&
-           !strcmp(v->domain, rk_json_str(want, "failure_domain")) &&
-           !strcmp(v->service, rk_json_str(want, "service")) &&
-           !strcmp(v->vm_class, rk_json_str(want, "vm_class"));
+           !strcmp(v->domain, rk_json_str(order, "failure_domain")) &&
+           !strcmp(v->service, rk_json_str(order, "service")) &&
+           !strcmp(v->vm_class, rk_json_str(order, "vm_class"));
 }
 
 static enum MHD_Result start_vm(struct si_req *req)
@@ -319,25 +335,26 @@
     struct json_object *o = json_tokener_parse(req->body.data);
     struct rk_buf b = {0};
     pthread_mutex_lock(&plat.lock);
-    struct vm *got = NULL;
-    /* The token makes a repeated order give the VM of the first. */
-    for (size_t i = 0; i < plat.vms_len && !got; i++)
+    struct vm *started = NULL;
+    /* A repeated order with the same token returns the VM of the first order. */
+    for (size_t i = 0; i < plat.vms_len && !started; i++)
         if (plat.vms[i].token[0] &&
             !strcmp(plat.vms[i].token, rk_json_str(o, "token")))
-            got = &plat.vms[i];
-    for (size_t i = 0; i < plat.vms_len && !got; i++)
-        if (spare_fits(&plat.vms[i], o)) {
-            got = &plat.vms[i];
-            rk_strcpy(got->token, sizeof(got->token), rk_json_str(o, "token"));
+            started = &plat.vms[i];
+    for (size_t i = 0; i < plat.vms_len && !started; i++)
+        if (spare_matches(&plat.vms[i], o)) {
+            started = &plat.vms[i];
+            rk_strcpy(started->token, sizeof(started->token),
+                      rk_json_str(o, "token"));
             plat.starts++;
-            touch_vm(got, "live");
+            set_vm_state(started, "live");
         }
-    if (got)
-        add_vm_json(&b, got);
+    if (started)
+        add_vm_json(&b, started);
     pthread_mutex_unlock(&plat.lock);
     json_object_put(o);
-    return got ? si_reply_json(req, 201, &b)
-               : si_reply(req, 503, "no capacity", 11, NULL);
+    return started ? si_reply_json(req, 201, &b)
+                   : si_reply(req, 503, "no capacity", 11, NULL);
 }
 
 static enum MHD_Result stop_vm(struct si_req *req, const char *id)
@@ -346,13 +363,13 @@
     struct vm *v = find_vm(id);
     if (v) {
         plat.stops++;
-        touch_vm(v, "gone");
+        set_vm_state(v, "gone");
     }
     pthread_mutex_unlock(&plat.lock);
     return si_reply(req, v ? 200 : 404, "", 0, NULL);
 }
 
-static enum MHD_Result reclaim(struct si_req *req)
+static enum MHD_Result add_notice(struct si_req *req)
 {
     struct json_object *o = json_tokener_parse(req->body.data);
     pthread_mutex_lock(&plat.lock);
@@ -364,7 +381,7 @@
         n->in_ms = rk_json_int(o, "in_ms", 30000);
         plat.revision++;
         if (rk_json_int(o, "list", 0))
-            touch_vm(v, "leaving");
+            set_vm_state(v, "leaving");
         pthread_cond_broadcast(&plat.changed);
     }
     pthread_mutex_unlock(&plat.lock);
@@ -378,7 +395,7 @@
     struct rk_buf b = {0};
     pthread_mutex_lock(&plat.lock);
     plat.reads++;
-    wait_changed(notice_came, "", after, si_query_int(req, "wait_ms", 0));
+    wait_for_change(notice_added, "", after, si_query_int(req, "wait_ms", 0));
     int64_t len = (int64_t)plat.notices_len;
     rk_buf_addstr(&b, "[");
     for (int64_t i = after; i < len; i++)
@@ -392,7 +409,7 @@
     return reply_rows(req, &b);
 }
 
-static enum MHD_Result show_stats(struct si_req *req)
+static enum MHD_Result reply_stats(struct si_req *req)
 {
     struct rk_buf b = {0};
     pthread_mutex_lock(&plat.lock);
@@ -406,7 +423,8 @@
     return si_reply_json(req, 200, &b);
 }
 
-static enum MHD_Result control(struct si_req *req)
+/* Handles the test controls. */
+static enum MHD_Result handle_test_control(struct si_req *req)
 {
     if (!strcmp(req->path, "/_fault")) {
         bool starts = strstr(req->body.data, "no-starts") != NULL;
@@ -417,18 +435,18 @@
     if (!strcmp(req->path, "/_vms"))
         return add_vm(req);
     if (!strcmp(req->path, "/_reclaim"))
-        return reclaim(req);
-    return show_stats(req);
+        return add_notice(req);
+    return reply_stats(req);
 }
 
 static enum MHD_Result handle(void *ctx, struct si_req *req)
 {
     (void)ctx;
     if (req->path[1] == '_')
-        return control(req);
+        return handle_test_control(req);
     struct si_fault fault = {0};
     bool write = !strcmp(req->method, "PUT");
-    /* A lost answer waits for a write to lose. */
+    /* Reads neither get lose-answer nor use up its count. */
     if (strcmp(plat.fault.mode, "lose-answer") != 0 || write)
         si_take_fault(&plat.fault, &fault);
     if (!strcmp(fault.mode, "down"))
@@ -438,12 +456,13 @@
     if (!strcmp(fault.mode, "slow"))
         si_sleep_ms(fault.ms);
     bool stale = !strcmp(fault.mode, "stale");
-    bool lose = !strcmp(fault.mode, "lose-answer");
+    bool drop_answer = !strcmp(fault.mode, "lose-answer");
     if (!strcmp(req->path, "/objects"))
         return list_objects(req, stale);
     if (!strncmp(req->path, "/objects/", 9)) {
         const char *name = req->path + 9;
-        return write ? put_object(req, name, lose) : get_object(req, name, stale);
+        return write ? put_object(req, name, drop_answer)
+                     : get_object(req, name, stale);
     }
     if (!strcmp(req->path, "/vms"))
         return list_vms(req);
--- a/standins/service.c
+++ b/standins/service.c
@@ -1,15 +1,19 @@
-/* Stand-in for a plain service: runs whatever call it gets and counts the runs
- * by key, so that a test can see what really ran, not what we believe.
+/* standin-service: a stand-in for a plain service. It runs any call and counts the
+ * runs by key, so that a test can compare what ran with what the system reports.
  *
- *   any method, any path   runs the call; echoes X-Request-Id and the body
- *   GET  /_runs            {"key": runs, ...}; key: Idempotency-Key or the id
- *   GET  /_times           {"key": ms of the first run, ...}
- *   POST /_fault           {"mode": ..., "count": n, "ms": n}
- *
- * Modes: refuse (503, not run), refuse-run (503 after running), cut-before
- * (connection cut, not run), cut-after (run, then cut before the answer), late
- * (run, answer after ms), crossed (run, answer under another id), short (run,
- * answer cut in the middle). */
+ *   any other path   runs the call; echoes X-Request-Id and the body
+ *   GET  /_runs      {"key": runs, ...}; the key is the call's Idempotency-Key, or
+ *                    its X-Request-Id if it has none
+ *   GET  /_times     {"key": start of the first run in ms, ...}
+ *   POST /_fault     {"mode", "count", "ms"}; modes:
+ *        refuse      503, not run
+ *        refuse-run  503 after the run
+ *        cut-before  the connection is closed, not run
+ *        cut-after   run, then the connection is closed without an answer
+ *        late        run, the answer is sent `ms` later (other modes that run the
+ *                    call wait for `ms`, too, except refuse-run)
+ *        crossed     run, the answer has another request's id
+ *        short       run, the connection is closed in the middle of the answer */
 #include <argp.h>
 #include <pthread.h>
 #include <stdlib.h>
@@ -20,10 +24,11 @@
 #define MAX_KEYS 200000
 #define KEY_MAX  160
 
+/* The runs of one key. */
 struct run {
     char key[KEY_MAX];
     int count;
-    int64_t first_ms; /* monotonic clock of the machine */
+    int64_t first_run_ms; /* first run, by the machine's monotonic clock */
 };
 
 static struct {
@@ -31,7 +36,7 @@
     struct run *runs;
     size_t len;
     struct si_fault fault;
-    int64_t work_ms;
+    int64_t work_ms; /* how long a call takes */
 } svc = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
 static void count_run(struct si_req *req)
@@ -46,7 +51,7 @@
     while (i < svc.len && strcmp(svc.runs[i].key, key) != 0)
         i++;
     if (i == svc.len && svc.len < MAX_KEYS) {
-        svc.runs[i].first_ms = rk_mono_ms();
+        svc.runs[i].first_run_ms = rk_mono_ms();
         rk_strcpy(svc.runs[svc.len++].key, KEY_MAX, key);
     }
     if (i < svc.len)
@@ -54,7 +59,7 @@
     pthread_mutex_unlock(&svc.lock);
 }
 
-static enum MHD_Result show_runs(struct si_req *req, bool times)
+static enum MHD_Result reply_runs(struct si_req *req, bool times)
 {
     struct rk_buf b = {0};
     rk_buf_addstr(&b, "{");
@@ -63,7 +68,7 @@
         rk_buf_addstr(&b, i ? ",\n" : "");
         rk_buf_json_str(&b, svc.runs[i].key);
         rk_buf_printf(&b, ":%lld",
-                      times ? (long long)svc.runs[i].first_ms
+                      times ? (long long)svc.runs[i].first_run_ms
                             : (long long)svc.runs[i].count);
     }
     pthread_mutex_unlock(&svc.lock);
@@ -71,7 +76,8 @@
     return si_reply_json(req, 200, &b);
 }
 
-static ssize_t short_body(void *cls, uint64_t pos, char *buf, size_t max)
+/* libmicrohttpd's content reader: writes a few bytes and then breaks off. */
+static ssize_t read_truncated_body(void *cls, uint64_t pos, char *buf, size_t max)
 {
     (void)cls;
     (void)max;
@@ -81,10 +87,11 @@
     return 5;
 }
 
-static enum MHD_Result reply_short(struct si_req *req)
+/* Announces 1000 bytes and breaks off after a few. */
+static enum MHD_Result reply_truncated(struct si_req *req)
 {
-    struct MHD_Response *r =
-        MHD_create_response_from_callback(1000, 64, short_body, NULL, NULL);
+    struct MHD_Response *r = MHD_create_response_from_callback(
+        1000, 64, read_truncated_body, NULL, NULL);
     MHD_add_response_header(r, "X-Request-Id", si_header(req, "X-Request-Id"));
     enum MHD_Result ret = MHD_queue_response(req->conn, 200, r);
     MHD_destroy_response(r);
@@ -97,7 +104,7 @@
     if (!strcmp(req->path, "/_fault"))
         return si_set_fault(req, &svc.fault);
     if (!strcmp(req->path, "/_runs") || !strcmp(req->path, "/_times"))
-        return show_runs(req, req->path[1 + 1] == 't');
+        return reply_runs(req, req->path[1 + 1] == 't');
     struct si_fault fault = {0};
     si_take_fault(&svc.fault, &fault);
     if (!strcmp(fault.mode, "refuse"))
@@ -111,12 +118,12 @@
     if (!strcmp(fault.mode, "cut-after"))
         return MHD_NO;
     if (!strcmp(fault.mode, "short"))
-        return reply_short(req);
-    const char *id = si_header(req, "X-Request-Id");
+        return reply_truncated(req);
+    const char *request_id = si_header(req, "X-Request-Id");
     if (!strcmp(fault.mode, "crossed"))
-        id = "somebody-elses";
-    const char *headers[] = {"X-Request-Id", id ? id : "", "Content-Type",
-                             "application/json", NULL};
+        request_id = "somebody-elses";
+    const char *headers[] = {"X-Request-Id", request_id ? request_id : "",
+                             "Content-Type", "application/json", NULL};
     struct rk_buf b = {0};
     rk_buf_printf(&b, "{\"done\":\"%s\",\"echo\":", req->path);
     rk_buf_json_str(&b, req->body.data);
