--- a/programs/entry.c
+++ b/programs/entry.c
@@ -164,21 +164,21 @@
  * so that callers resume them at another node. */
 static void planned_stop(struct node *n)
 {
-    int64_t start_ms = rk_mono_ms(), notice = n->file.notice_ms,
+    int64_t start_ms = rk_mono_ms(), notice_ms = n->file.notice_ms,
             idle_since_ms = start_ms;
     bool handed_over = false;
-    RK_EVENT("node.leaving", RK_N("notice_ms", notice));
+    RK_EVENT("node.leaving", RK_N("notice_ms", notice_ms));
     rk_control_leave(n->control);
     for (size_t i = 0; i < n->workers_len; i++)
         atomic_store(&n->workers[i].in_flight, 1);
-    while (rk_mono_ms() - start_ms < notice) {
+    while (rk_mono_ms() - start_ms < notice_ms) {
         int64_t now_ms = rk_mono_ms();
         if (total_in_flight(n))
             idle_since_ms = now_ms;
         else if (now_ms - idle_since_ms >= MIN_LEAVING_MS &&
                  now_ms - start_ms >= MIN_LEAVING_MS)
             break;
-        if (!handed_over && now_ms - start_ms > notice - HANDOVER_LEAD_MS) {
+        if (!handed_over && now_ms - start_ms > notice_ms - HANDOVER_LEAD_MS) {
             handed_over = true;
             for (size_t i = 0; i < n->workers_len; i++)
                 rk_loop_post(n->workers[i].traffic->loop, hand_over_streams,
@@ -245,6 +245,8 @@
     w->traffic = rk_traffic_create(&opt);
     if (!w->traffic)
         return false;
+    /* The time, modulo 2^24 ms, keeps request ids from repeating after a restart.
+     */
     snprintf(w->id_prefix, sizeof(w->id_prefix), "%.24s-%x%u", n->file.id,
              (unsigned)(rk_wall_ms() & 0xffffff), (unsigned)i);
     const struct rk_callers_options caller_opt = {
--- a/programs/replay.c
+++ b/programs/replay.c
@@ -110,7 +110,7 @@
                where);
 }
 
-/* ---- vms ---- */
+/* ---- VMs ---- */
 
 static struct sim_vm *find_vm(const char *id)
 {
--- a/standins/httpd.c
+++ b/standins/httpd.c
@@ -78,7 +78,7 @@
     fflush(stdout);
     int sig;
     sigwait(&set, &sig);
-    /* An orderly stop would have to wait for handlers that sleep. */
+    /* MHD_stop_daemon() would wait for handlers that sleep. */
     _Exit(0);
 }
 
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -63,7 +63,7 @@
 struct notice {
     char id[RK_ID_MAX];
     int64_t incarnation;
-    int64_t in_ms; /* time from the notice to the reclaim */
+    int64_t in_ms; /* from the notice to the reclaim */
 };
 
 static struct {
@@ -117,17 +117,17 @@
 static void wait_for_change(bool (*changed)(const char *prefix, int64_t since),
                             const char *prefix, int64_t since, int64_t wait_ms)
 {
-    struct timespec wait_until;
-    clock_gettime(CLOCK_REALTIME, &wait_until);
-    wait_until.tv_sec += wait_ms / 1000;
-    wait_until.tv_nsec += wait_ms % 1000 * 1000000;
-    if (wait_until.tv_nsec >= 1000000000) {
-        wait_until.tv_sec++;
-        wait_until.tv_nsec -= 1000000000;
+    struct timespec deadline;
+    clock_gettime(CLOCK_REALTIME, &deadline);
+    deadline.tv_sec += wait_ms / 1000;
+    deadline.tv_nsec += wait_ms % 1000 * 1000000;
+    if (deadline.tv_nsec >= 1000000000) {
+        deadline.tv_sec++;
+        deadline.tv_nsec -= 1000000000;
     }
     plat.watches++;
     while (!changed(prefix, since))
-        if (pthread_cond_timedwait(&plat.changed, &plat.lock, &wait_until))
+        if (pthread_cond_timedwait(&plat.changed, &plat.lock, &deadline))
             return;
 }
 
@@ -423,7 +423,6 @@
     return si_reply_json(req, 200, &b);
 }
 
-/* Handles the test controls. */
 static enum MHD_Result handle_test_control(struct si_req *req)
 {
     if (!strcmp(req->path, "/_fault")) {
--- a/standins/service.c
+++ b/standins/service.c
@@ -28,7 +28,7 @@
 struct run {
     char key[KEY_MAX];
     int count;
-    int64_t first_run_ms; /* first run, by the machine's monotonic clock */
+    int64_t first_run_ms; /* by the machine's monotonic clock */
 };
 
 static struct {
