--- a/tests/proc_hosted_calls.py
+++ b/tests/proc_hosted_calls.py
@@ -1,5 +1,9 @@
-"""Calls relayed by a hosted node: bytes untouched, at most once, whole answers,
-streams that go on elsewhere, final answers in time."""
+"""Tests of calls relayed by a hosted node.
+
+Bytes pass unchanged, a call runs at most once where it must not be repeated, answers are
+whole or visibly cut, broken streams are resumed at another worker, and each call gets a
+final answer in time.
+"""
 import errno
 import json
 import os
@@ -14,11 +18,11 @@
 
 from hosted import Hosted, http, read_answer, reset, wait_until
 
-ANSWER_S = 1.0  # "at once", with room for a busy machine
+IMMEDIATE_S = 1.0  # bound for an immediate answer, on a busy machine as well
 
 
 class Caller(threading.Thread):
-    """One call, in a thread."""
+    """A thread that makes one call."""
 
     def __init__(self, d):
         super().__init__(daemon=True)
@@ -34,7 +38,7 @@
 
 
 def plain(workers=2, kind="idempotent", attempts=2, **kw):
-    """One node before plain workers of one route."""
+    """Starts nodes, one by default, with plain workers behind a single route."""
     d = Hosted(**kw).start()
     for _ in range(workers):
         d.add_worker("plain")
@@ -44,6 +48,7 @@
 
 
 def stream(workers=2, events=6, resumable=True, **route):
+    """Starts one node with streaming workers behind a single route."""
     d = Hosted().start()
     for _ in range(workers):
         d.add_worker("llm", events=events, slots=32)
@@ -54,12 +59,16 @@
 
 
 def expected(ident, upto):
+    """Returns the body of a stream's events 1 to `upto`."""
     return b"".join(b"id: %d\ndata: %s token %d\n\n" % (n, ident.encode(), n)
                     for n in range(1, upto + 1))
 
 
-def torn(upto, part=0):
-    """A fault: the stream is reset after so many events and bytes of the next."""
+def cut_after(upto, part=0):
+    """Returns a worker fault that resets the stream.
+
+    The worker sends the events up to `upto` and the first `part` bytes of the next one.
+    """
     def fault(w, req, conn):
         w.runs[req.get("Rillknot-Attempt-Id")] += 1
         w.stream(req, conn, upto, end=False)
@@ -73,7 +82,10 @@
 
 
 def until_resumed(d, events, last_id):
-    """Call until one call was begun at the faulty worker; all must be whole."""
+    """Repeats calls until worker 1 resumes one after event `last_id`.
+
+    Worker 0 is the faulty one. Each call must be whole.
+    """
     for _ in range(40):
         a = d.call("/s/x", deadline=7000)
         assert a.whole and a.body == expected(a.ident, events), (a.body, a.took_s)
@@ -83,6 +95,10 @@
 
 
 def test_a_call_reaches_its_worker_untouched():
+    """Guards against a relay that alters a call's bytes or drops its headers.
+
+    Only hop-by-hop headers, the API key and headers that the system sets may differ.
+    """
     with plain(workers=1) as d:
         body = bytes(range(256)) * 20
         a = d.call("/r/a%2Fb/../c?x=%41&y", method="PATCH", body=body, deadline=1500,
@@ -102,64 +118,77 @@
         assert a.body == w.body(seen)
 
 
-SYSTEMS_OWN = ["Rillknot-Cache-Hold", "Rillknot-Pin-Ms", "Rillknot-Kv-Backup", "Kv-From",
-               "Kv-Fetch", "Rillknot-Request-Priority", "Rillknot-Expect-Instance",
-               "Rillknot-Tenant-Id"]
+RESERVED_HEADERS = ["Rillknot-Cache-Hold", "Rillknot-Pin-Ms", "Rillknot-Kv-Backup", "Kv-From",
+                    "Kv-Fetch", "Rillknot-Request-Priority", "Rillknot-Expect-Instance",
+                    "Rillknot-Tenant-Id"]
 
 
-def forged():
-    """Each header that only the system sets, in several cases, and repeated."""
-    return [(form, "forged") for name in SYSTEMS_OWN
+def forged_headers():
+    """Returns each header that only the system sets, in several cases and repeated."""
+    return [(form, "forged") for name in RESERVED_HEADERS
             for form in (name, name.lower(), name.upper(), name)]
 
 
 def assert_none_forged(seen):
-    for name in SYSTEMS_OWN:
+    """Fails if a worker received any forged header value."""
+    for name in RESERVED_HEADERS:
         assert "forged" not in seen.get(name), (name, seen.get(name))
     assert not any("forged" in v for v in seen.headers.values()), seen.headers
 
 
-def test_what_only_the_system_sets_is_not_taken_from_a_caller():
+def test_reserved_headers_of_a_caller_are_dropped():
+    """Guards against callers that set headers which only the system sets.
+
+    A Connection header that names them must not change that.
+    """
     with plain(workers=1) as d:
-        assert d.call("/r/x", headers=forged()).status == 200
+        assert d.call("/r/x", headers=forged_headers()).status == 200
         assert_none_forged(d.workers[0].seen[-1])
-        named = [("Connection", ", ".join(SYSTEMS_OWN))]
-        assert d.call("/r/x", headers=forged() + named).status == 200
+        hop_by_hop = [("Connection", ", ".join(RESERVED_HEADERS))]
+        assert d.call("/r/x", headers=forged_headers() + hop_by_hop).status == 200
         assert_none_forged(d.workers[0].seen[-1])
 
 
-def test_what_only_the_system_sets_is_not_taken_on_a_retry_or_resume():
-    lost = set()
+def test_reserved_headers_of_a_caller_are_dropped_on_a_retry_or_resume():
+    """Guards against forged headers that pass on a later attempt of a call.
+
+    A retry and a resume build the request again, apart from the first attempt.
+    """
+    failed_once = set()
 
     def lose_first(w, req, conn):
-        """Each request's first arrival, wherever it is."""
+        """Resets the connection of each request's first arrival, at whichever worker."""
         ident = req.get("Rillknot-Attempt-Id")
-        if ident in lost:
+        if ident in failed_once:
             return None
-        lost.add(ident)
+        failed_once.add(ident)
         reset(conn)
         return False
     with plain(bounds={"budgetExtra": 400}) as d:
         for w in d.workers:
             w.fault = lose_first
-        statuses = [d.call("/r/x", headers=forged()).status for _ in range(6)]
+        statuses = [d.call("/r/x", headers=forged_headers()).status for _ in range(6)]
         arrivals = [seen for w in d.workers for seen in w.seen]
         assert statuses == [200] * 6, (statuses, len(arrivals))
-        assert len(arrivals) == 12, len(arrivals)  # each was sent again
+        assert len(arrivals) == 12, len(arrivals)  # each request was sent twice
         for seen in arrivals:
             assert_none_forged(seen)
     with stream() as d:
-        d.workers[1].fault = torn(2)
+        d.workers[1].fault = cut_after(2)
         resumed = []
         while not resumed and len(d.workers[0].seen) < 40:
-            d.call("/s/x", deadline=7000, headers=forged())
+            d.call("/s/x", deadline=7000, headers=forged_headers())
             resumed = [r for r in d.workers[0].seen if r.get("Last-Event-Id")]
         assert resumed
         for seen in resumed:
             assert_none_forged(seen)
 
 
-def test_connection_does_not_take_away_what_a_call_is_known_by():
+def test_a_connection_header_removes_no_call_headers():
+    """Guards against a Connection header that drops headers of the call.
+
+    Placement, resuming and the attempt id depend on them.
+    """
     with stream(workers=1) as d:
         kept = {"Rillknot-Model-Name": "m", "Rillknot-Token-Usage": "10,20",
                 "Rillknot-Prompt-Prefix": "a:4,b:6", "Last-Event-Id": "2"}
@@ -171,6 +200,7 @@
 
 
 def test_routes_keys_and_unknown_ones():
+    """Guards against calls that pass without a known route, host or API key."""
     with plain(workers=1) as d:
         d.configure([d.route("r", "plain"), d.route("open", "plain", anonymous=True)])
         assert d.call("/nowhere/x").status == 404
@@ -183,6 +213,7 @@
 
 
 def test_before_any_settings_a_node_refuses_truthfully():
+    """Guards against a node that accepts calls, or reports ready, before it has settings."""
     with Hosted() as d:
         node = d.nodes[0]
         assert not d.ready(node)
@@ -195,6 +226,7 @@
 
 
 def test_what_a_worker_did_not_run_goes_to_another():
+    """Guards against a refusal that reaches the caller while another worker is free."""
     with plain(bounds={"budgetExtra": 400}) as d:
         for w in d.workers[:1]:
             w.fault = lambda w, req, conn: w.shed(req, conn)
@@ -204,16 +236,21 @@
 
 
 def test_a_refusal_is_true_and_says_when_to_come_back():
+    """Guards against a 503 that is late, lacks Retry-After, or answers a call that ran."""
     with plain(workers=1, kind="non_idempotent", attempts=1) as d:
         d.workers[0].fault = lambda w, req, conn: w.shed(req, conn)
         a = d.call("/r/x")
         assert a.status == 503 and float(a.headers["retry-after"]) > 0
-        assert a.took_s < ANSWER_S and d.runs(a.ident) == 0
+        assert a.took_s < IMMEDIATE_S and d.runs(a.ident) == 0
         assert len(d.workers[0].seen) == 1
 
 
 def test_a_refusal_without_proof_is_not_passed_on():
-    """A worker's 503 that doesn't say "not run" promises what nobody knows."""
+    """Guards against a 503 that the caller takes for "not run".
+
+    A worker's 503 without the "not run" header leaves open whether the call ran, so the
+    caller gets 502.
+    """
     def busy(w, req, conn):
         w.runs[req.get("Rillknot-Attempt-Id")] += 1
         conn.sendall(w.head(req, 503, b"Content-Length: 0\r\n"))
@@ -225,6 +262,8 @@
 
 
 def test_a_lost_answer_is_not_run_again():
+    """Guards against a second run of a non-idempotent call whose answer was lost."""
+
     def lose(w, req, conn):
         w.runs[req.get("Rillknot-Attempt-Id")] += 1
         reset(conn)
@@ -237,7 +276,9 @@
             assert a.status == 502 and d.runs(a.ident) == 1, (a.status, d.runs(a.ident))
 
 
-def test_a_lost_answer_of_a_repeatable_call_is_asked_for_elsewhere():
+def test_a_repeatable_call_whose_answer_is_lost_is_retried_elsewhere():
+    """Guards against an idempotent call that fails because one worker lost its answer."""
+
     def lose(w, req, conn):
         w.runs[req.get("Rillknot-Attempt-Id")] += 1
         reset(conn)
@@ -248,7 +289,9 @@
             assert d.call("/r/x").status == 200
 
 
-def test_a_silent_worker_is_given_up_for_a_repeatable_call():
+def test_an_unresponsive_worker_is_abandoned_for_a_repeatable_call():
+    """Guards against an idempotent call that waits for an unresponsive worker."""
+
     def hang(w, req, conn):
         time.sleep(5)
         return False
@@ -260,6 +303,8 @@
 
 
 def test_retries_stay_within_their_budget():
+    """Guards against a retry storm when every worker fails."""
+
     def fail(w, req, conn):
         w.runs[req.get("Rillknot-Attempt-Id")] += 1
         reset(conn)
@@ -275,17 +320,19 @@
 
 
 def slow_answer(w, req, conn):
+    """Worker fault: answers correctly after 400 ms."""
     time.sleep(0.4)
     return None
 
 
 def test_a_slow_vm_is_waited_for_while_no_retry_is_left():
-    """Seen: 73 of 300 calls that came at once were answered 502 while the vms were
-    working on them (a run under load, of a build that is slow itself).
+    """Guards against calls that are abandoned although the retry budget is used up.
 
-    How it came about: a repeatable call whose vm is silent for 150 ms is sent again.
-    Cause: it was called off first, and then there was no retry left in the budget.
-    Proof: here each vm takes 400 ms; calls beyond the budget wait for their answers."""
+    An idempotent call whose VM is unresponsive for 150 ms is sent again. The first
+    attempt was cancelled before the budget was checked, so 73 of 300 concurrent calls
+    were answered 502 while VMs were working on them. Here each VM takes 400 ms; calls
+    beyond the budget must wait for their answers.
+    """
     with plain(bounds={"budgetExtra": 4, "retryBudgetRatio": 0}) as d:
         for w in d.workers:
             w.fault = slow_answer
@@ -296,8 +343,11 @@
 
 
 def test_a_slow_vm_is_waited_for_while_there_is_no_other():
-    """Seen: on a day with one of three vms down and one paused, 16 calls of a second
-    ended with "no vm can take it" after the only one left had been called off."""
+    """Guards against calls that are abandoned although no other VM is left.
+
+    With one of three VMs down and one paused, 16 calls in a second ended with "no vm can
+    take it" after the attempt at the only VM left had been cancelled.
+    """
     with plain(workers=1) as d:
         d.workers[0].fault = slow_answer
         assert d.call("/r/x").status == 200
@@ -305,7 +355,10 @@
 
 
 def test_an_answer_of_another_request_is_skipped():
-    """A surplus answer in the place where the next one is due."""
+    """Guards against an answer that reaches the wrong caller.
+
+    A surplus answer with another request's id arrives before the one that is due.
+    """
     def crossed(w, req, conn):
         body = b"of somebody else"
         conn.sendall(b"HTTP/1.1 200 OK\r\nRillknot-Attempt-Id: other\r\n"
@@ -321,7 +374,9 @@
             assert d.runs(a.ident) == 1
 
 
-def test_bytes_behind_an_answer_belong_to_nobody():
+def test_surplus_bytes_after_an_answer_are_discarded():
+    """Guards against surplus bytes after an answer that are read as the next call's answer."""
+
     def surplus(w, req, conn):
         w.run(req, conn)
         conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
@@ -338,6 +393,8 @@
 
 
 def test_an_answer_without_length_ends_with_its_connection():
+    """Guards against an answer without framing that is taken for a cut one."""
+
     def unframed(w, req, conn):
         w.runs[req.get("Rillknot-Attempt-Id")] += 1
         conn.sendall(w.head(req) + w.body(req))
@@ -349,6 +406,8 @@
 
 
 def test_a_cut_answer_looks_cut():
+    """Guards against a cut answer that the caller takes for a whole one, under each framing."""
+
     def cut(framing):
         def fault(w, req, conn):
             w.runs[req.get("Rillknot-Attempt-Id")] += 1
@@ -365,16 +424,23 @@
 
 
 def test_a_success_without_signature_is_no_success():
-    def forged(w, req, conn):
+    """Guards against a forged 200 from a process that is not the addressed worker."""
+
+    def answer_unsigned(w, req, conn):
         conn.sendall(b"HTTP/1.1 200 OK\r\nRillknot-Attempt-Id: %s\r\nContent-Length: 2\r\n"
                      b"\r\nhi" % req.get("Rillknot-Attempt-Id").encode())
         return True
     with plain(workers=1, kind="non_idempotent", attempts=1) as d:
-        d.workers[0].fault = forged
+        d.workers[0].fault = answer_unsigned
         assert d.call("/r/x").status == 502
 
 
 def test_a_failure_of_a_worker_goes_back_unchanged():
+    """Guards against a worker's 500 that reaches the caller altered.
+
+    It must be logged with its status and not counted as served.
+    """
+
     def fail(w, req, conn):
         conn.sendall(w.head(req, 500, b"Content-Length: 4\r\n") + b"oops")
         return True
@@ -387,13 +453,16 @@
         def ends():
             return [e["status"] for e in d.nodes[0].events()
                     if e["event"] == "call.end" and e["request"] == a.ident]
-        wait_until(ends)  # the log follows the answer
-        assert ends() == [500], ends()  # told, and not as served
+        wait_until(ends)  # the event is logged after the answer
+        assert ends() == [500], ends()  # logged once, with its failure status
         assert d.gauge(d.nodes[0], "answers_ok_total") == 0
 
 
 def test_an_early_answer_to_a_long_request():
-    """The worker answers and goes on reading: what follows must not be a request."""
+    """Guards against the rest of a request body that is read as a new request.
+
+    The worker answers before it has read the whole body, and goes on reading.
+    """
     def early(w, req, conn):
         conn.sendall(w.head(req, 413, b"Content-Length: 0\r\n"))
         return True
@@ -406,14 +475,16 @@
 
 
 def test_an_address_that_went_to_another_vm_runs_nothing():
+    """Guards against calls that run at another VM which took over a listed VM's address."""
     with plain(workers=1, kind="non_idempotent", attempts=1) as d:
         old = d.workers[0]
-        old.id = "i-somebody-else"  # the list still has the old id at this address
+        old.id = "i-somebody-else"  # the store still lists the old id at this address
         a = d.call("/r/x")
         assert a.status == 503 and d.runs(a.ident) == 0
 
 
 def test_events_pass_as_they_come_and_byte_for_byte():
+    """Guards against a relay that buffers a stream, or alters its events."""
     with stream(workers=1, events=5) as d:
         d.workers[0].gap_s = 0.15
         a = d.call("/s/x")
@@ -423,24 +494,28 @@
                   b"Rillknot-Attempt-Id: slow\r\nContent-Length: 0\r\n\r\n")
         start = time.monotonic()
         s.recv(4096)
-        assert time.monotonic() - start < 0.6  # the first, not the last
+        assert time.monotonic() - start < 0.6  # the first event is not held for the last
 
 
 def test_a_broken_stream_goes_on_at_another_worker():
+    """Guards against lost, repeated or partial events after a reset amid an event."""
     with stream(events=7) as d:
-        d.workers[0].fault = torn(3, part=9)
+        d.workers[0].fault = cut_after(3, part=9)
         until_resumed(d, 7, "3")
 
 
 def test_a_stream_that_may_not_be_resumed_is_cut():
+    """Guards against a second run of a stream that is not resumable."""
     with stream(resumable=False, maxAttempts=1) as d:
         for w in d.workers:
-            w.fault = torn(3)
+            w.fault = cut_after(3)
         a = d.call("/s/x")
         assert not a.whole and d.runs(a.ident) == 1
 
 
 def test_a_silent_stream_goes_on_at_another_worker():
+    """Guards against a stream that waits until its deadline for a worker that stops sending."""
+
     def fall_silent(w, req, conn):
         w.runs[req.get("Rillknot-Attempt-Id")] += 1
         w.stream(req, conn, 2, end=False)
@@ -451,11 +526,14 @@
         until_resumed(d, 5, "2")
 
 
-def test_a_callers_resume_goes_on_where_it_asked_after_a_vm_that_sent_nothing():
-    """The first vm answers with a head and dies before an event: the next one must
-    begin behind the caller's last event, not at the start."""
+def test_a_callers_resume_keeps_its_position_after_a_vm_that_sent_no_event():
+    """Guards against a caller's resume that restarts at the first event.
+
+    The first VM answers with a head and breaks off before any event; the next attempt
+    must begin after the caller's last event.
+    """
     with stream(events=6) as d:
-        d.workers[0].fault = torn(4)  # a head only, as events 5 and 6 are asked for
+        d.workers[0].fault = cut_after(4)  # sends a head only, as events 5 and 6 are due
         want = None
         for _ in range(40):
             a = d.call("/s/x", deadline=7000, headers=[("Last-Event-Id", "4")])
@@ -467,12 +545,14 @@
 
 
 def test_a_caller_resumes_its_stream():
+    """Guards against a caller's Last-Event-Id that is ignored."""
     with stream(workers=1, events=6) as d:
         a = d.call("/s/x", headers=[("Last-Event-Id", "4")])
         assert a.whole and a.body == expected(a.ident, 6)[len(expected(a.ident, 4)):]
 
 
 def test_a_worker_stops_when_its_caller_leaves():
+    """Guards against a worker that goes on generating after its caller has disconnected."""
     with stream(workers=1, events=200) as d:
         w = d.workers[0]
         w.gap_s = 0.02
@@ -480,15 +560,18 @@
         s.sendall(b"POST /s/x HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\n"
                   b"Rillknot-Attempt-Id: leaver\r\nContent-Length: 0\r\n\r\n")
         s.recv(4096)
-        gone = time.monotonic()
+        closed_at = time.monotonic()
         s.close()
         wait_until(lambda: w.left, timeout=5)
-        assert w.left[0][1] - gone < ANSWER_S
+        assert w.left[0][1] - closed_at < IMMEDIATE_S
 
 
-def test_a_caller_that_left_is_asked_for_nowhere_else():
-    """A vm is silent, the caller leaves before another one would be asked: nothing more
-    is sent, and the silent vm's connection is closed."""
+def test_a_call_is_not_retried_after_its_caller_left():
+    """Guards against a retry of a call whose caller has left.
+
+    The caller closes its connection while a VM is unresponsive, before another VM would
+    be tried: nothing more is sent, and the connection to the VM is closed.
+    """
     closed = []
 
     def hang(w, req, conn):
@@ -506,14 +589,17 @@
                   b"Rillknot-Attempt-Id: leaver\r\nContent-Length: 0\r\n\r\n")
         wait_until(lambda: sum(len(w.seen) for w in d.workers) == 1)
         s.close()
-        wait_until(lambda: closed, timeout=ANSWER_S)
+        wait_until(lambda: closed, timeout=IMMEDIATE_S)
         assert closed == [True], closed
-        time.sleep(2.2)  # the vm's silence would be noticed after 1.8 s
+        time.sleep(2.2)  # the VM would be found unresponsive after 1.8 s
         assert sum(len(w.seen) for w in d.workers) == 1
 
 
 def test_hundreds_of_callers_at_once_are_taken():
-    """Three hundred connections are opened before any of them asks: all get answers."""
+    """Guards against connections that get no answer when many callers arrive at once.
+
+    300 connections are opened before any of them sends a request.
+    """
     with plain() as d:
         callers = [d.connect() for _ in range(300)]
         for n, s in enumerate(callers):
@@ -529,6 +615,8 @@
 
 
 def test_a_final_answer_at_the_routes_timeout():
+    """Guards against calls without a 504 at the route's time-out or the caller's deadline."""
+
     def hang(w, req, conn):
         time.sleep(5)
         return False
@@ -536,17 +624,18 @@
         d.configure([d.route("r", "plain", "non_idempotent", timeoutMs=400, maxAttempts=1)])
         d.workers[0].fault = hang
         a = d.call("/r/x", deadline=5000)
-        assert a.status == 504 and 0.35 < a.took_s < 0.4 + ANSWER_S
+        assert a.status == 504 and 0.35 < a.took_s < 0.4 + IMMEDIATE_S
         a = d.call("/r/x", deadline=200)
-        assert a.status == 504 and a.took_s < 0.2 + ANSWER_S
+        assert a.status == 504 and a.took_s < 0.2 + IMMEDIATE_S
 
 
 def test_kept_and_pipelined_connections():
+    """Guards against pipelined requests whose answers are lost or out of order."""
     with plain(workers=1) as d:
         s = d.connect()
-        one = (b"GET /r/x HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\n"
-               b"Rillknot-Attempt-Id: pipe-%d\r\n\r\n")
-        s.sendall(b"".join(one % n for n in range(5)))
+        template = (b"GET /r/x HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\n"
+                    b"Rillknot-Attempt-Id: pipe-%d\r\n\r\n")
+        s.sendall(b"".join(template % n for n in range(5)))
         rest = []
         for n in range(5):
             a = read_answer(s, rest=rest)
@@ -554,6 +643,7 @@
 
 
 def test_a_chunked_request_keeps_its_body():
+    """Guards against a chunked request body that is altered, and a missing 100 Continue."""
     with plain(workers=1) as d:
         s = d.connect()
         s.sendall(b"POST /r/x HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\n"
@@ -566,6 +656,7 @@
 
 
 def test_metrics_are_prometheus_text():
+    """Guards against a metrics page that a Prometheus parser rejects."""
     with plain(workers=1) as d:
         d.call("/r/x")
         text = d.metrics(d.nodes[0])
@@ -579,8 +670,11 @@
         assert http(d.port(d.nodes[0].ready["metrics"]), "GET", "/other").status == 404
 
 
-def test_a_reader_of_the_log_that_sleeps_costs_lines_not_time():
-    """Standard output is a pipe that nobody reads."""
+def test_a_blocked_log_reader_loses_lines_but_delays_no_call():
+    """Guards against calls that are delayed while nobody reads the log.
+
+    Standard output is a pipe that is not read: log lines are dropped and counted instead.
+    """
     with plain(workers=1) as d:
         read_end, write_end = os.pipe()
         node = subprocess.Popen([os.path.join(d.build, "rillknot-node"), d.nodes[0].file],
@@ -600,20 +694,21 @@
             assert slowest < 2
             page = http(d.port(started["metrics"]), "GET", "/metrics").body.decode()
             assert re.search(r"^rillknot_log_lines_dropped_total [1-9]", page, re.M)
-            lines = [drain(read_end)]
+            lines = [read_available(read_end)]
 
-            def dropped_told():
+            def drop_reported():
                 http(port, "GET", "/nowhere/", [("Host", "api.example")])
-                lines.append(drain(read_end))
+                lines.append(read_available(read_end))
                 return b'"event":"log.dropped"' in b"".join(lines)
-            wait_until(dropped_told, step=0.1)
+            wait_until(drop_reported, step=0.1)
         finally:
             node.kill()
             node.wait()
             os.close(read_end)
 
 
-def drain(fd):
+def read_available(fd):
+    """Returns the bytes that can be read without waiting, at most 6.5 MB."""
     os.set_blocking(fd, False)
     out = b""
     for _ in range(100):
@@ -624,28 +719,32 @@
     return out
 
 
-IDLE_S = 2  # the longest rest that the settings allow
+IDLE_S = 2  # idle time-out of callers' connections, by the settings
 LIMITS = {"maxHeaderBytes": 8192, "maxBodyBytes": 65536, "headerTimeoutMs": 1500,
           "idleTimeoutMs": IDLE_S * 1000}
 
 
 def request(ident):
+    """Returns the bytes of a request with this attempt id."""
     return (b"POST /r/x HTTP/1.1\r\nHost: api.example\r\nRillknot-Attempt-Id: %s\r\n"
             b"Rillknot-Deadline-Ms: 2000\r\nX-Api-Key: key-1\r\nContent-Length: 5\r\n\r\n"
             b"hello" % ident.encode())
 
 
-def kept_connection(d):
-    """With one call behind it, and that call's answer."""
+def idle_connection(d):
+    """Returns an open connection with one completed call, and that call's answer."""
     s = d.connect()
     s.sendall(request("first"))
     return s, read_answer(s)
 
 
-def crosses_a_close(d, s, ident):
-    """Send a whole request on a connection that the node has closed, as if the close
-    were still on its way, and see that the node leaves no doubt: reset, not run."""
-    select.select([s], [], [], 20)  # closed; not read
+def verify_reset_after_close(d, s, ident):
+    """Sends a request on a connection that the node has closed.
+
+    This is what happens when a request crosses the close on the network. The caller must
+    get a reset, which proves that the request has not run.
+    """
+    select.select([s], [], [], 20)  # readable once the node has closed it; nothing is read
     s.sendall(request(ident))
     time.sleep(0.3)
     error = 0
@@ -659,31 +758,37 @@
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_reset():
-    """Seen beside a change of large settings: whole requests got neither an answer nor
-    a refusal. Their callers' connections had rested for as long as they may; the close
-    took a second on the node's full link, and a request crossed it. The node read it
-    and dropped it, as it reads what comes behind its last answer, so the caller could
-    not know that it had not run. Unread, it is reset, and callers may repeat it."""
+    """Guards against requests that get neither an answer nor a refusal.
+
+    Callers' connections had reached the idle time-out, and the close took a second on the
+    node's congested link, so whole requests crossed it. The node read and dropped them,
+    as it reads whatever follows its last answer, and the callers could not know that they
+    had not run. Unread, such a request is reset, and callers may repeat it.
+    """
     with plain(workers=1) as d:
         d.configure([d.route("r", "plain")], limits=LIMITS)
-        s, _ = kept_connection(d)
-        crosses_a_close(d, s, "crossing")
+        s, _ = idle_connection(d)
+        verify_reset_after_close(d, s, "crossing")
 
 
 def test_a_request_that_crosses_the_close_at_a_planned_stop_is_reset():
+    """Guards against requests that are lost when a planned stop closes idle connections."""
     with plain(workers=1) as d:
-        s, _ = kept_connection(d)
+        s, _ = idle_connection(d)
         d.nodes[0].signal(signal.SIGTERM)
-        crosses_a_close(d, s, "crossing")
+        verify_reset_after_close(d, s, "crossing")
+
 
+def test_keep_alive_states_less_than_the_idle_timeout():
+    """Guards against callers that reuse a connection just as the node closes it.
 
-def test_callers_are_told_how_long_a_connection_may_rest():
-    """Less than the node keeps it, so that no request crosses its close."""
+    The Keep-Alive header must state less than the idle time-out.
+    """
     with plain(workers=1) as d:
         d.configure([d.route("r", "plain")], limits=LIMITS)
-        s, answer = kept_connection(d)
-        told = re.fullmatch(r"timeout=(\d+)", answer.headers.get("keep-alive", ""))
-        assert told and 0 < int(told.group(1)) < IDLE_S, answer.headers
-        time.sleep(int(told.group(1)))
+        s, answer = idle_connection(d)
+        timeout = re.fullmatch(r"timeout=(\d+)", answer.headers.get("keep-alive", ""))
+        assert timeout and 0 < int(timeout.group(1)) < IDLE_S, answer.headers
+        time.sleep(int(timeout.group(1)))
         s.sendall(request("second"))
         assert read_answer(s).status == 200
--- a/tests/proc_hosted_input.py
+++ b/tests/proc_hosted_input.py
@@ -1,4 +1,4 @@
-"""Bad input at a hosted node: a clear answer, no crash, nothing run."""
+"""Tests of bad input: a hosted node answers it clearly, runs nothing and doesn't crash."""
 import socket
 import threading
 import time
@@ -9,7 +9,8 @@
 HEAD = (b"Host: api.example\r\nX-Api-Key: key-1\r\nRillknot-Attempt-Id: bad\r\n")
 
 
-def raw(d, data, shut=False):
+def send_raw(d, data, shut=False):
+    """Sends bytes on a new connection, with `shut` also its end, and returns the answer."""
     s = d.connect()
     s.sendall(data)
     if shut:
@@ -18,12 +19,16 @@
 
 
 def test_malformed_requests_are_refused_and_nothing_runs():
+    """Guards against malformed requests that reach a worker, crash the node or are misread.
+
+    Some have an ambiguous length, on which two parsers may disagree (request smuggling).
+    """
     cases = {
         b"GARBAGE\r\n\r\n": 400,
         b"GET /r/x\r\n\r\n": 505,
         b"GET /r/x HTTP/1.1\r\nno colon\r\n\r\n": 400,
         b"\x00\x01\x02\x03\r\n\r\n": 400,
-        # Two lengths, or a length beside chunks: where does the request end?
+        # Two lengths, or a length and chunks, leave the request's end ambiguous.
         b"POST /r/x HTTP/1.1\r\n" + HEAD + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello": 400,
         b"POST /r/x HTTP/1.1\r\n" + HEAD +
         b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /r/y HTTP/1.1\r\n\r\n": 400,
@@ -37,16 +42,18 @@
     }
     with plain(workers=1) as d:
         for data, status in cases.items():
-            a = raw(d, data)
+            a = send_raw(d, data)
             assert a.status == status, (data[:60], a.status, status)
         big = b"POST /r/x HTTP/1.1\r\n" + HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-        assert raw(d, big + b"10000\r\n" + b"x" * 65536 + b"\r\n5\r\nhello\r\n0\r\n\r\n").status == 413
+        assert send_raw(d, big + b"10000\r\n" + b"x" * 65536 +
+                        b"\r\n5\r\nhello\r\n0\r\n\r\n").status == 413
         assert not d.workers[0].seen
         assert d.call("/r/x").status == 200
         assert d.nodes[0].popen.poll() is None
 
 
 def test_a_half_sent_head_and_body_end_in_time():
+    """Guards against connections that an incomplete request holds open, or that run one."""
     with plain(workers=1) as d:
         s = d.connect()
         s.sendall(b"GET /r/x HTTP/1.1\r\nHost: api")
@@ -60,7 +67,8 @@
         assert not d.workers[0].seen
 
 
-def test_settings_that_can_not_be_used_stay_out():
+def test_invalid_settings_are_rejected():
+    """Guards against invalid settings that take effect or are rejected without a reason."""
     with plain(workers=1) as d:
         before = d.version
         bad = [
@@ -89,25 +97,29 @@
         assert len(rejected()) == len(bad) - 1 and all(e["why"] for e in rejected())
 
 
-def test_a_version_before_one_that_can_not_be_used_is_taken():
-    """Both come in one answer of the store: the first must not be passed over."""
+def test_a_valid_version_before_an_invalid_one_is_applied():
+    """Guards against a valid version that is skipped because an invalid one follows it.
+
+    The store returns both in the same answer.
+    """
     with plain(workers=1) as d:
-        real, held = d.store.handle, threading.Event()
+        real, released = d.store.handle, threading.Event()
 
         def handle(req, conn):
             if "/config?watch" in req.target:
-                held.wait(20)
+                released.wait(20)
             return real(req, conn)
         d.store.handle = handle
-        time.sleep(2)  # the watch under way has ended, the next is held
+        time.sleep(2)  # the current watch has ended, and the next one is held
         version = d.configure([d.route("r", "plain"), d.route("new", "plain")], wait=False)
         d.store.put("config", "main", {"version": version + 1})
-        held.set()
+        released.set()
         d.wait_version(version, timeout=5)
         assert d.call("/new/x").status == 200
 
 
-def test_vms_that_can_not_be_read_stay_out():
+def test_invalid_vm_entries_are_ignored():
+    """Guards against calls to VMs whose entries are invalid."""
     with plain(workers=1) as d:
         for n, spec in enumerate([{}, {"service": "plain"}, "text", {"address": 5},
                                   {"service": "plain", "address": "not an address",
@@ -118,12 +130,13 @@
             assert d.call("/r/x").status == 200
 
 
-def test_a_process_file_with_mistakes_is_named():
+def test_a_mistake_in_the_process_file_is_named():
+    """Guards against a failed start that doesn't name the wrong field of the process file."""
     import os
     import subprocess
     import tempfile
     with Hosted(nodes=0) as d:
-        for text, word in (('{"id": "a"}', "failure_domain"), ("{", "JSON"),
+        for text, name in (('{"id": "a"}', "failure_domain"), ("{", "JSON"),
                            ('{"id":"a","failure_domain":"b","platform":"x","retry_ratio":7}',
                             "retry_ratio"),
                            ('{"id":"a","failure_domain":"b","platform":"x","first_start":1}',
@@ -135,12 +148,12 @@
             out = subprocess.run([os.path.join(d.build, "rillknot-node"), f.name],
                                  stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
                                  timeout=20, check=False)
-            assert out.returncode in (1, 2) and word in out.stdout.decode(), out.stdout
+            assert out.returncode in (1, 2) and name in out.stdout.decode(), out.stdout
             os.unlink(f.name)
 
 
 def test_bounds_may_be_fractions():
-    """The platform's figures are whole numbers or fractions."""
+    """Guards against a rejected process file: the platform's bounds may be fractions."""
     bounds = {"graceS": 7.5, "leaseMs": 1200.5, "reportWindowS": 1.0, "usageLateS": 4.25,
               "quotaWindowS": 3.5, "quotaSlack": 10.75, "budgetExtra": 16.9,
               "retryBudgetRatio": 0.15}
@@ -152,17 +165,20 @@
         wait_until(lambda: d.cloud.usage, 20)
 
 
-def test_a_store_that_talks_nonsense():
-    """Answers that are no JSON, or of the wrong shape: the node waits, and goes on."""
+def test_a_node_outlasts_invalid_store_answers():
+    """Guards against a node that crashes or gives up on invalid answers of the store.
+
+    The answers have the wrong shape; the node has to wait and ask again.
+    """
     state = {"bad": True}
     with Hosted(nodes=0) as d:
         real = d.store._answer
 
-        def nonsense(req):
+        def invalid_answer(req):
             if state["bad"]:
                 return 200, ["no", "object"]
             return real(req)
-        d.store._answer = nonsense
+        d.store._answer = invalid_answer
         node = d.add_node()
         time.sleep(0.5)
         assert node.popen.poll() is None and not d.ready(node)
