--- a/tests/proc_hosted_rest.py
+++ b/tests/proc_hosted_rest.py
@@ -1,29 +1,31 @@
-"""A VM that turns a request away with 503 and `Retry-After` wants nothing from that node
-for so long.
+"""Tests of a VM that asks for a cooldown: a 503 with `Retry-After`.
 
-Seen: on a co-operative's day, engines that had asked a node for 3 s of rest got 3 to 7 requests
-from it in that time; 55 of 349 callers' requests were refused meanwhile.
-Cause: the header was dropped; after any refusal a VM was passed over for 100 ms, and even then
-only where others were as good.
-Proof: the tests below."""
+The node that got the answer must send it nothing for that time. The header was dropped:
+after any refusal a node avoided the VM for 100 ms, and only where others were as good.
+Engines that had asked a node for 3 s got 3 to 7 requests from it in that time, and 55 of
+349 callers' requests were refused meanwhile.
+"""
 import time
 
 from hosted import wait_until
 from signals import Fleet
 
-SLACK_S = 0.5  # for requests that are on their way
-ALLOWED = 2
+SLACK_S = 0.5  # for requests that were sent before the refusal arrived
+ALLOWED_ARRIVALS = 2  # requests in a cooldown
 
 
-def in_rest(worker, rest_s):
-    """The most requests that came in a rest behind the first 0.5 s, of a fleet of one node;
-    a rest that was asked for again within one counts from there, too."""
+def arrivals_in_cooldown(worker, cooldown_s):
+    """Returns the most requests that a worker got within one cooldown.
+
+    The fleet must have a single node. The first SLACK_S of a cooldown are not counted. A
+    cooldown that is requested again within one counts from there as well.
+    """
     times = sorted(r.at for r in worker.seen)
-    return max((sum(at + SLACK_S < t < at + rest_s for t in times) for at in times), default=0)
+    return max((sum(at + SLACK_S < t < at + cooldown_s for t in times) for at in times), default=0)
 
 
-# Guards against BUDGET: requests that come again 100 ms after each refusal.
-def test_a_vm_that_asks_for_rest_is_left_alone():
+def test_a_vm_that_asks_for_rest_gets_no_calls():
+    """Guards against nodes that send to a VM again 100 ms after each refusal."""
     with Fleet(nodes=1, workers=4) as f:
         f.keep_asking(40, nodes=[0] * 8)
         time.sleep(1.5)
@@ -33,22 +35,25 @@
         began = time.monotonic()
         wait_until(lambda: f.d.gauge(f.d.nodes[0], "vms_resting") == 1, 3)
         time.sleep(7)
-        found = in_rest(worker, 3)
-        assert found <= ALLOWED, "%d requests in a rest" % found
-        served, asked = f.served(began)
-        assert served == asked, "%d of %d served" % (served, asked)
-        return "%d requests in a rest, 2 allowed" % found
+        count = arrivals_in_cooldown(worker, 3)
+        assert count <= ALLOWED_ARRIVALS, "%d requests in a rest" % count
+        served, sent = f.served(began)
+        assert served == sent, "%d of %d served" % (served, sent)
+        return "%d requests in a rest, 2 allowed" % count
+
 
+def test_vms_that_all_ask_for_rest_get_no_calls():
+    """Guards against nodes that ignore a cooldown when all VMs of a service are in one.
 
-# Guards against BUDGET where all VMs of a service rest: that one is the least bad then.
-def test_vms_that_all_ask_for_rest_are_left_alone():
+    Each VM is then the best one available. Calls are refused at once, as not run.
+    """
     with Fleet(nodes=1, workers=2) as f:
         for worker in f.d.workers:
             worker.rest_s = 3
         f.keep_asking(40, nodes=[0] * 8)
         time.sleep(7)
-        found = [in_rest(w, 3) for w in f.d.workers]
-        assert max(found) <= ALLOWED, found
+        count = [arrivals_in_cooldown(w, 3) for w in f.d.workers]
+        assert max(count) <= ALLOWED_ARRIVALS, count
         refused = [a for at, _, a in f.answers[8:] if a.status == 503]
         assert refused
         for a in refused:
@@ -56,8 +61,8 @@
             assert 0 < float(a.headers["retry-after"]) <= 3.0, a.headers
 
 
-# Guards against BUDGET by a rest that is lost with the VM's entry in the list.
-def test_a_rest_outlasts_an_entry_that_lapses():
+def test_a_cooldown_survives_an_entry_that_expires():
+    """Guards against a cooldown that is lost when the VM's entry expires and returns."""
     with Fleet(nodes=1, workers=2) as f:
         worker = f.d.workers[0]
         worker.rest_s = 4
@@ -67,11 +72,11 @@
         time.sleep(1.2)
         f.d.store.put("servers", worker.id, worker.spec())
         time.sleep(3)
-        assert in_rest(worker, 4) <= ALLOWED, in_rest(worker, 4)
+        assert arrivals_in_cooldown(worker, 4) <= ALLOWED_ARRIVALS, arrivals_in_cooldown(worker, 4)
 
 
-# Guards against a rest without end: the VM is used again when its time is over.
-def test_a_vm_is_used_again_after_its_rest():
+def test_a_vm_is_used_again_after_its_cooldown():
+    """Guards against a cooldown without end."""
     with Fleet(nodes=1, workers=2) as f:
         worker = f.d.workers[0]
         worker.rest_s = 1
