--- a/tests/proc_hosted_moves.py
+++ b/tests/proc_hosted_moves.py
@@ -1,16 +1,20 @@
-"""Streams whose engine leaves move to another with the memory of what was read, and
-prompts' cached parts are copied instead of read again; what fails on the way falls back
-to reading."""
+"""Tests of streams that move from a leaving engine to another one.
+
+The KV cache of the run is copied, so that the prompt isn't read again; the cached prefix
+of a prompt is copied between engines in the same way. When a copy fails, the prompt is
+read again.
+"""
 import re
 import threading
 import time
 
 from hosted import Hosted, wait_until
 
-EVENTS = 60  # longer than a vm that leaves keeps its streams
+EVENTS = 60  # with 50 ms between them, longer than a leaving VM keeps its streams
 
 
 def deployment(moves=True, workers=3, resumable=True, **kw):
+    """Starts one node with engines that can copy the KV cache of runs, if `moves` is set."""
     engine = {"name": "llm", "healthPath": "/healthz", "maxConns": 200,
               "engine": {"slots": 32, "kvCapacity": 100000, "moves": moves}}
     d = Hosted(nodes=1, bounds={"budgetExtra": 400}).start()
@@ -24,7 +28,7 @@
 
 
 class Stream(threading.Thread):
-    """A caller's stream, read to its end in a thread."""
+    """A caller's stream, which a thread reads to its end."""
 
     def __init__(self, d, headers=()):
         super().__init__(daemon=True)
@@ -37,49 +41,55 @@
                                   headers=self.headers)
 
     def check_whole(self):
-        """Each event came once, in order, and nothing else."""
+        """Checks that each event arrived once and in order, and nothing else."""
         self.join(15)
         assert self.answer.status == 200 and self.answer.whole, self.answer.status
         found = [int(n) for n in re.findall(rb"id: (\d+)\n", self.answer.body)]
         assert found == list(range(1, EVENTS + 1)), found
 
 
-def worker_of(d, stream):
-    """Where it runs now."""
+def running_workers(d, stream):
+    """Returns the workers that run the stream now."""
     return [w for w in d.workers if stream.request in w.stops]
 
 
-def begun(d, stream):
-    wait_until(lambda: worker_of(d, stream), 5)
+def wait_begun(d, stream):
+    """Waits until the stream has begun, and returns its worker."""
+    wait_until(lambda: running_workers(d, stream), 5)
     time.sleep(0.2)
-    return worker_of(d, stream)[0]
+    return running_workers(d, stream)[0]
 
 
 def arrivals(d, stream):
+    """Returns the stream's requests at all workers, in the order of their arrival."""
     found = [r for w in d.workers for r in w.seen
              if r.get("Rillknot-Attempt-Id") == stream.request]
     return sorted(found, key=lambda r: r.at)
 
 
 def test_a_stream_moves_from_an_engine_that_leaves():
+    """Guards against a stream that is cut or run again when its engine leaves."""
     with deployment() as d:
         stream = Stream(d)
-        first = begun(d, stream)
+        first = wait_begun(d, stream)
         d.drain(first)
         stream.check_whole()
         assert first.moved == [stream.request]
         assert [w for w in d.workers if stream.request in w.went_on]
-        went_on = arrivals(d, stream)[-1]
-        assert went_on.get("Kv-From").startswith(first.addr + "/")
-        assert 0 < int(went_on.get("Last-Event-Id")) < EVENTS
+        resumed = arrivals(d, stream)[-1]
+        assert resumed.get("Kv-From").startswith(first.addr + "/")
+        assert 0 < int(resumed.get("Last-Event-Id")) < EVENTS
         assert len(arrivals(d, stream)) == 2
 
 
-def check_falls_back(fault):
-    """The move fails in some way: the stream is whole all the same."""
+def check_fallback(fault):
+    """Checks that a stream is whole although its move fails by `fault`.
+
+    Returns the deployment, the first worker and the stream's requests.
+    """
     with deployment() as d:
         stream = Stream(d)
-        first = begun(d, stream)
+        first = wait_begun(d, stream)
         first.move_fault = fault
         d.drain(first)
         stream.check_whole()
@@ -87,11 +97,14 @@
         return d, first, arrivals(d, stream)
 
 
-def test_a_destination_that_is_full():
-    """The run has stopped, and goes on where it was."""
+def test_a_move_to_a_full_engine_falls_back():
+    """Guards against a stream that is lost when its destination has no room.
+
+    The run has already stopped; it must continue at the engine where it was.
+    """
     with deployment() as d:
         stream = Stream(d)
-        first = begun(d, stream)
+        first = wait_begun(d, stream)
         first.move_fault = "full"
         d.drain(first)
         stream.check_whole()
@@ -100,19 +113,24 @@
 
 
 def test_a_stream_that_may_not_be_repeated_moves_too():
+    """Guards against a stream that is cut although a move is no second run.
+
+    The stream is not resumable and has a single attempt.
+    """
     with deployment(resumable=False, maxAttempts=1) as d:
         stream = Stream(d)
-        first = begun(d, stream)
+        first = wait_begun(d, stream)
         d.drain(first)
         stream.check_whole()
         assert [w for w in d.workers if stream.request in w.went_on]
-        assert sum(w.runs[stream.request] for w in d.workers) == 2  # parts of one run
+        assert sum(w.runs[stream.request] for w in d.workers) == 2  # two parts of a single run
 
 
-def test_one_that_may_not_be_repeated_is_cut_rather_than_run_twice():
+def test_a_stream_that_may_not_be_repeated_is_cut_rather_than_run_twice():
+    """Guards against a second run of a non-resumable stream when its move's answer is lost."""
     with deployment(resumable=False, maxAttempts=1) as d:
         stream = Stream(d)
-        first = begun(d, stream)
+        first = wait_begun(d, stream)
         first.move_fault = "lost"
         d.drain(first)
         stream.join(15)
@@ -120,25 +138,29 @@
         assert len(arrivals(d, stream)) == 1
 
 
-def test_a_run_that_is_not_known_goes_on_where_it_is():
-    _, _, seen = check_falls_back("gone")
+def test_a_run_unknown_to_its_engine_goes_on_where_it_is():
+    """Guards against a stream that is cut because its engine doesn't know the run to move."""
+    _, _, seen = check_fallback("gone")
     assert len(seen) == 1
 
 
-def test_an_answer_that_is_lost_after_the_run_has_stopped():
-    _, _, seen = check_falls_back("lost")
+def test_a_stream_is_resumed_when_the_answer_to_its_move_is_lost():
+    """Guards against a stream that ends because the answer to its move is lost."""
+    _, _, seen = check_fallback("lost")
     assert len(seen) == 2 and seen[-1].get("Last-Event-Id")
 
 
-def test_an_engine_that_dies_while_it_copies():
-    _, _, seen = check_falls_back("dies")
+def test_a_stream_is_resumed_when_its_engine_crashes_during_a_copy():
+    """Guards against a stream that is lost when its engine crashes during the copy."""
+    _, _, seen = check_fallback("dies")
     assert len(seen) == 2 and seen[-1].get("Last-Event-Id")
 
 
-def test_a_copy_that_is_gone_when_it_is_to_be_used():
+def test_a_stream_is_resumed_when_its_copy_has_expired():
+    """Guards against a stream that fails because the copy has expired at its destination."""
     with deployment() as d:
         stream = Stream(d)
-        first = begun(d, stream)
+        first = wait_begun(d, stream)
         for w in d.workers:
             w.has_copy = lambda req: False
         d.drain(first)
@@ -147,20 +169,22 @@
         assert len(seen) == 3 and not seen[-1].get("Kv-From"), len(seen)
 
 
-def test_engines_that_do_not_copy_are_not_asked_to():
+def test_engines_that_cannot_copy_are_not_asked_to():
+    """Guards against a move at engines that cannot copy: it would stop the run."""
     with deployment(moves=False) as d:
         stream = Stream(d)
-        first = begun(d, stream)
-        first.move_fault = "lost"  # would stop it
+        first = wait_begun(d, stream)
+        first.move_fault = "lost"  # a move would stop the run
         d.drain(first)
         stream.check_whole()
         assert len(arrivals(d, stream)) == 1
 
 
-def test_a_second_engine_that_leaves():
+def test_a_stream_can_move_twice():
+    """Guards against a stream that can move only once."""
     with deployment() as d:
         stream = Stream(d)
-        first = begun(d, stream)
+        first = wait_begun(d, stream)
         d.drain(first)
         wait_until(lambda: [w for w in d.workers if w.went_on], 5)
         second = [w for w in d.workers if w.went_on][0]
@@ -169,7 +193,8 @@
         assert second.moved == [stream.request]
 
 
-def test_a_caller_that_leaves_amid_a_move_leaves_nothing_behind():
+def test_a_caller_that_leaves_amid_a_move_leaves_no_call_in_flight():
+    """Guards against a call that stays in flight when its caller leaves during the move."""
     with deployment() as d:
         s = d.connect()
         s.sendall(b"POST /s/x HTTP/1.1\r\nHost: api.example\r\nRillknot-Attempt-Id: abc\r\n"
@@ -185,31 +210,37 @@
         assert not [w for w in d.workers if w.went_on]
 
 
-def prompt(shared):
+def prompt_headers(shared):
+    """Returns the headers of a prompt whose first `shared` tokens are also in other prompts."""
     return [("Rillknot-Model-Name", "m"), ("Rillknot-Token-Usage", "%d,20" % (shared + 100)),
             ("Rillknot-Prompt-Prefix", "aa:%d,bb:100" % shared)]
 
 
-def test_a_cached_part_is_copied_from_where_it_is_likely_kept():
+def test_a_cached_prefix_is_copied_from_its_engine():
+    """Guards against a prefix that is read again although another engine has it cached.
+
+    A short prefix must not be copied.
+    """
     with deployment() as d:
         addrs = {w.addr for w in d.workers}
         for _ in range(4):
-            Stream(d, prompt(3000)).check_whole()
+            Stream(d, prompt_headers(3000)).check_whole()
         for w in d.workers:
             for r in w.seen:
                 assert r.get("Kv-Fetch") in addrs - {w.addr}, r.get("Kv-Fetch")
         before = sum(len(w.seen) for w in d.workers)
-        Stream(d, prompt(100)).check_whole()  # little to copy
+        Stream(d, prompt_headers(100)).check_whole()  # too short to be copied
         last = [r for w in d.workers for r in w.seen if "aa:100," in r.get("Rillknot-Prompt-Prefix")]
         assert sum(len(w.seen) for w in d.workers) == before + 1
         assert last and not last[0].get("Kv-Fetch")
 
 
-def test_an_engine_that_leaves_is_still_copied_from():
+def test_a_cached_prefix_is_copied_from_a_draining_engine():
+    """Guards against a cached prefix that is given up as soon as its engine drains."""
     with deployment(workers=2) as d:
-        Stream(d, prompt(3000)).check_whole()
+        Stream(d, prompt_headers(3000)).check_whole()
         first = [w for w in d.workers if w.seen][0]
         other = [w for w in d.workers if w is not first][0]
         d.drain(first)
-        wait_until(lambda: Stream(d, prompt(3000)).check_whole() or other.seen, 10)
+        wait_until(lambda: Stream(d, prompt_headers(3000)).check_whole() or other.seen, 10)
         assert other.seen[-1].get("Kv-Fetch") == first.addr
