--- a/tests/proc_hosted_bridges.py
+++ b/tests/proc_hosted_bridges.py
@@ -21,8 +21,8 @@
 
 def is_bridge(node):
     """Returns whether the last event that the node logged says that it is a bridge."""
-    on = [e["on"] for e in node.events() if e.get("event") == "mesh.bridge"]
-    return bool(on and on[-1])
+    states = [e["on"] for e in node.events() if e.get("event") == "mesh.bridge"]
+    return bool(states and states[-1])
 
 
 def bridges(d, zone):
@@ -419,12 +419,12 @@
 
 
 def test_a_restarting_fleet_reads_the_store_by_its_largest_nodes():
-    """Guards against a full store link when all nodes restart at once.
+    """Guards against a congested store link when all nodes restart at once.
 
     Of 985 killed nodes none knew a VM 7 s later: each read nodes, settings and VMs at
-    once, 5 s of the capacity of the store's link, and calls timed out at 1.5 s and were
-    repeated. Now the largest machines read first and send the state to the others before
-    the slots of those in the staggered start come up.
+    once, which takes 5 s on the store's link, and calls timed out at 1.5 s and were
+    repeated. Now the largest machines read first, and the others get the state from them
+    before their slots in the staggered start.
     """
     tenants = [{"name": "clinic", "apiKeys": ["key-1"], "unit": "token_stream",
                 "plainTokens": 1, "ratePerS": 20, "burst": 60}]
@@ -525,16 +525,16 @@
     say how fresh the bridges' own state is, arrive. The node took that for its own
     freshness and did not ask the store. Here its link carries small messages only.
     """
-    d, behind, proxy = large_fleet_with_a_proxied_node()
+    d, outdated, proxy = large_fleet_with_a_proxied_node()
     with d:
         proxy.frame_limit = SMALL_FRAME
         proxy.harm(faultproxy.RESET)  # its peers connect again, now with the limit
         proxy.heal()
         wait_settled_with_watches_renewed(d)
         d.configure(large_settings(d), wait=False)
-        others = [n for n in d.nodes if n is not behind]
+        others = [n for n in d.nodes if n is not outdated]
         d.wait_version(d.version, others, APPLIED_S)
-        d.wait_version(d.version, [behind], APPLIED_S)
+        d.wait_version(d.version, [outdated], APPLIED_S)
         assert d.call("/x7/x", node=NODES - 1).status == 200
 
 
--- a/tests/proc_hosted_calls.py
+++ b/tests/proc_hosted_calls.py
@@ -81,7 +81,7 @@
     return fault
 
 
-def until_resumed(d, events, last_id):
+def call_until_resumed(d, events, last_id):
     """Repeats calls until worker 1 resumes one after event `last_id`.
 
     Worker 0 is the faulty one. Each call must be whole.
@@ -501,7 +501,7 @@
     """Guards against lost, repeated or partial events after a reset amid an event."""
     with stream(events=7) as d:
         d.workers[0].fault = cut_after(3, part=9)
-        until_resumed(d, 7, "3")
+        call_until_resumed(d, 7, "3")
 
 
 def test_a_stream_that_may_not_be_resumed_is_cut():
@@ -523,7 +523,7 @@
         return False
     with stream(events=5, timeoutMs=8000) as d:
         d.workers[0].fault = fall_silent
-        until_resumed(d, 5, "2")
+        call_until_resumed(d, 5, "2")
 
 
 def test_a_callers_resume_keeps_its_position_after_a_vm_that_sent_no_event():
--- a/tests/proc_hosted_fleet.py
+++ b/tests/proc_hosted_fleet.py
@@ -914,7 +914,7 @@
 
 
 LINK_BYTES_PER_S = 1250000  # a link of 10 Mbit/s
-STORM_VERSIONS, STORM_GAP_S = 25, 0.06
+BURST_VERSIONS, BURST_GAP_S = 25, 0.06  # settings versions, seconds between them
 
 
 def large_settings(d):
@@ -959,9 +959,9 @@
         routes = large_settings(d)
         d.configure(routes)
         d.wait_ready()
-        for n in range(STORM_VERSIONS):
+        for n in range(BURST_VERSIONS):
             d.configure(routes + [d.route("new%d" % n, "plain")], wait=False)
-            time.sleep(STORM_GAP_S)
+            time.sleep(BURST_GAP_S)
         start = time.monotonic()
         d.wait_version(d.version, timeout=3)
         return "in force %.1f s after the last version" % (time.monotonic() - start)
--- a/tests/proc_hosted_rest.py
+++ b/tests/proc_hosted_rest.py
@@ -52,8 +52,8 @@
             worker.rest_s = 3
         f.keep_asking(40, nodes=[0] * 8)
         time.sleep(7)
-        count = [arrivals_in_cooldown(w, 3) for w in f.d.workers]
-        assert max(count) <= ALLOWED_ARRIVALS, count
+        counts = [arrivals_in_cooldown(w, 3) for w in f.d.workers]
+        assert max(counts) <= ALLOWED_ARRIVALS, counts
         refused = [a for at, _, a in f.answers[8:] if a.status == 503]
         assert refused
         for a in refused:
