--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,5 +1,5 @@
-"""Small fakes for process tests: an upstream that breaks off at an exact byte,
-and what the tests ask of answers and run counts."""
+"""Helpers of the process tests: clusters of common shapes, an upstream that closes
+a connection at an exact byte, and the check of a verdict against run counts."""
 import os
 import socket
 import threading
@@ -10,12 +10,13 @@
 
 
 def cluster(**kw):
+    """Returns a Cluster of the build under test."""
     kw.setdefault("build", BUILD)
     return Cluster(**kw)
 
 
-def small(**kw):
-    """One failure domain, one entry node, one engine, one service."""
+def small_cluster(**kw):
+    """Returns a cluster of one failure domain, entry node, engine and service."""
     kw.setdefault("domains", ["klein-hall"])
     kw.setdefault("entries", 1)
     kw.setdefault("engines", 1)
@@ -24,11 +25,12 @@
 
 class RawUpstream:
     """A plain service on a raw socket. behave(conn, read, n) handles the n-th
-    connection; read(k) reads k bytes of the request, read() all of it. A request
-    that was read whole counts as run, by its Idempotency-Key."""
+    connection, counted from 0. read(k) reads up to k bytes of the request, read() all
+    of it. A request that read() received in full counts as run, under its
+    Idempotency-Key."""
 
     def __init__(self, behave):
-        self.behave, self.seen, self.runs = behave, [], {}
+        self.behave, self.received_keys, self.runs = behave, [], {}
         self.lock = threading.Lock()
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
@@ -43,28 +45,28 @@
                 conn, _ = self.sock.accept()
             except OSError:
                 return
-            threading.Thread(target=self._one, args=(conn, n), daemon=True).start()
+            threading.Thread(target=self._handle, args=(conn, n), daemon=True).start()
             n += 1
 
-    def _one(self, conn, n):
+    def _handle(self, conn, n):
         def read(k=None):
             data = b""
             if k is not None:
                 return conn.recv(k) if k else b""
             while b"\r\n\r\n" not in data:
-                part = conn.recv(65536)
-                if not part:
+                chunk = conn.recv(65536)
+                if not chunk:
                     return data
-                data += part
+                data += chunk
             head, body = data.split(b"\r\n\r\n", 1)
             fields = dict(x.lower().split(b": ", 1) for x in head.split(b"\r\n")[1:]
                           if b": " in x)
-            want = int(fields.get(b"content-length", b"0"))
-            while len(body) < want:
+            body_length = int(fields.get(b"content-length", b"0"))
+            while len(body) < body_length:
                 body += conn.recv(65536)
             key = fields.get(b"idempotency-key", b"none").decode()
             with self.lock:
-                self.seen.append(key)
+                self.received_keys.append(key)
                 self.runs[key] = self.runs.get(key, 0) + 1
             return data
         try:
@@ -81,30 +83,31 @@
 OK_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-def check_truth(answer, runs):
-    """The verdict against the runs an upstream counted."""
+def check_verdict(answer, runs):
+    """Checks an answer's verdict against the number of runs its upstream counted, and
+    that an incomplete answer has an error status."""
     v = answer.verdict
     assert runs <= 1, "ran %d times" % runs
     assert v in ("not-run", "may-have-run", "ran"), (answer.status, answer.error, v)
-    assert not (v == "not-run" and runs), ("said not-run, but it ran",
+    assert not (v == "not-run" and runs), ("verdict not-run, but it ran",
                                               answer.status, answer.body)
-    assert not (v == "ran" and not runs), "said ran, but it did not"
+    assert not (v == "ran" and not runs), "verdict ran, but it did not run"
     if not answer.whole():
         assert answer.status >= 400, answer.status
 
 
-__all__ = ["BUILD", "cluster", "small", "RawUpstream", "OK_ANSWER", "check_truth",
+__all__ = ["BUILD", "cluster", "small_cluster", "RawUpstream", "OK_ANSWER", "check_verdict",
            "wait_for"]
 
 
-def spill_cluster(**kw):
-    """Two failure domains; only the second has the service, so that calls of the
-    first are forwarded."""
+def forwarding_cluster(**kw):
+    """Returns a cluster of two failure domains of which only eros-hall has the service,
+    so that the entry node of klein-hall forwards its calls."""
     c = cluster(domains=["klein-hall", "eros-hall"], entries=1, engines=0, services=0, **kw)
     c.add_service("eros-hall-s0", "eros-hall", args=["--work-ms", "1500"])
     c.wait_ready()
     a = c.entry("klein-hall-e0")
-    # Its spare is told by gossip after its first call.
+    # eros-hall-e0 advertises spare capacity by gossip only after its first call.
     call(c.entry("eros-hall-e0").port, "slots/find")
-    wait_for(lambda: call(a.port, "slots/find").whole(), 30, "a forward to work")
+    wait_for(lambda: call(a.port, "slots/find").whole(), 30, "a forwarded call to succeed")
     return c
--- a/tests/proc_input.py
+++ b/tests/proc_input.py
@@ -1,22 +1,25 @@
-"""Promise 10 (issue 4): bad input over real sockets. A node fed garbage on every
-port goes on serving, and its memory stays bounded."""
+"""Promise 10: bad input over real sockets. A node that receives garbage on every port
+must continue to serve, and its memory must stay bounded."""
 import random
 import socket
 import time
 
 from cluster import call, chat, request
-from fakes import small
+from fakes import small_cluster
 
 
-def rss_kb(p):
-    with open("/proc/%d/status" % p.popen.pid) as f:
+def rss_kb(process):
+    """Returns the process's resident memory in kB."""
+    with open("/proc/%d/status" % process.popen.pid) as f:
         return next(int(x.split()[1]) for x in f if x.startswith("VmRSS"))
 
 
-def throw(port, data, wait=0.2):
+def send_raw(port, data, timeout_s=0.2):
+    """Sends bytes on a new connection. Returns what comes back within timeout_s
+    seconds, b"" if nothing does."""
     try:
         s = socket.create_connection(("127.0.0.1", port), 2)
-        s.settimeout(wait)
+        s.settimeout(timeout_s)
         s.sendall(data)
         try:
             return s.recv(65536)
@@ -29,25 +32,29 @@
 
 
 def test_garbage_on_every_port():
+    """Random bytes on the public, control and forward ports, one time in three behind a
+    frame length of 4096: the node must still serve, and grow by less than 16 MB."""
     rng = random.Random(3)
-    with small(services=1) as c:
-        e = c.entries[0]
-        forward = int(e.conf["forward_listen"].rsplit(":", 1)[1])
-        before = rss_kb(e)
+    with small_cluster(services=1) as c:
+        entry = c.entries[0]
+        forward = int(entry.conf["forward_listen"].rsplit(":", 1)[1])
+        before_kb = rss_kb(entry)
         for i in range(120):
             data = bytes(rng.randrange(256) for _ in range(rng.randrange(1, 3000)))
-            for port in (e.port, e.control, forward):
-                throw(port, data if i % 3 else b"\x00\x00\x10\x00" + data, 0.02)
-        assert chat(e.port, "still there?").whole()
-        assert call(e.port, "slots/confirm", "k").whole()
-        grown = rss_kb(e) - before
-        assert grown < 16000, grown
-        return "360 connections of garbage, memory grew by %d kB" % grown
+            for port in (entry.port, entry.control, forward):
+                send_raw(port, data if i % 3 else b"\x00\x00\x10\x00" + data, 0.02)
+        assert chat(entry.port, "still there?").whole()
+        assert call(entry.port, "slots/confirm", "k").whole()
+        growth_kb = rss_kb(entry) - before_kb
+        assert growth_kb < 16000, growth_kb
+        return "360 connections of garbage, memory grew by %d kB" % growth_kb
 
 
 def test_malformed_requests_get_a_clear_4xx():
-    with small(services=1) as c:
-        p = c.entries[0].port
+    """Each kind of malformed request must get its own 4xx status and a problem
+    description with a detail."""
+    with small_cluster(services=1) as c:
+        port = c.entries[0].port
         org = {"Rillknot-Organisation": "patients"}
         cases = [
             ("GET", "/nothing", b"", org, 404),
@@ -65,48 +72,50 @@
             ("GET", "/v1/completions", b"", org, 400),
             ("POST", "/services/slots/find", b"x" * 2000000, org, 413),
         ]
-        for method, path, body, headers, want in cases:
-            a = request(p, method, path, body, headers)
-            assert a.status == want, (method, path, headers, a.status, a.error, a.body)
+        for method, path, body, headers, expected_status in cases:
+            a = request(port, method, path, body, headers)
+            assert a.status == expected_status, (method, path, headers, a.status, a.error, a.body)
             assert a.headers["content-type"] == "application/problem+json"
             assert b'"detail"' in a.body
-        return "%d kinds" % len(cases)
+        return "%d kinds of malformed requests" % len(cases)
 
 
 def test_slow_callers_take_no_thread():
-    """Hundreds of half-sent requests; others are served as before."""
-    with small(services=1) as c:
-        p = c.entries[0].port
-        slow = []
+    """300 connections that send half a request must not delay other callers."""
+    with small_cluster(services=1) as c:
+        port = c.entries[0].port
+        half_sent = []
         for _ in range(300):
-            s = socket.create_connection(("127.0.0.1", p), 2)
+            s = socket.create_connection(("127.0.0.1", port), 2)
             s.sendall(b"POST /services/slots/find HTTP/1.1\r\nContent-Length: 10\r\nX: ")
-            slow.append(s)
+            half_sent.append(s)
         start = time.monotonic()
         for i in range(30):
-            assert call(p, "slots/find", body=b"%d" % i).whole()
-        took = time.monotonic() - start
-        for s in slow:
+            assert call(port, "slots/find", body=b"%d" % i).whole()
+        took_s = time.monotonic() - start
+        for s in half_sent:
             s.close()
-        assert took < 10, took
-        return "30 calls in %.2f s beside 300 half-sent ones" % took
+        assert took_s < 10, took_s
+        return "30 calls in %.2f s beside 300 half-sent requests" % took_s
 
 
 def test_a_caller_that_does_not_read():
-    with small(services=0, engine_args=["--step-ms", "0"]) as c:
-        p = c.entries[0].port
-        before = rss_kb(c.entries[0])
+    """A caller that does not read its stream must neither stop other callers nor make
+    the node buffer the whole stream."""
+    with small_cluster(services=0, engine_args=["--step-ms", "0"]) as c:
+        port = c.entries[0].port
+        before_kb = rss_kb(c.entries[0])
         body = (b'{"model":"booking","stream":true,"max_tokens":20000,'
                 b'"messages":[{"content":"x"}]}')
         s = socket.socket()
         s.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        s.connect(("127.0.0.1", p))
+        s.connect(("127.0.0.1", port))
         s.sendall(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
                   b"Rillknot-Organisation: patients\r\nContent-Length: %d\r\n\r\n" % len(body)
                   + body)
         time.sleep(4)
-        assert chat(p, "are you there").whole()
-        grown = rss_kb(c.entries[0]) - before
+        assert chat(port, "are you there").whole()
+        growth_kb = rss_kb(c.entries[0]) - before_kb
         s.close()
-        assert grown < 16000, grown
-        return "memory grew by %d kB" % grown
+        assert growth_kb < 16000, growth_kb
+        return "memory grew by %d kB" % growth_kb
--- a/tests/proc_once.py
+++ b/tests/proc_once.py
@@ -1,50 +1,56 @@
-"""Promise 4: what may not be repeated runs at most once. The service stand-in
-counts runs by key; the tests kill, freeze and cut what stands between."""
+"""Promise 4: a call that may not be repeated runs at most once. The stand-in service
+counts runs by key; the tests kill and freeze nodes, cut the paths between them and let
+the platform fail."""
 import random
 import threading
 import time
 
 from cluster import call, get_json, request, wait_for
-from fakes import check_truth, cluster, small
+from fakes import check_verdict, cluster, small_cluster
 
 
-def together(fns):
-    out = [None] * len(fns)
+def run_concurrently(functions):
+    """Runs each function in a thread of its own. Returns their results in order."""
+    results = [None] * len(functions)
 
     def run(i):
-        out[i] = fns[i]()
-    threads = [threading.Thread(target=run, args=(i,)) for i in range(len(fns))]
+        results[i] = functions[i]()
+    threads = [threading.Thread(target=run, args=(i,)) for i in range(len(functions))]
     for t in threads:
         t.start()
     for t in threads:
         t.join()
-    return out
+    return results
 
 
-def check_all(c, answers):
-    """answers: {key: [Answer]}; each key against the services' counts. "Not run"
-    is about the past: a later arrival of the key may run it."""
+def check_all_verdicts(c, answers):
+    """Checks the answers, {key: [Answer]}, against the services' run counts, which are
+    returned. Not-run only says that the key had not run by then: a later arrival of the
+    same key may run it. With several arrivals, the answer is checked at its start, as
+    another arrival may have run the key meanwhile."""
     runs, times = c.runs(), c.run_times()
     for key, got in answers.items():
         for a in got:
             if not a.status:
                 continue
-            end = a.began if len(got) > 1 else a.ended
-            before = key in runs and times[key] < end * 1000
-            check_truth(a, 0 if a.verdict == "not-run" and not before
-                        else runs.get(key, 0))
+            moment = a.began if len(got) > 1 else a.ended
+            before = key in runs and times[key] < moment * 1000
+            check_verdict(a, 0 if a.verdict == "not-run" and not before
+                          else runs.get(key, 0))
     assert all(n == 1 for n in runs.values()), runs
     return runs
 
 
 def test_one_key_at_all_nodes_at_once():
+    """Six nodes receive the same key at once: it must run once, and all callers must
+    get the same answer, all but one marked as replayed."""
     with cluster(engines=0) as c:
         answers = {}
         for i in range(20):
             key = "k%d" % i
-            answers[key] = together([lambda e=e: call(e.port, "slots/confirm", key)
-                                     for e in c.entries])
-        runs = check_all(c, answers)
+            answers[key] = run_concurrently([lambda e=e: call(e.port, "slots/confirm", key)
+                                             for e in c.entries])
+        runs = check_all_verdicts(c, answers)
         assert len(runs) == 20
         for got in answers.values():
             assert all(a.whole() and a.body == got[0].body for a in got)
@@ -52,7 +58,9 @@
 
 
 def test_a_key_used_for_another_request_is_refused():
-    with small(engines=0) as c:
+    """A key that is sent again with another body must be refused with 422, not answered
+    with the first request's answer."""
+    with small_cluster(engines=0) as c:
         e = c.entries[0]
         assert call(e.port, "slots/confirm", "k", b'{"slot":1}').whole()
         a = call(e.port, "slots/confirm", "k", b'{"slot":2}')
@@ -61,7 +69,9 @@
 
 
 def test_no_key_means_one_attempt():
-    with small(engines=0) as c:
+    """A call without a key must not be retried after any fault under which it may have
+    run."""
+    with small_cluster(engines=0) as c:
         c.put_change(2, {"id": "c", "set": {"/services/slots/confirm/key_required": False}})
         c.wait_head(2)
         for mode in ("cut-after", "refuse-run", "crossed", "short"):
@@ -72,20 +82,22 @@
 
 
 def test_lost_answer_of_the_claim():
-    """The claim's write takes effect and its answer is lost: it is read back."""
+    """A claim's write takes effect and the platform's answer is lost. The node must
+    read the claim back and run the call, once."""
     with cluster(domains=["klein-hall"], engines=0) as c:
         answers = {}
         for i in range(8):
             c.fault(c.platform, "lose-answer", 1)
             key = "k%d" % i
             answers[key] = [call(c.entries[i % 2].port, "slots/confirm", key)]
-        runs = check_all(c, answers)
-        assert len(runs) == 8, runs  # each was settled, none refused
+        runs = check_all_verdicts(c, answers)
+        assert len(runs) == 8, runs  # each claim was read back, and no call refused
         c.fault(c.platform, "")
 
 
 def test_claims_stay_within_their_share_of_the_platform():
-    """Hundreds of keyed calls a second share writes, and none waits for long."""
+    """Hundreds of keyed calls a second must share the allowed 40 writes a second, and
+    all must be answered."""
     with cluster(domains=["klein-hall"], engines=0, services=2) as c:
         c.put_change(2, {"id": "w", "set": {"/claim_writes_per_s": 40,
                                             "/services/slots/vm_slots": 200}})
@@ -97,28 +109,31 @@
             for i in range(60):
                 a = call(c.entries[n % 2].port, "slots/confirm", "s%d-%d" % (n, i))
                 answers.append(a)
-        together([lambda n=n: send(n) for n in range(24)])
-        took = time.monotonic() - began
+        run_concurrently([lambda n=n: send(n) for n in range(24)])
+        took_s = time.monotonic() - began
         writes = get_json(c.platform.port, "/_stats")["writes"] - before
-        # 8 shards may each make 10 from standing.
-        assert writes <= 40 * took + 80 + 8, (writes, took)
+        # Beyond the rate, each of the 8 shards may write a burst of 10.
+        assert writes <= 40 * took_s + 80 + 8, (writes, took_s)
         whole = sum(a.whole() for a in answers)
         assert whole == len(answers), (whole, len(answers))
         assert all(n == 1 for n in c.runs().values())
-        slow = sorted(a.ended - a.began for a in answers)
+        durations_s = sorted(a.ended - a.began for a in answers)
         return "%d keyed calls in %.1f s by %d writes (%.1f keys a write); p50 %.0f p99 %.0f ms" % (
-            len(answers), took, writes, len(answers) / writes,
-            slow[len(slow) // 2] * 1000, slow[int(len(slow) * 0.99)] * 1000)
+            len(answers), took_s, writes, len(answers) / writes,
+            durations_s[len(durations_s) // 2] * 1000,
+            durations_s[int(len(durations_s) * 0.99)] * 1000)
 
 
 def test_platform_down_refuses_truthfully():
+    """Without the platform no claim can be written: keyed calls must be refused as not
+    sent, and a key that ran before must not be reported as not run."""
     with cluster(domains=["klein-hall"], engines=0) as c:
         assert call(c.entries[0].port, "slots/confirm", "before").whole()
         c.fault(c.platform, "down")
         start = time.monotonic()
         answers = {"k%d" % i: [call(c.entries[i % 2].port, "slots/confirm", "k%d" % i)]
                    for i in range(4)}
-        took = time.monotonic() - start
+        took_s = time.monotonic() - start
         for got in answers.values():
             assert got[0].status == 503, got[0].body
             assert "retry-after" in got[0].headers, got[0].body
@@ -129,15 +144,17 @@
         for key, got in answers.items():
             got.append(call(c.entries[0].port, "slots/confirm", key))
             assert got[-1].whole(), got[-1].body
-        check_all(c, answers)
-        return "4 refusals in %.1f s" % took
+        check_all_verdicts(c, answers)
+        return "4 refusals in %.1f s" % took_s
 
 
 def test_platform_down_goes_on_locally_where_settings_say_so():
-    with small(engines=0) as c:
+    """With claims_when_down "local" a node must serve keyed calls without the platform,
+    and still run a repeated key once."""
+    with small_cluster(engines=0) as c:
         c.put_change(2, {"id": "c", "set": {"/services/slots/claims_when_down": "local"}})
         c.wait_head(2)
-        for i in range(30):  # so that every shard is known before the outage
+        for i in range(30):  # so that a node has read every claim shard before the outage
             call(c.entries[0].port, "slots/confirm", "warm%d" % i)
         c.fault(c.platform, "down")
         a = call(c.entries[0].port, "slots/confirm", "k0")
@@ -146,9 +163,9 @@
         assert c.runs()["k0"] == 1
 
 
-
-
 def test_owner_killed_between_claim_and_answer():
+    """The node that claimed the key is killed while the call runs. The other nodes
+    can't know its outcome and must not run the key again or report it as not run."""
     with cluster(engines=0, service_args=["--work-ms", "800"]) as c:
         key = "k0"
         got = []
@@ -161,65 +178,67 @@
         owner.kill()
         t.join()
         alive = [e for e in c.entries if e is not owner]
-        again = [call(e.port, "slots/confirm", key) for e in alive]
-        check_all(c, {key: got + again})
-        for a in again:
+        repeats = [call(e.port, "slots/confirm", key) for e in alive]
+        check_all_verdicts(c, {key: got + repeats})
+        for a in repeats:
             assert a.verdict in ("may-have-run", "ran"), a.body
 
 
 def test_owner_frozen_past_a_takeover():
-    """The owner stops with a claim in hand, another node takes the shard over,
-    the owner wakes and believes it still owns it."""
+    """The owner of claim shards is frozen, another node takes them over, and the owner
+    wakes and believes that it still owns them. No key may run twice."""
     with cluster(engines=0) as c:
         keys = ["warm%d" % i for i in range(24)]
         answers = {k: [call(c.entries[0].port, "slots/confirm", k)] for k in keys}
         owners = [e for e in c.entries
                   if any(x.get("event") == "claim.granted" for x in e.events())]
-        victim = owners[0]
-        others = [e for e in c.entries if e is not victim]
-        victim.freeze()
-        fresh = ["during%d" % i for i in range(24)]
-        for k in fresh + keys:
+        frozen = owners[0]
+        others = [e for e in c.entries if e is not frozen]
+        frozen.freeze()
+        new_keys = ["during%d" % i for i in range(24)]
+        for k in new_keys + keys:
             answers.setdefault(k, []).append(
                 call(others[0].port, "slots/confirm", k,
                      headers={"Rillknot-Deadline-Ms": "8000"}))
-        victim.thaw()
-        for k in fresh + keys:  # straight at the node that slept
-            answers[k].append(call(victim.port, "slots/confirm", k))
-        runs = check_all(c, answers)
-        done = sum(any(a.whole() for a in answers[k]) for k in fresh)
-        assert done >= 20, "only %d of 24 keys were served around the frozen owner" % done
-        return "%d of 24 keys served around the frozen owner, %d runs" % (done, len(runs))
+        frozen.thaw()
+        for k in new_keys + keys:  # at the node that was frozen
+            answers[k].append(call(frozen.port, "slots/confirm", k))
+        runs = check_all_verdicts(c, answers)
+        done = sum(any(a.whole() for a in answers[k]) for k in new_keys)
+        assert done >= 20, "only %d of 24 keys were served while the owner was frozen" % done
+        return "%d of 24 keys served while the owner was frozen, %d runs" % (done, len(runs))
 
 
 def test_two_nodes_that_both_believe_they_own_every_shard():
-    """The paths between two nodes are cut both ways: each thinks itself alone.
-    Only the store's conditional writes keep them apart."""
+    """The paths between two nodes are cut both ways, so that each believes that it is
+    the only one. Only the store's conditional writes then keep a key from running
+    twice."""
     with cluster(domains=["klein-hall"], engines=0, peer_cuts=True) as c:
         a, b = c.entries
         for cut in c.cuts.values():
             cut.cut()
-        wait_for(lambda: all(not [m for m in _members(e) if m["state"] == "alive"]
-                             for e in (a, b)), 30, "both to be alone")
+        wait_for(lambda: all(not [m for m in members_of(e) if m["state"] == "alive"]
+                             for e in (a, b)), 30, "each node to see no other alive")
         answers = {}
         for i in range(30):
             key = "k%d" % i
-            answers[key] = together([lambda: call(a.port, "slots/confirm", key),
-                                     lambda: call(b.port, "slots/confirm", key)])
-        runs = check_all(c, answers)
+            answers[key] = run_concurrently([lambda: call(a.port, "slots/confirm", key),
+                                             lambda: call(b.port, "slots/confirm", key)])
+        runs = check_all_verdicts(c, answers)
         served = sum(any(x.whole() for x in got) for got in answers.values())
         assert served >= 25, served
         return "%d of 30 keys served, %d runs" % (served, len(runs))
 
 
-def _members(e):
+def members_of(e):
+    """Returns the member list of an entry node."""
     import json
     return json.loads(request(e.port, "GET", "/status").body)["members"]
 
 
 def test_chaos_with_one_key_space():
-    """Kills, freezes, lost answers and outages in a seeded order, while keys are
-    sent to any node, often twice."""
+    """Kills, freezes, lost answers and outages in a seeded order, while keys are sent
+    to any node, often twice: none may run twice, and no verdict may be false."""
     rng = random.Random(7)
     with cluster(engines=0) as c:
         answers, lock, stop = {}, threading.Lock(), threading.Event()
@@ -259,9 +278,9 @@
         stop.set()
         for t in senders:
             t.join()
-        runs = check_all(c, answers)
+        runs = check_all_verdicts(c, answers)
         whole = sum(a.whole() for got in answers.values() for a in got)
         total = sum(len(got) for got in answers.values())
         assert len(runs) > 100, len(runs)
-        return "%d arrivals of %d keys, %d whole answers, %d keys run, none twice" % (
+        return "%d arrivals of %d keys, %d complete answers, %d keys run, none twice" % (
             total, len(answers), whole, len(runs))
--- a/tests/proc_reclaim.py
+++ b/tests/proc_reclaim.py
@@ -4,12 +4,13 @@
 import time
 
 from cluster import call, chat, get_json, metrics, wait_for
-from fakes import cluster, small
+from fakes import cluster, small_cluster
 
 PROMPT = "Rewrite this rescheduling notice kindly for the patient. " * 30
 
 
-def background(fn):
+def in_background(fn):
+    """Runs fn in a thread. Returns the thread and a list that receives the result."""
     out = []
     t = threading.Thread(target=lambda: out.append(fn()))
     t.start()
@@ -17,14 +18,16 @@
 
 
 def busy_engine(c, entry):
+    """Returns the engine of the entry node's newest attempt."""
     starts = [e for e in entry.events() if e.get("event") == "attempt.start"]
     return c.proc(starts[-1]["at"])
 
 
 def test_confirmation_on_a_vm_being_reclaimed():
-    """It ends within the notice: it is left alone, and answered."""
-    with small(engines=0, services=1, service_args=["--work-ms", "900"]) as c:
-        t, out = background(lambda: call(c.entries[0].port, "slots/confirm", "k"))
+    """A confirmation that ends before its VM is reclaimed must be left running and be
+    answered, and must not run a second time elsewhere."""
+    with small_cluster(engines=0, services=1, service_args=["--work-ms", "900"]) as c:
+        t, out = in_background(lambda: call(c.entries[0].port, "slots/confirm", "k"))
         wait_for(lambda: c.runs().get("k"), 10, "the run")
         c.reclaim("klein-hall-s0", in_ms=2000)
         t.join()
@@ -33,10 +36,12 @@
 
 
 def test_stream_moves_before_its_vm_goes():
-    with small(engines=2, services=0) as c:
+    """A stream on an engine with 700 ms of notice must move to the other engine, with
+    its KV cache, before the engine is killed."""
+    with small_cluster(engines=2, services=0) as c:
         e = c.entries[0]
-        want = chat(e.port, PROMPT, max_tokens=100).text()
-        t, out = background(lambda: chat(e.port, PROMPT, max_tokens=100))
+        expected_text = chat(e.port, PROMPT, max_tokens=100).text()
+        t, out = in_background(lambda: chat(e.port, PROMPT, max_tokens=100))
         wait_for(lambda: metrics(e.port)["attempts_total"] == 2, 10, "the attempt")
         time.sleep(0.3)
         vm = busy_engine(c, e)
@@ -44,18 +49,19 @@
         time.sleep(0.7)
         vm.kill()
         t.join()
-        assert out[0].whole() and out[0].text() == want
+        assert out[0].whole() and out[0].text() == expected_text
         m = metrics(e.port)
         assert m["kv_moves_total"] == 1 and m["recomputed_tokens_total"] == 0, m
 
 
-def recomputed(kv_move):
-    """Tokens the engines prefilled again, as they counted, for one moved stream."""
-    with small(engines=2, services=0) as c:
+def recomputed_tokens(kv_move):
+    """Returns the tokens that the engines prefilled for one moved stream, by their own
+    count."""
+    with small_cluster(engines=2, services=0) as c:
         c.put_change(2, {"id": "kv", "set": {"/services/booking/kv_move": kv_move}})
         c.wait_head(2)
         e = c.entries[0]
-        t, out = background(lambda: chat(e.port, PROMPT, max_tokens=100))
+        t, out = in_background(lambda: chat(e.port, PROMPT, max_tokens=100))
         wait_for(lambda: metrics(e.port)["tokens_total"] > 5, 10, "tokens")
         vm = busy_engine(c, e)
         before = sum(get_json(m.port, "/_runs")["prefill_tokens"] for m in c.engines)
@@ -66,19 +72,22 @@
 
 
 def test_moved_streams_take_their_kv_cache_along():
-    without, taken = recomputed(False), recomputed(True)
-    assert taken < without / 4, (taken, without)
-    return "%d tokens recomputed with the KV cache, %d without" % (taken, without)
+    """Without a copy of the KV cache, the new engine must prefill the prompt and all
+    tokens again. With it, less than a quarter."""
+    without_copy, with_copy = recomputed_tokens(False), recomputed_tokens(True)
+    assert with_copy < without_copy / 4, (with_copy, without_copy)
+    return "%d tokens recomputed with the KV cache, %d without" % (with_copy, without_copy)
 
 
 def test_a_whole_domain_is_reclaimed_with_the_keepers_dead():
-    """Every upstream of one failure domain goes at once, on 2 s of notice, under
-    load, while that domain's keepers are dead."""
+    """Every upstream of one failure domain is reclaimed at once, on 2 s of notice,
+    under load, while the domain's keepers are dead. No call may be cut, and no
+    confirmation may run twice."""
     with cluster(entries=2, engines=3, services=1, keepers=True,
                  service_args=["--work-ms", "300"]) as c:
         domain = "klein-hall"
         nodes = [e for e in c.entries if e.domain == domain]
-        want = chat(nodes[0].port, PROMPT, max_tokens=60).text()
+        expected_text = chat(nodes[0].port, PROMPT, max_tokens=60).text()
         results, stop, lock = [], threading.Event(), threading.Lock()
 
         def work(n):
@@ -99,30 +108,31 @@
         for k in c.keepers:
             if k.domain == domain:
                 k.kill()
-        doomed = [p for p in c.engines + c.services if p.domain == domain]
-        for p in doomed:
+        reclaimed = [p for p in c.engines + c.services if p.domain == domain]
+        for p in reclaimed:
             c.reclaim(p.name, in_ms=2000)
         time.sleep(2.0)
-        for p in doomed:
-            p.freeze()  # gone from the network; counted by hand below
+        for p in reclaimed:
+            p.freeze()  # off the network; its run counts are read below
         time.sleep(2)
         stop.set()
         for t in threads:
             t.join()
-        for p in doomed:
+        for p in reclaimed:
             p.thaw()
         time.sleep(0.3)
         runs = c.runs()
-        bad = [(k, a.status, a.verdict, a.body[-200:]) for k, a in results if not a.whole()]
-        assert not bad, (len(bad), len(results), bad[:3])
-        assert all(a.text() == want for k, a in results if k == "stream")
+        incomplete = [(k, a.status, a.verdict, a.body[-200:]) for k, a in results if not a.whole()]
+        assert not incomplete, (len(incomplete), len(results), incomplete[:3])
+        assert all(a.text() == expected_text for k, a in results if k == "stream")
         assert all(n == 1 for n in runs.values())
-        return "%d confirmations and %d streams, all whole; each confirmation ran once" % (
+        return "%d confirmations and %d streams, all complete; each confirmation ran once" % (
             sum(k == "confirm" for k, _ in results), sum(k == "stream" for k, _ in results))
 
 
 def last_new_work(c, vm, since_ms):
-    """ms from since to the last attempt begun at vm, over all entry nodes."""
+    """Returns the ms from since_ms to the last attempt that an entry node began at the
+    VM, 0 if there was none."""
     last = 0
     for e in c.entries:
         for ev in e.events():
@@ -131,7 +141,8 @@
     return max(last, 0)
 
 
-def load_until(c, nodes, stop):
+def start_load(c, nodes, stop):
+    """Starts 6 threads that call the nodes in turn until stop is set. Returns them."""
     def work(n):
         i = 0
         while not stop.is_set():
@@ -143,10 +154,11 @@
     return threads
 
 
-def leaving_bound(c, nodes, vm, listed=False):
-    """Notice for vm under load; ms until the last new work went there."""
+def ms_until_last_new_work(c, nodes, vm, listed=False):
+    """Sends a notice for the VM under load. Returns the ms until the last attempt began
+    there."""
     stop = threading.Event()
-    threads = load_until(c, nodes, stop)
+    threads = start_load(c, nodes, stop)
     time.sleep(1)
     before = time.monotonic() * 1000
     c.reclaim(vm, in_ms=30000, listed=listed)
@@ -156,44 +168,47 @@
         t.join()
     wait_for(lambda: all(
         v["state"] != "live" for e in nodes for v in get_json(e.port, "/status")["vms"]
-        if v["id"] == vm), 20, "the mark at every node")
+        if v["id"] == vm), 20, "every node to know that it leaves")
     return last_new_work(c, vm, before)
 
 
 def test_leaving_with_a_lagging_list_and_dead_keepers():
-    """The list says "live" throughout; it must not bring the vm back."""
+    """The VM list lags and says "live" throughout: a VM whose reclaim was announced
+    must get no new work because of it."""
     with cluster(engines=0, services=3, keepers=True) as c:
         for k in c.keepers:
             k.kill()
         nodes = [e for e in c.entries if e.domain == "klein-hall"]
-        ms = leaving_bound(c, nodes, "klein-hall-s0")
+        ms = ms_until_last_new_work(c, nodes, "klein-hall-s0")
         c.list_vm("klein-hall-s0", c.proc("klein-hall-s0").port, "klein-hall", "slots",
-                  "small")  # the list tells "live" once more
+                  "small")  # the list reports "live" once more
         time.sleep(1.5)
         t = time.monotonic() * 1000
         for _ in range(30):
             call(nodes[0].port, "slots/find")
-        assert last_new_work(c, "klein-hall-s0", t) == 0, "the list brought it back"
+        assert last_new_work(c, "klein-hall-s0", t) == 0, "used again because of the list"
         assert ms < 3000, ms
         return "last new work %.0f ms after the notice, 6 nodes" % ms
 
 
 def test_leaving_seen_by_one_node_with_gossip_partly_cut():
-    """Only one node of the domain reaches the platform, and it can't reach one
-    of its two peers directly."""
+    """Only one of three nodes reaches the platform and so receives the notice, and it
+    can't reach one of its peers directly. The other nodes must learn of it by gossip
+    within 5 s."""
     with cluster(domains=["klein-hall"], entries=3, engines=0, services=3,
                  platform_cut=True, peer_cuts=True) as c:
         for name, path in c.platform_path.items():
             if name != "klein-hall-e0":
                 path.cut()
-        c.cuts["klein-hall-e2", "control"].cut()  # nobody opens a link to e2
+        c.cuts["klein-hall-e2", "control"].cut()  # no other node can open a link to e2
         time.sleep(1.5)
-        ms = leaving_bound(c, c.entries, "klein-hall-s0")
+        ms = ms_until_last_new_work(c, c.entries, "klein-hall-s0")
         assert ms < 5000, ms
         return "last new work %.0f ms after the notice, seen by 1 of 3 nodes" % ms
 
 
 def test_leaving_at_46_nodes():
+    """A notice must reach all of 46 nodes within 10 s."""
     with cluster(domains=["klein-hall"], entries=46, engines=0, services=3,
                  entry_args=["--quiet"]) as c:
         start = time.monotonic()
@@ -201,7 +216,7 @@
         wait_for(lambda: all(
             v["state"] != "live" for e in c.entries
             for v in get_json(e.port, "/status")["vms"] if v["id"] == "klein-hall-s0"),
-            30, "the mark at every node")
+            30, "every node to know that it leaves")
         ms = (time.monotonic() - start) * 1000
         assert ms < 10000, ms
-        return "46 nodes marked it within %.0f ms of the notice" % ms
+        return "46 nodes knew of the leaving VM within %.0f ms of the notice" % ms
--- a/tests/proc_refusals.py
+++ b/tests/proc_refusals.py
@@ -1,28 +1,32 @@
-"""Promise 3: a refusal that says a booking or a ride was not run is true.
-The upstream's own count of runs is compared with what the caller was told."""
+"""Promise 3: a refusal that reports a booking or a ride as not run is true. The tests
+compare the verdict that the caller receives with the upstream's own count of runs."""
 import socket
 import time
 
 from cluster import Answer, call, chat, wait_for
-from fakes import OK_ANSWER, RawUpstream, check_truth, cluster, small, spill_cluster
+from fakes import OK_ANSWER, RawUpstream, check_verdict, cluster, small_cluster, forwarding_cluster
 
 
 def with_upstream(behave, calls=1, path="slots/confirm", **kw):
-    up = RawUpstream(behave)
-    with small(services=0, engines=0, **kw) as c:
-        c.list_vm("raw", up.port, "klein-hall", "slots", "small")
+    """Sends calls to one RawUpstream with this behaviour and checks their verdicts.
+    Returns the answers and the upstream."""
+    upstream = RawUpstream(behave)
+    with small_cluster(services=0, engines=0, **kw) as c:
+        c.list_vm("raw", upstream.port, "klein-hall", "slots", "small")
         c.wait_ready()
         answers = [call(c.entries[0].port, path, "k%d" % i) for i in range(calls)]
-        up.close()
+        upstream.close()
         for i, a in enumerate(answers):
-            check_truth(a, up.runs.get("k%d" % i, 0))
-        return answers, up
+            check_verdict(a, upstream.runs.get("k%d" % i, 0))
+        return answers, upstream
 
 
 def test_no_listener_is_not_run():
+    """A refused connect proves that the call did not run. The refusal must say so, and
+    when to retry."""
     s = socket.socket()
     s.bind(("127.0.0.1", 0))
-    with small(services=0, engines=0) as c:
+    with small_cluster(services=0, engines=0) as c:
         c.list_vm("gone", s.getsockname()[1], "klein-hall", "slots", "small")
         c.wait_ready()
         a = call(c.entries[0].port, "slots/confirm", "k0")
@@ -32,42 +36,50 @@
 
 
 def test_connect_that_hangs_is_not_run():
+    """A connect that times out proves that the call did not run."""
     s = socket.socket()
     s.bind(("127.0.0.1", 0))
     s.listen(0)
-    fill = []
-    for _ in range(4):  # the backlog is full: further connects hang
+    backlog = []
+    for _ in range(4):  # a full backlog makes further connects hang
         f = socket.socket()
         f.setblocking(False)
         f.connect_ex(s.getsockname())
-        fill.append(f)
-    with small(services=0, engines=0) as c:
+        backlog.append(f)
+    with small_cluster(services=0, engines=0) as c:
         c.list_vm("hung", s.getsockname()[1], "klein-hall", "slots", "small")
         c.wait_ready()
         a = call(c.entries[0].port, "slots/confirm", "k0", headers={
             "Rillknot-Deadline-Ms": "4000"})
         assert a.verdict == "not-run", (a.status, a.verdict, a.body)
-    for f in fill + [s]:
+    for f in backlog + [s]:
         f.close()
 
 
 def test_cut_after_0_bytes():
+    """The upstream closes the connection at once: the request may have been sent, so it
+    may have run."""
     answers, _ = with_upstream(lambda conn, read, n: None)
     assert answers[0].verdict == "may-have-run"
 
 
 def test_cut_after_1_byte():
+    """The upstream closes the connection after 1 byte of the request: it may have
+    run."""
     answers, _ = with_upstream(lambda conn, read, n: read(1))
     assert answers[0].verdict == "may-have-run"
 
 
 def test_cut_after_all_bytes():
-    answers, up = with_upstream(lambda conn, read, n: read())
+    """The upstream reads the whole request and closes without an answer: it may have
+    run, and must not be sent again."""
+    answers, upstream = with_upstream(lambda conn, read, n: read())
     assert answers[0].verdict == "may-have-run"
-    assert up.seen == ["k0"], up.seen
+    assert upstream.received_keys == ["k0"], upstream.received_keys
 
 
 def test_cut_inside_the_answer():
+    """An answer that lacks its last byte must not pass as complete."""
     def behave(conn, read, n):
         read()
         conn.sendall(OK_ANSWER[:-1])
@@ -77,52 +89,58 @@
 
 
 def test_reused_connection_that_dies():
-    """libcurl sends a request again by itself when a kept connection dies before
-    a byte came back: for what may not be repeated that must not happen."""
+    """libcurl sends a request again by itself when a reused connection closes before
+    the first byte of the answer. It must not do so for a call that may not be
+    repeated."""
     def behave(conn, read, n):
         read()
         conn.sendall(OK_ANSWER)
-        read()  # a second request on the kept connection: taken, then dropped
-    answers, up = with_upstream(behave, calls=6)
-    assert all(n == 1 for n in up.runs.values()), up.runs
+        read()  # read a second request on the same connection, then close it
+    answers, upstream = with_upstream(behave, calls=6)
+    assert all(n == 1 for n in upstream.runs.values()), upstream.runs
     assert [a.verdict for a in answers] == ["ran"] * 6
 
 
 def test_503_proves_nothing_without_a_contract():
-    with small(engines=0) as c:
-        c.fault(c.services[0], "refuse-run", 1)  # runs, and says 503
+    """A 503 may be sent after the call ran. Unless the settings state that the
+    service's refusals were not run, the verdict must be may-have-run."""
+    with small_cluster(engines=0) as c:
+        c.fault(c.services[0], "refuse-run", 1)  # runs the call, then answers 503
         a = call(c.entries[0].port, "slots/confirm", "k0")
-        check_truth(a, c.runs().get("k0", 0))
+        check_verdict(a, c.runs().get("k0", 0))
         assert a.verdict == "may-have-run"
-        c.fault(c.services[0], "refuse", 1)  # doesn't run
+        c.fault(c.services[0], "refuse", 1)  # answers 503 without running it
         a = call(c.entries[0].port, "slots/confirm", "k1")
-        check_truth(a, c.runs().get("k1", 0))
+        check_verdict(a, c.runs().get("k1", 0))
 
 
 def test_503_with_a_contract_is_retried():
-    with small(engines=0, services=2) as c:
+    """With refusal_not_run set, a 503 proves that the call did not run, so it is
+    retried or reported as not run."""
+    with small_cluster(engines=0, services=2) as c:
         c.put_change(2, {"id": "c", "set": {"/services/slots/refusal_not_run": True}})
         c.wait_head(2)
         for s in c.services:
             c.fault(s, "refuse", 1)
         a = call(c.entries[0].port, "slots/confirm", "k0")
         runs = c.runs().get("k0", 0)
-        check_truth(a, runs)
+        check_verdict(a, runs)
         assert a.verdict == "not-run" or runs == 1, (a.verdict, runs)
 
 
 def test_run_then_cut_before_the_answer():
-    with small(engines=0) as c:
+    """A call that ran and lost its answer must be reported as may-have-run."""
+    with small_cluster(engines=0) as c:
         c.fault(c.services[0], "cut-after", 1)
         a = call(c.entries[0].port, "slots/release", "k0")
-        check_truth(a, c.runs().get("k0", 0))
+        check_verdict(a, c.runs().get("k0", 0))
         assert a.verdict == "may-have-run"
 
 
-def test_repeat_of_a_lost_answer_is_never_told_not_run():
-    """The first arrival ran and its answer was lost. Whatever refuses the second,
-    the key must not be said not to have run."""
-    with small(engines=0) as c:
+def test_repeat_of_a_lost_answer_is_never_reported_not_run():
+    """The first arrival of a key ran and lost its answer. Whatever refuses the second
+    arrival, it must not report the key as not run."""
+    with small_cluster(engines=0) as c:
         c.fault(c.services[0], "cut-after", 1)
         first = call(c.entries[0].port, "slots/confirm", "k0")
         assert first.verdict == "may-have-run" and c.runs() == {"k0": 1}
@@ -135,7 +153,9 @@
 
 
 def test_peer_that_is_killed_with_a_call_in_hand():
-    with spill_cluster() as c:
+    """A call was forwarded to a node that is killed while the call runs: the verdict
+    must be may-have-run."""
+    with forwarding_cluster() as c:
         a, b = c.entry("klein-hall-e0"), c.entry("eros-hall-e0")
         import threading
         got = []
@@ -145,66 +165,70 @@
         wait_for(lambda: c.runs().get("k0"), 20, "the call to run")
         b.kill()
         t.join()
-        check_truth(got[0], c.runs().get("k0", 0))
+        check_verdict(got[0], c.runs().get("k0", 0))
         assert got[0].verdict == "may-have-run", got[0].body
 
 
 def test_peer_that_is_frozen_with_a_call_in_hand():
-    with spill_cluster() as c:
+    """A call was forwarded to a frozen node, which may still run it when it thaws: the
+    verdict must stay true and the call run once at most."""
+    with forwarding_cluster() as c:
         a, b = c.entry("klein-hall-e0"), c.entry("eros-hall-e0")
         b.freeze()
         answer = call(a.port, "slots/confirm", "k0",
                       headers={"Rillknot-Deadline-Ms": "5000"})
-        runs_then = c.runs().get("k0", 0)
+        runs_before_thaw = c.runs().get("k0", 0)
         b.thaw()
         time.sleep(3)
         runs = c.runs().get("k0", 0)
-        check_truth(answer, runs)
-        assert runs <= 1, (runs_then, runs)
+        check_verdict(answer, runs)
+        assert runs <= 1, (runs_before_thaw, runs)
 
 
-def test_engine_refusals_are_true_too():
-    """A model call that may not be repeated (a lost-item report)."""
+def test_a_cut_engine_call_that_may_not_be_repeated_runs_once():
+    """A model call that may not be repeated, a report of a lost item, is cut after 3
+    tokens. Neither the node nor a repeat with the same key may run it again."""
     kw = dict(settings="etc/taxi.json", domains=["kadikoy"], engine_service="reports",
               plain_service="rides", services=0)
     h = {"Rillknot-Organisation": "drivers", "Idempotency-Key": "lost-1"}
-    with small(**kw) as c:
+    with small_cluster(**kw) as c:
         c.fault(c.engines[0], "cut-mid", 1, 3)
         a = chat(c.entries[0].port, "a bag was lost at the hotel", model="lost-item",
                  headers=h)
         assert isinstance(a, Answer) and not a.whole()
         from cluster import get_json
         assert get_json(c.engines[0].port, "/_runs")["calls"] == 1
-        again = chat(c.entries[0].port, "a bag was lost at the hotel", model="lost-item",
-                     headers=h)
-        assert again.verdict == "may-have-run", again.body
+        repeat = chat(c.entries[0].port, "a bag was lost at the hotel", model="lost-item",
+                      headers=h)
+        assert repeat.verdict == "may-have-run", repeat.body
         assert get_json(c.engines[0].port, "/_runs")["calls"] == 1
 
 
-# Guards against requests to an upstream that has asked for rest, sent again and again.
-def test_an_upstream_that_asks_for_rest_is_left_alone():
-    def turn_away(conn, read, n):
+def test_a_cooldown_requested_by_an_upstream_is_kept():
+    """An upstream that refuses with Retry-After: 2 must get two requests at most from
+    0.5 to 1.9 s afterwards, and be used again once the 2 s are over."""
+    def refuse_with_retry_after(conn, read, n):
         read()
-        turned.append(time.monotonic())
+        refused_at.append(time.monotonic())
         conn.sendall(b"HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n")
 
     def serve(conn, read, n):
         read()
         conn.sendall(OK_ANSWER)
 
-    turned, tired, fresh = [], RawUpstream(turn_away), RawUpstream(serve)
-    with small(services=0, engines=0) as c:
-        c.list_vm("tired", tired.port, "klein-hall", "slots", "small")
-        c.list_vm("fresh", fresh.port, "klein-hall", "slots", "small")
+    refused_at, cooling, serving = [], RawUpstream(refuse_with_retry_after), RawUpstream(serve)
+    with small_cluster(services=0, engines=0) as c:
+        c.list_vm("tired", cooling.port, "klein-hall", "slots", "small")
+        c.list_vm("fresh", serving.port, "klein-hall", "slots", "small")
         c.wait_ready()
-        wait_for(lambda: call(c.entries[0].port, "slots/find").whole() and turned, 10,
-                 "a call that is turned away")
-        end = turned[0] + 5
+        wait_for(lambda: call(c.entries[0].port, "slots/find").whole() and refused_at, 10,
+                 "a refused call")
+        end = refused_at[0] + 5
         while time.monotonic() < end:
             call(c.entries[0].port, "slots/find")
             time.sleep(0.02)
-        rested = [t for t in turned if turned[0] + 0.5 < t < turned[0] + 1.9]
-        assert len(rested) <= 2, "%d requests in a rest" % len(rested)
-        assert [t for t in turned if t > turned[0] + 2], "it isn't used again"
-    for up in (tired, fresh):
-        up.close()
+        during_cooldown = [t for t in refused_at if refused_at[0] + 0.5 < t < refused_at[0] + 1.9]
+        assert len(during_cooldown) <= 2, "%d requests during the cooldown" % len(during_cooldown)
+        assert [t for t in refused_at if t > refused_at[0] + 2], "the VM is not used again"
+    for upstream in (cooling, serving):
+        upstream.close()
--- a/tests/proc_settings.py
+++ b/tests/proc_settings.py
@@ -1,5 +1,5 @@
-"""Promise 7: an accepted configuration is in force everywhere within seconds and
-never reverts. Operators are real rillknotctl processes."""
+"""Promise 7: an accepted settings change takes effect at all nodes within seconds and
+never reverts. The operators are real rillknotctl processes."""
 import json
 import os
 import subprocess
@@ -7,10 +7,11 @@
 import time
 
 from cluster import get_json, wait_for
-from fakes import cluster, small
+from fakes import cluster, small_cluster
 
 
 def ctl(c, *args, author="op"):
+    """Runs rillknotctl. Returns its exit code and output."""
     r = subprocess.run([c.bin("rillknotctl"), "--platform",
                         "http://127.0.0.1:%d" % c.platform.port, "--author", author, *args],
                        stdout=subprocess.PIPE, stderr=subprocess.STDOUT, timeout=60,
@@ -19,29 +20,34 @@
 
 
 def history(c):
-    """The log as the platform has it: {number: change}."""
+    """Returns the platform's log of changes: {number: change}."""
     rows = get_json(c.platform.port, "/objects?prefix=settings/changes/")
     return {int(r["name"].rsplit("/", 1)[1]): json.loads(r["value"]) for r in rows}
 
 
 def heads_of(node):
+    """Returns the newest change's number at each time that the node put settings in
+    force."""
     return [e["head"] for e in node.events() if e.get("event") == "settings.in_force"]
 
 
 def check_heads(c):
+    """Checks in the event logs that no node ever went back to older settings."""
     for e in c.entries:
         heads = heads_of(e)
         assert heads == sorted(heads), (e.name, heads)
 
 
 def wait_equal(c, head, timeout=10):
+    """Waits until the newest change in force at every node is the one numbered head."""
     wait_for(lambda: all(get_json(e.port, "/status")["settings_head"] == head
                          for e in c.entries), timeout, "head %d everywhere" % head)
 
 
 def race(c, operators, rounds, paths):
-    """Operators set values at once; what each was told, against the log."""
-    told, lock = [], threading.Lock()
+    """Operators set values at once. Checks that every accepted change is in the log, no
+    refused one is, and the final values are those of the log. Returns a summary."""
+    outcomes, lock = [], threading.Lock()
 
     def operate(n):
         for i in range(rounds):
@@ -50,25 +56,25 @@
             code, out = ctl(c, "settings", "set", "%s=%d" % (path, value),
                             author="op%d" % n)
             with lock:
-                told.append((code, path, value, out))
+                outcomes.append((code, path, value, out))
     threads = [threading.Thread(target=operate, args=(n,)) for n in range(operators)]
     for t in threads:
         t.start()
     for t in threads:
         t.join()
     log = history(c)
-    in_log = {(p, v) for ch in log.values() for p, v in ch["set"].items()
+    logged = {(p, v) for ch in log.values() for p, v in ch["set"].items()
               if isinstance(v, int)}
-    for code, path, value, out in told:
+    for code, path, value, out in outcomes:
         assert code in (0, 4, 5), (code, out)
         if code == 0:
-            assert (path, value) in in_log, ("accepted but lost", path, value)
+            assert (path, value) in logged, ("accepted but lost", path, value)
         if code == 4:
-            assert (path, value) not in in_log, ("refused but done", path, value)
+            assert (path, value) not in logged, ("refused but in the log", path, value)
             assert "conflict" in out
     wait_equal(c, max(log))
     check_heads(c)
-    # Every accepted change is in the final tree or overridden by a later one.
+    # Every accepted change is in the final settings or overridden by a later change.
     final = {}
     for n in sorted(log):
         for p, v in log[n]["set"].items():
@@ -77,8 +83,8 @@
         if path in final:
             code, out = ctl(c, "settings", "get", path)
             assert code == 0 and json.loads(out) == final[path], (path, out)
-    codes = [t[0] for t in told]
-    return "%d operators: %d accepted, %d conflicts, %d unknown, log of %d" % (
+    codes = [t[0] for t in outcomes]
+    return "%d operators: %d accepted, %d conflicts, %d unknown outcomes, log of %d changes" % (
         operators, codes.count(0), codes.count(4), codes.count(5), len(log))
 
 
@@ -86,11 +92,14 @@
 
 
 def test_two_racing_operators():
+    """Two operators who write at once must not overwrite each other's changes."""
     with cluster(engines=0, services=0) as c:
         return race(c, 2, 6, PATHS)
 
 
 def test_ten_racing_operators_and_lost_answers():
+    """Ten operators write while answers of the platform are lost: a change reported as
+    accepted must be in the log, a conflict must not."""
     with cluster(engines=0, services=0) as c:
         stop = threading.Event()
 
@@ -106,7 +115,8 @@
 
 
 def test_stale_reads():
-    """The platform's reads lag while operators write."""
+    """The platform's reads lag while operators write: no node may go back to older
+    settings."""
     with cluster(engines=0, services=0) as c:
         for i in range(5):
             c.fault(c.platform, "stale", 2)
@@ -118,22 +128,25 @@
 
 
 def test_time_until_in_force_everywhere():
+    """An accepted change must be in force at all 6 nodes within 5 s."""
     with cluster(engines=0, services=0) as c:
-        worst = 0
+        slowest_s = 0
         for i in range(8):
             start = time.monotonic()
             code, out = ctl(c, "settings", "set", "/max_calls=%d" % (3000 + i))
             assert code == 0, out
             wait_equal(c, 2 + i)
-            worst = max(worst, time.monotonic() - start)
-        assert worst < 5, worst
-        return "slowest of 8 changes in force at 6 nodes after %.0f ms" % (worst * 1000)
+            slowest_s = max(slowest_s, time.monotonic() - start)
+        assert slowest_s < 5, slowest_s
+        return "slowest of 8 changes in force at 6 nodes after %.0f ms" % (slowest_s * 1000)
 
 
 def test_node_cut_off_from_the_platform_and_back():
+    """A failure domain that is cut off from the platform must receive new settings by
+    gossip, and must not go back when the platform returns."""
     with cluster(engines=0, services=0, platform_cut=True) as c:
         node = c.entries[-1]
-        for e in c.entries:  # its whole failure domain, so that no neighbour helps
+        for e in c.entries:  # the whole failure domain, so that no peer there can help
             if e.domain == node.domain:
                 c.platform_path[e.name].cut()
         code, out = ctl(c, "settings", "set", "/max_calls=2222")
@@ -148,6 +161,8 @@
 
 
 def test_node_started_while_the_platform_is_down():
+    """A node that starts during an outage of the platform must get the settings from
+    its peers."""
     with cluster(engines=0, services=0) as c:
         assert ctl(c, "settings", "set", "/max_calls=2222")[0] == 0
         wait_equal(c, 2)
@@ -161,7 +176,8 @@
 
 
 def test_a_platform_that_lags_after_a_restart():
-    """Its reads show the past for a while; nobody goes back."""
+    """The platform's reads show older settings while a node restarts: no node may go
+    back to them."""
     with cluster(engines=0, services=0) as c:
         for i in range(3):
             assert ctl(c, "settings", "set", "/max_calls=%d" % (2000 + i))[0] == 0
@@ -175,7 +191,9 @@
         check_heads(c)
 
 
-def test_a_bad_change_around_the_tool_is_skipped_by_all():
+def test_an_invalid_change_written_to_the_store_is_skipped_by_all():
+    """An invalid change that was written without rillknotctl's checks must be skipped
+    by every node, and the valid one after it applied."""
     with cluster(engines=0, services=0) as c:
         c.put_change(2, {"id": "bad", "set": {"/services/slots/deadline_ms": "soon"}})
         c.put_change(3, {"id": "good", "set": {"/max_calls": 1234}})
@@ -188,8 +206,10 @@
         assert skipped == [1] * len(c.entries), skipped
 
 
-def test_exit_codes_and_words():
-    with small(engines=0, services=0) as c:
+def test_exit_codes_and_messages_of_rillknotctl():
+    """Scripts rely on the exit codes: 1 for a refused change, 2 for wrong usage, 3 for
+    a platform that can't be reached."""
+    with small_cluster(engines=0, services=0) as c:
         assert ctl(c, "settings", "set", "/max_calls=notanumber")[0] == 1
         assert ctl(c, "settings", "set", "/nonsense=3")[0] == 1
         assert ctl(c, "nonsense")[0] == 2
@@ -205,9 +225,10 @@
         assert code == 3 and "not reached" in out, (code, out)
 
 
-def test_shards_of_keys_stay():
-    """With another number of shards a claimed key would be forgotten."""
-    with small(engines=0) as c:
+def test_the_number_of_claim_shards_cannot_change():
+    """With another number of shards a claimed key would be looked up in another shard,
+    and could run again."""
+    with small_cluster(engines=0) as c:
         code, out = ctl(c, "settings", "set", "/claim_shards=16")
         assert code == 1 and "run again" in out, (code, out)
         c.put_change(2, {"id": "around", "set": {"/claim_shards": 16}})
@@ -217,7 +238,9 @@
 
 
 def test_ctl_apply_of_a_whole_tree():
-    with small(engines=0, services=0) as c:
+    """The command "settings apply" must write only what differs from the settings in
+    force."""
+    with small_cluster(engines=0, services=0) as c:
         path = os.path.join(c.dir, "tree.json")
         with open("etc/hospital.json") as f:
             text = f.read().replace('"claim_commit_ms": 5', '"claim_commit_ms": 7')
--- a/tests/proc_soak.py
+++ b/tests/proc_soak.py
@@ -1,26 +1,32 @@
-"""A short fault soak with fixed seeds, and the seeds that ever failed
-(tests/soak-seeds.txt). The long one, with fresh seeds, is tools/soak.py."""
+"""Short soak tests under random faults, with fixed seeds and with the seeds that failed
+before (tests/soak-seeds.txt). tools/soak.py runs longer ones with new seeds."""
 import soak
 
 SECONDS = 6
 NODES = 4
 
 
-def play(seed):
-    problems, done, faults = soak.soak(seed, SECONDS, NODES)
+def run_seed(seed):
+    """Runs the soak with one seed. Fails if it found a problem, or if too few calls
+    were answered with 200 for its checks to mean anything."""
+    problems, answers_by_status, faults = soak.soak(seed, SECONDS, NODES)
     assert not problems, "\n".join(problems + faults)
-    assert done.get(200, 0) > 50, done
-    return "%d served under %d faults" % (done[200], len(faults))
+    assert answers_by_status.get(200, 0) > 50, answers_by_status
+    return "%d served under %d faults" % (answers_by_status[200], len(faults))
 
 
 def test_the_promises_hold_under_random_faults():
-    return play(20261202)
+    """All promises, checked from what callers and upstreams see, under kills, cuts,
+    freezes and faults of the store."""
+    return run_seed(20261202)
 
 
 def test_the_promises_hold_under_other_faults():
-    return play(7)
+    """The same under another order of faults."""
+    return run_seed(7)
 
 
 def test_seeds_that_failed_before_hold():
+    """Each seed that once failed must pass."""
     for seed in soak.known_seeds():
-        play(seed)
+        run_seed(seed)
--- a/tests/proc_stop.py
+++ b/tests/proc_stop.py
@@ -1,19 +1,20 @@
-"""Promise 6: a planned stop cuts off no request."""
+"""Promise 6: a planned stop of an entry node cuts off no request."""
 import threading
 import time
 
 from cluster import Answer, call, chat, request, wait_for
-from fakes import cluster, small, spill_cluster
+from fakes import cluster, small_cluster, forwarding_cluster
 
 PROMPT = "Prepare the patient for the visit at the clinic in Otjiwarongo. " * 10
 
 
 class Balancer:
-    """Like the platform's: sends to nodes whose /health says ready, polled."""
+    """Stands for the platform's load balancer: polls /health every 100 ms and sends
+    calls in turn to the nodes that report ready."""
 
     def __init__(self, c):
         self.c, self.ready, self.stop = c, [], threading.Event()
-        self.turn = 0
+        self.picks = 0
         self.poll()
         self.thread = threading.Thread(target=self.run)
         self.thread.start()
@@ -28,8 +29,8 @@
             self.poll()
 
     def pick(self):
-        self.turn += 1
-        return self.ready[self.turn % len(self.ready)]
+        self.picks += 1
+        return self.ready[self.picks % len(self.ready)]
 
     def close(self):
         self.stop.set()
@@ -37,26 +38,30 @@
 
 
 def stream_through(balancer, prompt, max_tokens):
-    """A caller that comes back with Last-Event-ID when told to resume."""
-    text, last, resumes = "", None, 0
+    """Receives one stream through the balancer, and resumes it with Last-Event-ID when
+    a node asks for that. Returns the last answer, the text and the number of
+    resumes."""
+    text, last_id, resumes = "", None, 0
     while True:
-        h = {"Last-Event-ID": str(last)} if last is not None else {}
+        h = {"Last-Event-ID": str(last_id)} if last_id is not None else {}
         a = chat(balancer.pick().port, prompt, max_tokens=max_tokens, headers=h)
         if a.status != 200:
             return a, text, resumes
         text += a.text()
         ids = [i for i, _ in a.events() if i is not None]
-        last = ids[-1] if ids else last
-        told = any(isinstance(d, tuple) and d[0] == "resume" for _, d in a.events())
-        if not told:
+        last_id = ids[-1] if ids else last_id
+        resume_requested = any(isinstance(d, tuple) and d[0] == "resume" for _, d in a.events())
+        if not resume_requested:
             return a, text, resumes
         resumes += 1
 
 
-def rolling(c, notice_ms, max_tokens, seconds=None):
+def rolling_restart(c, notice_ms, max_tokens, seconds=None):
+    """Stops and restarts every entry node in turn under load. Checks that no call is
+    cut, each text is complete and each confirmation ran once. Returns a summary."""
     b = Balancer(c)
-    want = chat(c.entries[0].port, PROMPT, max_tokens=max_tokens).text()
-    got, lock, stop = [], threading.Lock(), threading.Event()
+    expected_text = chat(c.entries[0].port, PROMPT, max_tokens=max_tokens).text()
+    results, lock, stop = [], threading.Lock(), threading.Event()
 
     def work(n):
         i = 0
@@ -67,9 +72,9 @@
                 ok, resumes = a.whole(), 0
             else:
                 a, text, resumes = stream_through(b, PROMPT, max_tokens)
-                ok = a.whole() and text == want
+                ok = a.whole() and text == expected_text
             with lock:
-                got.append((ok, resumes, a))
+                results.append((ok, resumes, a))
     threads = [threading.Thread(target=work, args=(n,)) for n in range(8)]
     for t in threads:
         t.start()
@@ -85,27 +90,31 @@
         for t in threads:
             t.join()
         b.close()
-    bad = [(a.status, a.error, a.verdict, a.body[-200:]) for ok, _, a in got if not ok]
-    assert not bad, (len(bad), len(got), bad[:3])
+    failed = [(a.status, a.error, a.verdict, a.body[-200:]) for ok, _, a in results if not ok]
+    assert not failed, (len(failed), len(results), failed[:3])
     assert all(n == 1 for n in c.runs().values())
-    return "%d calls over a rolling restart of %d nodes, 0 cut, %d resumed at a peer" % (
-        len(got), len(c.entries), sum(r for _, r, _ in got))
+    return "%d calls during a rolling restart of %d nodes, 0 cut, %d resumed at a peer" % (
+        len(results), len(c.entries), sum(r for _, r, _ in results))
 
 
 def test_rolling_restart_of_all_entry_nodes():
+    """With a notice of 15 s, longer than any call, a rolling restart must cut off
+    none."""
     with cluster(entries=2, engines=2) as c:
-        return rolling(c, 15000, 40)
+        return rolling_restart(c, 15000, 40)
 
 
 def test_streams_longer_than_the_notice_are_handed_over():
+    """Streams that last longer than the notice of 2.5 s must be resumed at a peer."""
     with cluster(entries=2, engines=2, proc_extra={"notice_ms": 2500}) as c:
-        out = rolling(c, 2500, 400)
+        out = rolling_restart(c, 2500, 400)
         assert " 0 resumed" not in out, out
         return out
 
 
 def test_confirmation_in_hand_at_a_stopping_node():
-    with small(engines=0, service_args=["--work-ms", "1500"]) as c:
+    """A node that stops with a call in flight must wait for it and answer."""
+    with small_cluster(engines=0, service_args=["--work-ms", "1500"]) as c:
         out = []
         t = threading.Thread(target=lambda: out.append(
             call(c.entries[0].port, "slots/confirm", "k")))
@@ -117,17 +126,16 @@
 
 
 def test_a_peers_calls_in_hand_when_the_notice_is_over():
-    """Seen: a planned stop ended with SIGSEGV, once in an earlier sitting; under a
-    sanitizer, use after free in rk_exchange_cancel() in 2 of 8 rolling restarts.
-
-    How it came about: a node stopped with calls in hand that peers had handed to it. All
-    its calls were ended, without a word to who had asked, and then the peers' links were
-    closed, which called off the same calls. Cause: what was kept of a peer's call was the
-    address of the call here. Proof: here such a call runs when the notice is over."""
-    with spill_cluster(proc_extra={"notice_ms": 400}) as c:
+    """Forwarded calls of a peer still run when the notice of a planned stop is over.
+
+    Guards against a use after free in rk_exchange_cancel(): a planned stop ended with
+    SIGSEGV once, and under a sanitizer in 2 of 8 rolling restarts. The node ended all
+    its calls without notifying the peers that had forwarded them, then closed the peers'
+    links, which cancelled the same calls through addresses that were no longer valid."""
+    with forwarding_cluster(proc_extra={"notice_ms": 400}) as c:
         a, b = c.entry("klein-hall-e0"), c.entry("eros-hall-e0")
-        got = []
-        calls = [threading.Thread(target=lambda n=n: got.append(
+        results = []
+        calls = [threading.Thread(target=lambda n=n: results.append(
             call(a.port, "slots/confirm", "k%d" % n))) for n in range(4)]
         for t in calls:
             t.start()
@@ -135,4 +143,5 @@
         assert b.stop() == 0
         for t in calls:
             t.join()
-        assert all(x.verdict != "not-run" for x in got), [(x.status, x.verdict) for x in got]
+        assert all(x.verdict != "not-run" for x in results), [
+            (x.status, x.verdict) for x in results]
