--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,11 @@
 #!/usr/bin/env python3
-"""Runs all tests: cmocka units, RapidCheck properties (seeds fixed here), and
-process tests. With --prove only the process tests and properties that prove a
-promise, as a table. Ends with "N passed, N failed"."""
+"""Runs all tests: cmocka unit tests, RapidCheck properties with a fixed seed, and
+process tests (tests/proc_*.py).
+
+With --prove it leaves out the unit tests and also prints the results by promise: the
+numbered guarantees that rillknot gives to its users. The last line is
+"N passed, N failed". The exit code is 1 if a test failed that KNOWN-RED.txt does not
+list."""
 import argparse
 import concurrent.futures
 import glob
@@ -16,50 +20,51 @@
 HERE = os.path.dirname(os.path.abspath(__file__))
 ROOT = os.path.dirname(HERE)
 sys.path[:0] = [HERE, os.path.join(ROOT, "tools")]
-# Debian's packages, also where another Python stands first in the path.
+# Debian's Python packages, also when another Python comes first in PATH.
 sys.path.append("/usr/lib/python3/dist-packages")
 
-SEED = "20261202"
-PARALLEL = 3  # process tests at once: each starts up to a dozen processes
+PROPERTY_SEED = "20261202"
+PARALLEL_TESTS = 3  # each process test starts up to a dozen processes
 TEST_TIMEOUT_S = 400
 
-
-# What each file proves, in the order of the table that --prove prints.
+# The promises that each test file covers, in the order in which --prove prints them.
 PROMISES = {
-    "proc_reclaim": "1, 5  accepted work survives a reclaim; a leaving vm gets no new work",
-    "proc_answers": "2     whole answers to the right caller",
-    "proc_refusals": "3     a refusal that says not run is true",
+    "proc_reclaim": "1, 5  accepted work survives a reclaim; a leaving VM gets no new work",
+    "proc_answers": "2     complete answers to the right caller",
+    "proc_refusals": "3     a refused call reported as not run did not run",
     "proc_once": "4     at most once",
-    "prop_claims": "4     at most once, any order",
-    "proc_stop": "6     a planned stop cuts off nothing",
-    "proc_settings": "7     settings in force, never reverting",
-    "proc_keeper": "8     leases and orders",
+    "prop_claims": "4     at most once, random event orders",
+    "proc_stop": "6     a planned stop cuts off no call",
+    "proc_settings": "7     settings take effect everywhere and never revert",
+    "proc_keeper": "8     leases and orders to engines",
     "proc_overload": "9     overload",
     "proc_input": "10    bad input",
-    "prop_fuzz": "10    bad input, bytes",
-    "prop_holding": "1, 8  how many vms are held, whatever stands and can't be had",
-    "prop_core": "2-9   rows, streams, leases, shares in any order",
-    "proc_traces": "all   recorded traces as stated",
-    "proc_hosted_calls": "hosted  calls by routes: bytes, at most once, streams, time",
+    "prop_fuzz": "10    bad input, random bytes",
+    "prop_holding": "1, 8  number of VMs held, for any listed VMs and missing capacity",
+    "prop_core": "2-9   VM rows, streams, leases, shares in random order",
+    "proc_traces": "all   recorded traces with their expected outcomes",
+    "proc_hosted_calls": "hosted  routed calls: bytes, at most once, streams, timing",
     "proc_hosted_input": "hosted  bad input",
-    "proc_hosted_entries": "hosted  vms that start again, entries of another writer",
-    "proc_crashes": "9     a call that ends its vms gets three of them",
-    "proc_hosted_crashes": "hosted  a request that ends its vms is sent no more",
-    "proc_hosted_signals": "hosted  what vms say of themselves in answers",
-    "proc_hosted_limits": "hosted  a vm that names a request limit gets no more",
-    "proc_hosted_leaving": "hosted  a vm that says it leaves gets nothing more",
-    "proc_hosted_rest": "hosted  a vm that asks for rest is left alone",
-    "proc_hosted_moves": "hosted  streams move from engines that leave, whole",
-    "proc_hosted_rollouts": "hosted  versions: good ones taken, bad ones given back",
-    "prop_rollout": "hosted  versions, whatever is seen and when",
-    "proc_hosted_fleet": "hosted  settings, vms, quotas, duties, stops over several nodes",
-    "proc_hosted_engines": "hosted  engines of unknown speed: learnt, told, kept",
-    "proc_hosted_bridges": "hosted  a large fleet: bridges, digests, news, quotas, usage",
+    "proc_hosted_entries": "hosted  restarted VMs, entries written by another program",
+    "proc_crashes": "9     a call that crashes its VMs is sent to three at most",
+    "proc_hosted_crashes": "hosted  a request that crashes its VMs is stopped",
+    "proc_hosted_signals": "hosted  signals that VMs send in their answers",
+    "proc_hosted_limits": "hosted  a VM gets no more requests than its advertised limit",
+    "proc_hosted_leaving": "hosted  a VM that signals its leaving gets no more calls",
+    "proc_hosted_rest": "hosted  a cooldown requested by a VM is kept",
+    "proc_hosted_moves": "hosted  streams move unbroken from leaving engines",
+    "proc_hosted_rollouts": "hosted  rollouts: good versions committed, bad rolled back",
+    "prop_rollout": "hosted  rollouts under random reports and timing",
+    "proc_hosted_fleet": "hosted  settings, VMs, quotas, leader duties, stops of several nodes",
+    "proc_hosted_engines": "hosted  engine speeds: learnt, sent to peers, persisted",
+    "proc_hosted_bridges": "hosted  a large fleet: bridges, digests, updates, quotas, usage",
     "proc_soak": "hosted  the promises under random faults",
 }
 
 
-def known_red():
+def read_known_red():
+    """Returns the entries of KNOWN-RED.txt by test name: known failures that do not
+    fail the run."""
     path = os.path.join(ROOT, "KNOWN-RED.txt")
     if not os.path.exists(path):
         return {}
@@ -69,7 +74,8 @@
 
 
 def run_binary(path, max_success):
-    env = dict(os.environ, RC_PARAMS="seed=%s max_success=%d" % (SEED, max_success),
+    """Runs a test program. Returns its exit code and output."""
+    env = dict(os.environ, RC_PARAMS="seed=%s max_success=%d" % (PROPERTY_SEED, max_success),
                CMOCKA_MESSAGE_OUTPUT="STDOUT")
     r = subprocess.run([path], env=env, stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
                        timeout=TEST_TIMEOUT_S, cwd=ROOT, check=False)
@@ -77,39 +83,43 @@
 
 
 def binary_results(path, max_success):
-    """[(name, passed, output)] of a test program."""
+    """Runs a test program and returns [(name, passed, output)] of its tests. A program
+    that reports no test, or fails though each test passed, counts as one test."""
     name = os.path.basename(path)
     try:
         code, out = run_binary(path, max_success)
     except subprocess.TimeoutExpired:
         return [(name, False, "timed out")]
     tests = re.findall(r"^\[ +(OK|FAILED) +\] (\w+)$", out, re.M)
-    seen = {}
+    passed_by_test = {}
     for result, test in tests:
-        seen[test] = seen.get(test, True) and result == "OK"
-    results = [("%s.%s" % (name, t), ok, "" if ok else out) for t, ok in seen.items()]
+        passed_by_test[test] = passed_by_test.get(test, True) and result == "OK"
+    results = [("%s.%s" % (name, t), ok, "" if ok else out) for t, ok in passed_by_test.items()]
     if not results or (code != 0 and all(ok for _, ok, _ in results)):
         results.append((name, code == 0, out))
     return results
 
 
 def process_tests(pattern):
+    """Returns (module, test) of each process test whose MODULE.TEST contains
+    pattern."""
     tests = []
     for path in sorted(glob.glob(os.path.join(HERE, "proc_*.py"))):
-        mod = os.path.basename(path)[:-3]
-        m = importlib.import_module(mod)
-        for name in dir(m):
-            if name.startswith("test_") and pattern in "%s.%s" % (mod, name):
-                tests.append((mod, name))
+        module_name = os.path.basename(path)[:-3]
+        module = importlib.import_module(module_name)
+        for name in dir(module):
+            if name.startswith("test_") and pattern in "%s.%s" % (module_name, name):
+                tests.append((module_name, name))
     return tests
 
 
-def run_process_test(mod, name, build):
-    """Each in a process of its own, so that nothing leaks from one to the next."""
+def run_process_test(module_name, name, build):
+    """Runs one test in a process of its own, so that it shares no state with others.
+    Returns (passed, output, seconds)."""
     start = time.time()
     try:
         r = subprocess.run([sys.executable, os.path.abspath(__file__), "--one",
-                            "%s.%s" % (mod, name), "--build", build],
+                            "%s.%s" % (module_name, name), "--build", build],
                            stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
                            timeout=TEST_TIMEOUT_S, cwd=ROOT, check=False)
         return r.returncode == 0, r.stdout.decode("utf-8", "replace"), time.time() - start
@@ -118,20 +128,23 @@
 
 
 def run_one(spec, build):
+    """Runs one process test in this process and prints its measured figures. Exits with
+    1 on failure."""
     os.environ["RILLKNOT_BUILD"] = build
-    mod, name = spec.split(".")
+    module_name, name = spec.split(".")
     try:
-        out = getattr(importlib.import_module(mod), name)()
-    except BaseException:  # noqa: B902 a test may fail in any way
+        out = getattr(importlib.import_module(module_name), name)()
+    except BaseException:  # noqa: B902 a test may fail with any exception
         traceback.print_exc()
         sys.exit(1)
     print("measured: %s" % out if out else "")
 
 
 def print_table(table):
-    print("\nWhat was proved in this run, with the counts as the upstreams saw them:")
-    for module, promise in PROMISES.items():
-        rows = table.get(module, [])
+    """Prints the results of the test files in PROMISES, with measured figures."""
+    print("\nResults of this run by promise; run counts are those of the upstreams:")
+    for file_name, promise in PROMISES.items():
+        rows = table.get(file_name, [])
         print("\n%s: %d of %d" % (promise, sum(ok for _, ok, _ in rows), len(rows)))
         for test, ok, measured in sorted(rows):
             print("  %-7s %-66s %s" % ("holds" if ok else "FAILED",
@@ -143,17 +156,18 @@
     p.add_argument("--build", default="build")
     p.add_argument("--prove", action="store_true")
     p.add_argument("--one")
-    p.add_argument("--only", default="", help="process tests whose name has this")
+    p.add_argument("--only", default="",
+                   help="run only the process tests whose MODULE.NAME contains this text")
     p.add_argument("--skip-process", action="store_true",
-                   help="units and properties only (for the sanitizer builds)")
+                   help="run unit tests and properties only (for the sanitizer builds)")
     p.add_argument("--no-count", action="store_true",
-                   help="don't print the closing line (a run beside the main one)")
+                   help='don\'t print the last line, "N passed, N failed" (for an additional run)')
     p.add_argument("--max-success", type=int, default=200)
     args = p.parse_args()
     if args.one:
         run_one(args.one, args.build)
         return 0
-    red, passed, failed, expected = known_red(), 0, 0, []
+    known_red, passed, failed, known_failures = read_known_red(), 0, 0, []
     table = {}
 
     def report(name, ok, out, took=None):
@@ -161,8 +175,8 @@
         measured = re.findall(r"^measured: (.+)$", out, re.M)
         table.setdefault(name.split(".")[0], []).append(
             (name.split(".")[-1], ok, measured[0] if measured else ""))
-        if not ok and name in red:
-            expected.append(red[name])
+        if not ok and name in known_red:
+            known_failures.append(known_red[name])
             print("known red  %s" % name)
             return
         passed += ok
@@ -183,15 +197,15 @@
                     report(*r)
     if not args.skip_process:
         tests = process_tests(args.only)
-        with concurrent.futures.ThreadPoolExecutor(PARALLEL) as pool:
-            futures = {pool.submit(run_process_test, m, n, args.build): (m, n)
-                       for m, n in tests}
+        with concurrent.futures.ThreadPoolExecutor(PARALLEL_TESTS) as pool:
+            futures = {pool.submit(run_process_test, module_name, n, args.build):
+                       (module_name, n) for module_name, n in tests}
             for f in concurrent.futures.as_completed(futures):
                 ok, out, took = f.result()
                 report("%s.%s" % futures[f], ok, out, took)
     if args.prove:
         print_table(table)
-    for line in expected:
+    for line in known_failures:
         print("KNOWN-RED: %s" % line)
     if not args.no_count:
         print("\n%d passed, %d failed" % (passed, failed))
--- a/tests/signals.py
+++ b/tests/signals.py
@@ -1,5 +1,5 @@
-"""A fleet for tests of what VMs say of themselves: engines that answer a few calls a
-second each, callers of all nodes who ask all the time."""
+"""A fleet for the tests of signals that VMs send in their answers: nodes in three
+zones, VMs behind them, and callers that send calls at a constant rate."""
 import itertools
 import threading
 import time
@@ -7,17 +7,22 @@
 from hosted import Hosted, wait_until
 
 ZONES = ("a-hall", "b-hall", "c-hall")
-# Prompts of a few kinds: each has VMs that calls for it go to first.
+# Headers of four kinds of prompts: hash:tokens of each prompt segment. Calls of one kind
+# prefer the same VMs.
 PROMPTS = [("Rillknot-Prompt-Prefix", "%04x:2000,%04x:300" % (kind, 100 + kind))
            for kind in range(4)]
 TOKENS = ("Rillknot-Token-Usage", "2300,20")
 
 
 class Fleet:
+    """Nodes and VMs of one service, ready for calls. Stops the callers and all
+    processes on exit. With events > 0 the VMs are engines that stream that many events,
+    else plain services. d is the Hosted deployment."""
+
     def __init__(self, nodes=8, workers=9, events=3, kind="streaming", **kw):
         self.stop = threading.Event()
-        self.answers = []  # (when it was sent, node, answer)
-        self.askers = []
+        self.answers = []  # (monotonic time sent, node's index, answer)
+        self.callers = []
         self.d = Hosted(nodes=nodes, zones=ZONES, **kw).start()
         engine = {"engine": {"slots": 32, "kvCapacity": 100000}} if events else {}
         for n in range(workers):
@@ -28,12 +33,14 @@
         self.settle()
 
     def settle(self):
+        """Waits until every node is ready and has received reports of all nodes."""
         self.d.wait_ready()
         wait_until(lambda: all(self.d.gauge(n, "nodes_heard") == len(self.d.nodes)
                                for n in self.d.nodes))
         time.sleep(0.4)
 
     def add(self, zone, events):
+        """Adds a VM to the zone."""
         worker = self.d.add_worker("llm", events=events, zone=zone, slots=32)
         worker.gap_s = 0.01
 
@@ -42,42 +49,49 @@
 
     def __exit__(self, *failure):
         self.stop.set()
-        for asker in self.askers:
-            asker.join()
+        for caller in self.callers:
+            caller.join()
         self.d.__exit__(*failure)
 
     def ask(self, node, number=0):
+        """Sends one call to a node with a deadline of 3 s. Returns and records its
+        answer, or returns None if the node does not accept the connection."""
         sent = time.monotonic()
         try:
             answer = self.d.call("/s/x", node=node, deadline=3000,
                                  headers=(PROMPTS[number % len(PROMPTS)], TOKENS))
-        except OSError:  # the node is being restarted
+        except OSError:  # the node is restarting
             return None
         self.answers.append((sent, node, answer))
         return answer
 
-    def _ask_on(self, node, first, pause_s):
-        for number in itertools.count(first):
+    def _call_until_stopped(self, node, first_number, pause_s):
+        """Calls the node every pause_s seconds, varying the prompt, until the fleet
+        stops."""
+        for number in itertools.count(first_number):
             if self.stop.is_set():
                 return
             self.ask(node, number)
             time.sleep(pause_s)
 
     def keep_asking(self, per_s, nodes=None):
-        """So many calls a second, of callers of these nodes, until the fleet ends."""
+        """Starts callers that send per_s calls a second in total, evenly to the given
+        nodes (default: all), until the fleet stops."""
         nodes = list(nodes or range(len(self.d.nodes)))
         for n in nodes:
-            asker = threading.Thread(target=self._ask_on, args=(n, n, len(nodes) / per_s))
-            self.askers.append(asker)
-            asker.start()
+            caller = threading.Thread(target=self._call_until_stopped,
+                                      args=(n, n, len(nodes) / per_s))
+            self.callers.append(caller)
+            caller.start()
 
     def served(self, since=0.0):
-        """(calls answered whole, calls) of those sent later."""
+        """Returns (calls answered in full, all calls) of those sent at or after
+        since."""
         answers = [a for at, _, a in self.answers if at >= since]
         return sum(a.status == 200 and a.whole for a in answers), len(answers)
 
 
 def most_within(times, window_s):
-    """The most of these times that lie within some window."""
+    """Returns the greatest number of the given times that lie within any window."""
     times = sorted(times)
     return max((sum(at <= t < at + window_s for t in times) for at in times), default=0)
