--- a/tools/digest_slopes.c
+++ b/tools/digest_slopes.c
@@ -1,5 +1,7 @@
-/* Measures what a bridge's digest costs, in one process: to pack it, and for a node
- * to take it in, by the size of the fleet. Prints one line each. */
+/* Measures the CPU time that a bridge's digest costs: to pack and unpack it, and,
+ * for several fleet sizes, to merge it into a node's state. A bridge is the elected
+ * relay node of a failure domain; its digest aggregates the reports of the domain's
+ * nodes. Runs in one process and prints one line per measurement. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,79 +11,87 @@
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-#define DOMAINS  5
-#define ORGS     333
-#define VMS      250
-#define DIGESTS  400
-#define PER_CALL 4000.0
+#define DOMAINS        5
+#define ORGS           333
+#define VMS            250
+#define ITERATIONS     400    /* repetitions of each measurement */
+#define UNITS_PER_CALL 4000.0 /* quota units, in tokens, that one call uses */
 
-static const int sizes[] = {100, 985, 1776, 3552};
+/* Numbers of nodes in the fleet. */
+static const int fleet_sizes[] = {100, 985, 1776, 3552};
 
-struct words {
+/* A digest with all the records it points to. */
+struct digest_input {
     Rillknot__OrgUse uses[ORGS], *use_ptrs[ORGS];
     Rillknot__VmUse vms[VMS], *vm_ptrs[VMS];
     char orgs[ORGS][RK_ID_MAX], vm_ids[VMS][RK_ID_MAX];
     Rillknot__Digest digest;
 };
 
-static void name(char *id, char *addr, int number)
+/* Writes the id and the control address of the peer with this number. */
+static void format_peer(char *id, char *addr, int number)
 {
     snprintf(id, RK_ID_MAX, "edge-%d", number);
     snprintf(addr, RK_ADDR_MAX, "10.0.%d.%d:1", number / 250, number % 250);
 }
 
-static void fill(struct words *w)
+/* Fills the digest with usage of ORGS organisations and VMS VMs. */
+static void fill_digest(struct digest_input *in)
 {
-    rillknot__digest__init(&w->digest);
+    rillknot__digest__init(&in->digest);
     for (int i = 0; i < ORGS; i++) {
-        snprintf(w->orgs[i], RK_ID_MAX, "org-%d", i);
-        rillknot__org_use__init(&w->uses[i]);
-        w->uses[i].units = PER_CALL * i;
-        w->uses[i].asking = (float)PER_CALL;
-        w->uses[i].org = w->orgs[i];
-        w->use_ptrs[i] = &w->uses[i];
+        snprintf(in->orgs[i], RK_ID_MAX, "org-%d", i);
+        rillknot__org_use__init(&in->uses[i]);
+        in->uses[i].units = UNITS_PER_CALL * i;
+        in->uses[i].asking = (float)UNITS_PER_CALL;
+        in->uses[i].org = in->orgs[i];
+        in->use_ptrs[i] = &in->uses[i];
     }
     for (int i = 0; i < VMS; i++) {
-        snprintf(w->vm_ids[i], RK_ID_MAX, "i-%010x", i);
-        rillknot__vm_use__init(&w->vms[i]);
-        w->vms[i].running = 1;
-        w->vms[i].waiting_tokens = PER_CALL;
-        w->vms[i].pace_calls = w->vms[i].pace_log_sum = 1;
-        w->vms[i].life = (uint32_t)i;
-        w->vms[i].id = w->vm_ids[i];
-        w->vm_ptrs[i] = &w->vms[i];
+        snprintf(in->vm_ids[i], RK_ID_MAX, "i-%010x", i);
+        rillknot__vm_use__init(&in->vms[i]);
+        in->vms[i].running = 1;
+        in->vms[i].waiting_tokens = UNITS_PER_CALL;
+        in->vms[i].pace_calls = in->vms[i].pace_log_sum = 1;
+        in->vms[i].life = (uint32_t)i;
+        in->vms[i].id = in->vm_ids[i];
+        in->vm_ptrs[i] = &in->vms[i];
     }
-    w->digest.n_uses = ORGS;
-    w->digest.uses = w->use_ptrs;
-    w->digest.n_vms = VMS;
-    w->digest.vms = w->vm_ptrs;
-    w->digest.vms_told = true;
-    w->digest.domain = "hall-0";
-    w->digest.incarnation = 1;
-    w->digest.fleet = true;
+    in->digest.n_uses = ORGS;
+    in->digest.uses = in->use_ptrs;
+    in->digest.n_vms = VMS;
+    in->digest.vms = in->vm_ptrs;
+    in->digest.vms_told = true;
+    in->digest.domain = "hall-0";
+    in->digest.incarnation = 1;
+    in->digest.fleet = true;
 }
 
-static void learn_members(struct rk_mesh *m, int nodes)
+/* Adds nodes - 1 peers, spread over DOMAINS failure domains, to the mesh. */
+static void add_members(struct rk_mesh *m, int nodes)
 {
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
     for (int i = 1; i < nodes; i++) {
-        name(id, addr, i);
+        format_peer(id, addr, i);
         struct member *k = rk_mesh_learn(m, id, addr);
         snprintf(k->domain, sizeof(k->domain), "hall-%d", i % DOMAINS);
     }
 }
 
-/* A node knows of all organisations that peers told of, and used some. */
-static struct rk_relay_report *make_report(const struct words *w)
+/* Returns the node's own report. It has a record of every organisation in the
+ * digest, because a node keeps one for each organisation that a peer reported. The
+ * caller frees it with rk_relay_report_free(). */
+static struct rk_relay_report *make_report(const struct digest_input *in)
 {
     struct rk_relay_report *r = rk_alloc(1, sizeof(*r));
     r->uses = rk_alloc(ORGS, sizeof(*r->uses));
     r->uses_len = ORGS;
     for (int i = 0; i < ORGS; i++)
-        rk_strcpy(r->uses[i].org, sizeof(r->uses[i].org), w->orgs[i]);
+        rk_strcpy(r->uses[i].org, sizeof(r->uses[i].org), in->orgs[i]);
     return r;
 }
 
+/* Returns the CPU time used by this process, in microseconds. */
 static double cpu_us(void)
 {
     struct timespec ts;
@@ -89,8 +99,10 @@
     return (double)ts.tv_sec * 1e6 + (double)ts.tv_nsec / 1e3;
 }
 
-/* Two bridges tell in turn, as they do. */
-static double digest_us(struct words *w, int nodes)
+/* Returns the CPU time, in microseconds, to merge one digest at a node of a fleet
+ * of this size. The RK_MESH_BRIDGES bridges of the domain send alternately, as in
+ * production. */
+static double merge_us(struct digest_input *in, int nodes)
 {
     struct rk_node *n = rk_alloc(1, sizeof(*n));
     struct rk_mesh *m = rk_alloc(1, sizeof(*m));
@@ -98,19 +110,19 @@
     m->n = n;
     n->mesh = m;
     rk_strcpy(n->file.failure_domain, sizeof(n->file.failure_domain), "hall-0");
-    n->report = make_report(w);
+    n->report = make_report(in);
     rk_mesh_init_members(m);
-    learn_members(m, nodes);
+    add_members(m, nodes);
     double start = cpu_us();
-    for (int i = 0; i < DIGESTS; i++) {
-        name(id, addr, (1 + i % RK_MESH_BRIDGES) * DOMAINS);
-        w->uses[i % ORGS].units += PER_CALL;
+    for (int i = 0; i < ITERATIONS; i++) {
+        format_peer(id, addr, (1 + i % RK_MESH_BRIDGES) * DOMAINS);
+        in->uses[i % ORGS].units += UNITS_PER_CALL;
         struct rk_relay_peers peers = {0};
-        rk_digest_take(rk_mesh_find(m, id), &w->digest);
+        rk_digest_take(rk_mesh_find(m, id), &in->digest);
         rk_loads_fill(m, &peers, rk_mono_ms());
         free(peers.loads);
     }
-    double us = (cpu_us() - start) / DIGESTS;
+    double us = (cpu_us() - start) / ITERATIONS;
     rk_mesh_free_members(m);
     free(m->news);
     free(m);
@@ -119,33 +131,35 @@
     return us;
 }
 
-static double pack_us(struct words *w, size_t *len)
+/* Returns the CPU time, in microseconds, to pack a digest, and its size in *len. */
+static double pack_us(struct digest_input *in, size_t *len)
 {
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_DIGEST;
-    frame.digest = &w->digest;
+    frame.digest = &in->digest;
     double start = cpu_us();
-    for (int i = 0; i < DIGESTS; i++) {
+    for (int i = 0; i < ITERATIONS; i++) {
         struct rk_packed_frame packed = rk_frame_pack(&frame);
         *len = packed.len;
         rk_packed_frame_free(&packed);
     }
-    return (cpu_us() - start) / DIGESTS;
+    return (cpu_us() - start) / ITERATIONS;
 }
 
-static double unpack_us(struct words *w)
+/* Returns the CPU time to unpack one digest, in microseconds. */
+static double unpack_us(struct digest_input *in)
 {
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT, *got;
     frame.body_case = RILLKNOT__FRAME__BODY_DIGEST;
-    frame.digest = &w->digest;
+    frame.digest = &in->digest;
     struct rk_packed_frame packed = rk_frame_pack(&frame);
     struct rk_arena *arena = rk_arena_create();
     double start = cpu_us();
-    for (int i = 0; i < DIGESTS; i++) {
+    for (int i = 0; i < ITERATIONS; i++) {
         rk_frame_decode_in(packed.data, packed.len, arena, &got);
         rk_arena_reset(arena);
     }
-    double us = (cpu_us() - start) / DIGESTS;
+    double us = (cpu_us() - start) / ITERATIONS;
     rk_arena_destroy(arena);
     rk_packed_frame_free(&packed);
     return us;
@@ -153,15 +167,15 @@
 
 int main(void)
 {
-    struct words *w = rk_alloc(1, sizeof(*w));
-    fill(w);
+    struct digest_input *in = rk_alloc(1, sizeof(*in));
+    fill_digest(in);
     size_t len = 0;
-    double us = pack_us(w, &len);
+    double us = pack_us(in, &len);
     printf("packed: %.0f us of processor, %zu bytes\n", us, len);
-    printf("unpacked: %.0f us of processor\n", unpack_us(w));
-    for (size_t i = 0; i < RK_ARRAY_LEN(sizes); i++)
-        printf("%d nodes: %.0f us of processor a digest\n", sizes[i],
-               digest_us(w, sizes[i]));
-    free(w);
+    printf("unpacked: %.0f us of processor\n", unpack_us(in));
+    for (size_t i = 0; i < RK_ARRAY_LEN(fleet_sizes); i++)
+        printf("%d nodes: %.0f us of processor a digest\n", fleet_sizes[i],
+               merge_us(in, fleet_sizes[i]));
+    free(in);
     return 0;
 }
