--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -1,6 +1,9 @@
-"""Starts the stand-ins and rillknot's own processes on one machine, for the
-demo, the process tests and the benchmarks. Everything started is ended by its
-process id; ports are the kernel's choice."""
+"""Starts rillknot's processes and stand-ins for the platform and its VMs on one
+machine, for the demo, the process tests and the benchmarks.
+
+Only processes that were started here are ended, each by its process id. The kernel
+chooses the ports.
+"""
 import http.client
 import json
 import os
@@ -18,7 +21,10 @@
 
 
 class Proc:
-    """A child process whose standard output is its event log."""
+    """A child process whose standard output is a log file of JSON events.
+
+    Waits for ready_event, unless that is empty, and keeps it in self.ready.
+    """
 
     def __init__(self, args, log, ready_event="listening"):
         self.args, self.log = args, log
@@ -29,6 +35,7 @@
             self.ready = self.wait_event(ready_event)
 
     def events(self):
+        """Return the events logged so far; lines that are not JSON are skipped."""
         out = []
         with open(self.log, "rb") as f:
             for line in f:
@@ -39,6 +46,10 @@
         return out
 
     def wait_event(self, name, timeout=START_TIMEOUT_S):
+        """Return the first event of this name.
+
+        Raises RuntimeError when the process ends first or after timeout seconds.
+        """
         end = time.monotonic() + timeout
         while time.monotonic() < end:
             for e in self.events():
@@ -69,6 +80,10 @@
         self.popen.wait()
 
     def stop(self, timeout=40):
+        """Send SIGTERM and return the exit code.
+
+        Kills the process and returns None if it runs for another timeout seconds.
+        """
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
@@ -79,18 +94,21 @@
 
 
 class Answer:
-    """What a caller got: status, headers (lower case), body, SSE parts."""
+    """An HTTP response as a caller received it; header names are in lower case.
+
+    error describes the failure of the connection, None if there was none.
+    """
 
     def __init__(self, status, headers, body, error=None):
         self.status, self.headers, self.body, self.error = status, headers, body, error
-        self.began = self.ended = 0.0  # s of the monotonic clock
+        self.began = self.ended = 0.0  # seconds on the monotonic clock
 
     @property
     def verdict(self):
         return self.headers.get("rillknot-verdict", "")
 
     def events(self):
-        """[(id, data)] of a stream; data of named events is (name, data)."""
+        """Return [(id, data)] of an SSE stream; data of a named event is (name, data)."""
         out = []
         for block in self.body.decode("utf-8", "replace").split("\n\n"):
             ident = name = data = None
@@ -106,11 +124,12 @@
         return out
 
     def text(self):
-        """The tokens of a streamed answer, in order."""
+        """Return the concatenated tokens of a streamed answer."""
         return "".join(json.loads(d)["choices"][0]["delta"]["content"]
                        for i, d in self.events() if i is not None)
 
     def whole(self):
+        """Return whether the answer is a complete 200; a stream must end in [DONE]."""
         if self.error or self.status != 200:
             return False
         if "event-stream" in self.headers.get("content-type", ""):
@@ -120,7 +139,11 @@
 
 def request(port, method, path, body=b"", headers=None, timeout=60, host="127.0.0.1",
             on_data=None):
-    """One HTTP call; failures of the connection are in Answer.error."""
+    """Send one HTTP request and return the Answer.
+
+    A failure of the connection is returned in Answer.error. on_data is called with
+    the body received so far whenever more of it arrives.
+    """
     c = http.client.HTTPConnection(host, port, timeout=timeout)
     got = b""
     status, head = 0, {}
@@ -136,10 +159,10 @@
         status = r.status
         head = {k.lower(): v for k, v in r.getheaders()}
         while True:
-            part = r.read1(65536)
-            if not part:
+            chunk = r.read1(65536)
+            if not chunk:
                 break
-            got += part
+            got += chunk
             if on_data:
                 on_data(got)
         return answer()
@@ -155,6 +178,7 @@
 
 
 def get_json(port, path):
+    """Return the parsed body of a GET, None if it is empty."""
     a = request(port, "GET", path)
     if not a.body:
         print("GET %s at %d: status %d, no body, error %s" % (path, port, a.status, a.error))
@@ -162,13 +186,14 @@
 
 
 def metrics(port):
+    """Return the unlabelled integer metrics by name, without the rillknot_ prefix."""
     a = request(port, "GET", "/metrics")
     return {m[0]: int(m[1]) for m in
             re.findall(r"^rillknot_(\w+) (\d+)$", a.body.decode(), re.M)}
 
 
-class Cut:
-    """A TCP path between two processes that a test can cut, freeze and mend."""
+class CutProxy:
+    """A TCP proxy on loopback whose connections a test can cut and allow again."""
 
     def __init__(self, target):
         self.target = target
@@ -195,10 +220,10 @@
                 a.close()
                 continue
             self.conns += [a, b]
-            threading.Thread(target=self._pump, args=(a, b), daemon=True).start()
-            threading.Thread(target=self._pump, args=(b, a), daemon=True).start()
+            threading.Thread(target=self._forward, args=(a, b), daemon=True).start()
+            threading.Thread(target=self._forward, args=(b, a), daemon=True).start()
 
-    def _pump(self, a, b):
+    def _forward(self, a, b):
         try:
             while True:
                 data = a.recv(65536)
@@ -230,21 +255,33 @@
         self.sock.close()
 
 
-HELD = []  # sockets that keep the ports of free_port()
+RESERVED_SOCKETS = []  # sockets bound to the ports of free_port()
 
 
 def free_port():
-    """A port the kernel gives, for processes whose address must be known early
-    or stay the same over a restart. It is kept, without listening, while this process
-    lives: a process that is told to may listen there, nobody else is given it."""
+    """Reserve a port for a process whose address must be known before it starts
+    or must not change over a restart.
+
+    The port stays bound, but not listening, until this process ends. A process that
+    sets SO_REUSEADDR can listen on it, and the kernel gives it to nobody else.
+    """
     s = socket.socket()
     s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     s.bind(("127.0.0.1", 0))
-    HELD.append(s)
+    RESERVED_SOCKETS.append(s)
     return s.getsockname()[1]
 
 
 class Cluster:
+    """A cluster of entry nodes, engines, services and the stand-in platform.
+
+    Use it as a context manager. entries, engines and services are numbers per failure
+    domain. platform_cut and peer_cuts put a CutProxy between each entry node and the
+    platform or its peers. proc_extra holds fields that differ in the settings files of
+    all entry nodes. The log folder is deleted at the end, unless an exception was raised
+    or keep_logs is set.
+    """
+
     def __init__(self, build="build", settings="etc/hospital.json", domains=None,
                  entries=2, engines=3, services=1, engine_args=(), service_args=(),
                  keepers=False, entry_args=(), proc_extra=None, workdir=None,
@@ -270,7 +307,7 @@
                 self.add_service("%s-s%d" % (d, i), d, plain_service, service_args)
         if settings:
             with open(os.path.join(ROOT, settings)) as f:
-                self.push_tree(f.read())
+                self.push_settings(f.read())
         for i in range(entries):
             for d in self.domains:
                 self.add_entry("%s-e%d" % (d, i), d)
@@ -316,6 +353,11 @@
         post_json(self.platform.port, "/_vms", row)
 
     def add_entry(self, name, domain, args=(), extra=None, fixed=None):
+        """Start an entry node, on the same ports as an earlier node of this name.
+
+        extra holds settings-file fields that differ; fixed maps listen, control and
+        forward to ports.
+        """
         old = getattr(self, "_fixed", {})
         ports = fixed or old.get(name) or {k: free_port() for k in ("listen", "control",
                                                                     "forward")}
@@ -324,7 +366,7 @@
         platform_port = self.platform.port
         if self.platform_cut:
             if name not in self.platform_path:
-                self.platform_path[name] = Cut(self.platform.port)
+                self.platform_path[name] = CutProxy(self.platform.port)
             platform_port = self.platform_path[name].port
         seeds = ["127.0.0.1:%d" % self._advertised(e, "control") for e in list(old)[:3]
                  if e != name]
@@ -337,7 +379,7 @@
         if self.peer_cuts:
             for kind in ("control", "forward"):
                 if (name, kind) not in self.cuts:
-                    self.cuts[name, kind] = Cut(ports[kind])
+                    self.cuts[name, kind] = CutProxy(ports[kind])
                 conf[kind + "_advertise"] = "127.0.0.1:%d" % self.cuts[name, kind].port
         conf.update(self.proc_extra)
         conf.update(extra or {})
@@ -351,6 +393,7 @@
         return p
 
     def _advertised(self, name, kind):
+        """Return the port at which peers reach this listener of the node."""
         cut = self.cuts.get((name, kind))
         return cut.port if cut else self._fixed[name][kind]
 
@@ -376,11 +419,16 @@
     # -- settings --
 
     def put_change(self, number, change):
+        """Write settings change `number` to the platform, unless it exists."""
         return request(self.platform.port, "PUT", "/objects/settings/changes/%010d" % number,
                        json.dumps(change).encode(), {"If-None-Match": "*"})
 
-    def push_tree(self, text):
-        """Write a whole tree as the first change (comments are json-c's to read)."""
+    def push_settings(self, text):
+        """Write all settings as the first change.
+
+        The programs read comments in settings files with json-c; Python's parser does
+        not accept them, so they are removed here.
+        """
         body = '{"id":"first","author":"cluster","base":0,"set":%s}'
         tree = strip_comments(text)
         flat = {"/" + k: v for k, v in json.loads(tree).items()}
@@ -388,7 +436,8 @@
                        (body % json.dumps(flat)).encode(), {"If-None-Match": "*"})
 
     def wait_ready(self, timeout=START_TIMEOUT_S):
-        """Every entry node has settings, sees all others alive and its vms."""
+        """Wait until every entry node has settings, lists the live VMs of its domain,
+        and sees all other entry nodes alive."""
         def ready():
             for e in self.entries:
                 s = get_json(e.port, "/status")
@@ -402,28 +451,34 @@
         wait_for(ready, timeout, "the cluster to be ready")
 
     def wait_head(self, head, timeout=20):
-        """A change of settings is in force at every entry node."""
+        """Wait until settings change `head` is in force at every entry node."""
         wait_for(lambda: all(get_json(e.port, "/status")["settings_head"] >= head
                              for e in self.entries), timeout, "settings head %d" % head)
 
     # -- faults --
 
     def reclaim(self, vm, in_ms=30000, listed=False):
+        """Make the platform announce that it reclaims the VM in in_ms.
+
+        listed: the VM list shows the VM as leaving at once; otherwise the list lags.
+        """
         post_json(self.platform.port, "/_reclaim",
                   {"id": vm, "in_ms": in_ms, "list": int(listed)})
 
     def fault(self, proc, mode, count=-1, ms=0):
+        """Make a stand-in misbehave for the next count requests; -1: for all."""
         post_json(proc.port, "/_fault", {"mode": mode, "count": count, "ms": ms})
 
     def runs(self):
-        """Runs by key, summed over the plain services, as they counted."""
+        """Return the number of runs by key, summed over the plain services' own counts."""
         return self._by_key("/_runs", lambda a, b: a + b)
 
     def run_times(self):
-        """When each key first ran, in ms of the monotonic clock."""
+        """Return when each key first ran, in ms on the monotonic clock."""
         return self._by_key("/_times", min)
 
     def _by_key(self, page, join):
+        """Merge a page of all running services; join combines two values of a key."""
         total = {}
         for s in self.services:
             if s.popen.poll() is None:
@@ -440,13 +495,13 @@
             c.close()
 
     def _check_sanitizers(self):
-        """A sanitizer's word in any log fails whatever ran."""
+        """Raise AssertionError if a sanitizer reported anything in a log."""
         for p in self.procs.values():
             with open(p.log, "rb") as f:
                 text = f.read()
-            for word in (b"ThreadSanitizer", b"AddressSanitizer", b"LeakSanitizer",
-                         b"runtime error:"):
-                at = text.find(word)
+            for marker in (b"ThreadSanitizer", b"AddressSanitizer", b"LeakSanitizer",
+                           b"runtime error:"):
+                at = text.find(marker)
                 if at >= 0:
                     raise AssertionError("%s: %s" % (
                         p.name, text[at:at + 4000].decode("utf-8", "replace")))
@@ -461,12 +516,13 @@
 
 
 def strip_comments(text):
-    """JSON without // and /* */ comments (outside strings)."""
+    """Return JSON text without // and /* */ comments; strings are left alone."""
     return re.sub(r'("(?:\\.|[^"\\])*")|//[^\n]*|/\*.*?\*/',
                   lambda m: m.group(1) or "", text, flags=re.S)
 
 
 def wait_for(fn, timeout, what):
+    """Poll fn until it is true; raise AssertionError after timeout seconds."""
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         if fn():
@@ -481,6 +537,7 @@
 
 
 def chat(port, prompt, max_tokens=16, model="booking", stream=True, headers=None, **kw):
+    """Send a chat completion request and return its Answer."""
     body = {"model": model, "max_tokens": max_tokens, "stream": stream,
             "messages": [{"role": "user", "content": prompt}]}
     return request(port, "POST", "/v1/chat/completions", json.dumps(body).encode(),
@@ -488,6 +545,7 @@
 
 
 def call(port, path, key=None, body=b"{}", headers=None, method="POST", **kw):
+    """Call a plain service and return its Answer; key is the Idempotency-Key."""
     h = {**ORG, "Content-Type": "application/json", **(headers or {})}
     if key:
         h["Idempotency-Key"] = key
--- a/tools/faultproxy.py
+++ b/tools/faultproxy.py
@@ -1,5 +1,8 @@
-"""A TCP proxy on loopback that harms what passes through it: delays it, holds it back
-in one direction or both, or resets connections. One thread serves all of them."""
+"""A TCP proxy on loopback that injects faults into the connections through it.
+
+It delays data, holds it back in one direction or in both, limits its rate, drops long
+messages, or resets connections. One thread serves all proxies.
+"""
 import collections
 import selectors
 import socket
@@ -8,64 +11,68 @@
 
 from hosted import reset
 
-CHUNK = 65536
-HOLD_MAX = 4 * 1024 * 1024  # bytes kept back for one direction
+RECV_BYTES = 65536
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # buffered for one direction; then reading stops
 TICK_S = 0.01
-BURST_S = 0.05  # of its rate, that a narrow way may pass at once
+MAX_BURST_S = 0.05  # a rate limit lets through this time's worth of bytes at once
 
+# UP_ONLY passes only data to the target, DOWN_ONLY only data to the client.
 PASS, SILENT, UP_ONLY, DOWN_ONLY, RESET = "pass", "silent", "up-only", "down-only", "reset"
-FRAME_HEADER = 4  # of a message between nodes: its length, big endian
+FRAME_HEADER_BYTES = 4  # a message between nodes begins with its length, big endian
 
 
 class FrameFilter:
-    """Passes the messages of a byte stream that are no longer than a limit."""
+    """Removes messages whose body is longer than limit bytes from a byte stream."""
 
     def __init__(self, limit):
         self.limit, self.buf = limit, b""
-        self.left = 0  # bytes of the message under way
-        self.passes = True
+        self.remaining = 0  # bytes to come of the current message
+        self.pass_frame = True
         self.dropped = 0
 
     def feed(self, data):
+        """Return the bytes to pass on after this input."""
         out, self.buf = b"", self.buf + data
         while self.buf:
-            if not self.left:
-                if len(self.buf) < FRAME_HEADER:
+            if not self.remaining:
+                if len(self.buf) < FRAME_HEADER_BYTES:
                     break
-                size = int.from_bytes(self.buf[:FRAME_HEADER], "big")
-                self.left = FRAME_HEADER + size
-                self.passes = size <= self.limit
-                self.dropped += not self.passes
-            part, self.buf = self.buf[:self.left], self.buf[self.left:]
-            self.left -= len(part)
-            out += part if self.passes else b""
+                body_len = int.from_bytes(self.buf[:FRAME_HEADER_BYTES], "big")
+                self.remaining = FRAME_HEADER_BYTES + body_len
+                self.pass_frame = body_len <= self.limit
+                self.dropped += not self.pass_frame
+            part, self.buf = self.buf[:self.remaining], self.buf[self.remaining:]
+            self.remaining -= len(part)
+            out += part if self.pass_frame else b""
         return out
 
 
 class Direction:
-    """Bytes on their way from one socket to the other."""
+    """The bytes buffered from one socket to the other; up: to the target."""
 
     def __init__(self, source, sink, up):
         self.source, self.sink, self.up = source, sink, up
-        self.held = []  # (time it may leave, bytes)
-        self.size = 0
-        self.ended = False
-        self.filter = None
+        self.queue = []  # (time from which it may be sent, bytes); no bytes mean the end
+        self.buffered = 0  # bytes in the queue
+        self.eof = False
+        self.filter = None  # FrameFilter
+
 
+class Connection:
+    """A client's connection and the proxy's own connection to the target."""
 
-class Pair:
     def __init__(self, client, server):
         self.client, self.server = client, server
-        self.ways = (Direction(client, server, True), Direction(server, client, False))
+        self.directions = (Direction(client, server, True), Direction(server, client, False))
 
 
 class Loop:
-    """The thread that all proxies share."""
+    """The thread that serves all proxies."""
 
     def __init__(self):
         self.selector = selectors.DefaultSelector()
-        self.pairs = {}  # Pair -> FaultProxy; this thread's, as the selector is
-        self.calls = collections.deque()  # asked for by other threads
+        self.conns = {}  # Connection -> FaultProxy; used by this thread only
+        self.pending_calls = collections.deque()  # passed to call() by other threads
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self):
@@ -75,20 +82,21 @@
                     key.data()
                 except OSError:
                     pass
-            while self.calls:
-                self.calls.popleft()()
-            for pair, proxy in list(self.pairs.items()):
-                proxy.flush(pair)
+            while self.pending_calls:
+                self.pending_calls.popleft()()
+            for conn, proxy in list(self.conns.items()):
+                proxy.flush(conn)
 
     def call(self, function):
-        """Run it on the thread of the proxies."""
-        self.calls.append(function)
+        """Run a function on the thread that serves the proxies."""
+        self.pending_calls.append(function)
 
     def watch(self, sock, callback):
+        """Call callback whenever the socket is readable."""
         sock.setblocking(False)
         self.selector.register(sock, selectors.EVENT_READ, callback)
 
-    def forget(self, sock):
+    def unwatch(self, sock):
         try:
             self.selector.unregister(sock)
         except (KeyError, ValueError):
@@ -106,16 +114,16 @@
 
 
 class FaultProxy:
-    """Listens on a port of the kernel's choice; target may be set later."""
+    """A proxy on a port that the kernel chooses; target may be set later."""
 
     def __init__(self, target=None):
         self.target = target
         self.mode, self.delay_s = PASS, 0.0
-        self.frame_limit = None  # longer messages to the target are dropped
-        self.rate = None  # bytes a second to the client, of all connections together
-        self.passed = 0  # bytes to the target, so far
-        self.credit = 0.0
-        self.credit_at = time.monotonic()
+        self.frame_limit = None  # messages to the target with longer bodies are dropped
+        self.rate = None  # bytes/s to clients, over all connections; None: no limit
+        self.passed = 0  # bytes sent to the target
+        self.send_credit = 0.0  # bytes that rate allows now
+        self.credit_time = time.monotonic()
         self.loop = shared_loop()
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -125,24 +133,26 @@
         self.loop.call(lambda: self.loop.watch(self.sock, self._accept))
 
     def harm(self, mode, delay_s=0.0):
+        """Inject a fault: a mode, and a delay of the data read from now on."""
         self.mode, self.delay_s = mode, delay_s
         if mode == RESET:
             self.loop.call(self._reset)
 
     def heal(self):
+        """End the fault."""
         self.mode, self.delay_s = PASS, 0.0
 
     def close(self):
         self.loop.call(self._close)
 
     def _close(self):
-        self.loop.forget(self.sock)
+        self.loop.unwatch(self.sock)
         self.sock.close()
         self._reset()
 
     def _reset(self):
-        for pair in [p for p, proxy in self.loop.pairs.items() if proxy is self]:
-            self._end(pair, abort=True)
+        for conn in [p for p, proxy in self.loop.conns.items() if proxy is self]:
+            self._end(conn, abort=True)
 
     def _accept(self):
         client, _ = self.sock.accept()
@@ -156,88 +166,92 @@
         except OSError:
             reset(client)
             return
-        pair = Pair(client, server)
+        conn = Connection(client, server)
         if self.frame_limit is not None:
-            pair.ways[0].filter = FrameFilter(self.frame_limit)
-        self.loop.pairs[pair] = self
-        for way in pair.ways:
-            self.loop.watch(way.source, lambda w=way, p=pair: self._read(p, w))
+            conn.directions[0].filter = FrameFilter(self.frame_limit)
+        self.loop.conns[conn] = self
+        for direction in conn.directions:
+            self.loop.watch(direction.source, lambda w=direction, p=conn: self._read(p, w))
 
-    def _read(self, pair, way):
-        if way.size > HOLD_MAX or way.ended:
+    def _read(self, conn, direction):
+        if direction.buffered > MAX_BUFFERED_BYTES or direction.eof:
             return
         try:
-            data = way.source.recv(CHUNK)
+            data = direction.source.recv(RECV_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            self._end(pair, abort=True)
+            self._end(conn, abort=True)
             return
         if not data:
-            way.ended = True
-            self.loop.forget(way.source)
-        elif way.filter:
-            data = way.filter.feed(data)
+            direction.eof = True
+            self.loop.unwatch(direction.source)
+        elif direction.filter:
+            data = direction.filter.feed(data)
             if not data:
                 return
-        way.held.append((time.monotonic() + self.delay_s, data))
-        way.size += len(data)
+        direction.queue.append((time.monotonic() + self.delay_s, data))
+        direction.buffered += len(data)
 
-    def _blocked(self, way):
-        return self.mode == SILENT or (self.mode == UP_ONLY and not way.up) or \
-            (self.mode == DOWN_ONLY and way.up)
+    def _blocked(self, direction):
+        return self.mode == SILENT or (self.mode == UP_ONLY and not direction.up) or \
+            (self.mode == DOWN_ONLY and direction.up)
 
-    def _allow(self, way, size):
-        """How many of these bytes may pass now."""
-        if self.rate is None or way.up:
+    def _allowed_bytes(self, direction, size):
+        """Return how many of size bytes may be sent now."""
+        if self.rate is None or direction.up:
             return size
         now = time.monotonic()
-        earned = (now - self.credit_at) * self.rate
-        self.credit = min(self.credit + earned, self.rate * BURST_S)
-        self.credit_at = now
-        return min(size, int(self.credit))
+        earned = (now - self.credit_time) * self.rate
+        self.send_credit = min(self.send_credit + earned, self.rate * MAX_BURST_S)
+        self.credit_time = now
+        return min(size, int(self.send_credit))
 
-    def flush(self, pair):
+    def flush(self, conn):
+        """Send the buffered data that may be sent now."""
         now = time.monotonic()
-        for way in pair.ways:
-            while way.held and way.held[0][0] <= now and not self._blocked(way):
-                data = way.held[0][1]
-                if not self._send(pair, way, data):
+        for direction in conn.directions:
+            while (direction.queue and direction.queue[0][0] <= now
+                   and not self._blocked(direction)):
+                data = direction.queue[0][1]
+                if not self._send(conn, direction, data):
                     break
 
-    def _send(self, pair, way, data):
+    def _send(self, conn, direction, data):
+        """Send the first item of the queue; return whether to go on with the next one."""
         try:
             if not data:
-                way.held.pop(0)
-                way.sink.shutdown(socket.SHUT_WR)
-                if all(w.ended and not w.held for w in pair.ways):
-                    self._end(pair)
+                direction.queue.pop(0)
+                direction.sink.shutdown(socket.SHUT_WR)
+                if all(w.eof and not w.queue for w in conn.directions):
+                    self._end(conn)
                 return False
-            allowed = self._allow(way, len(data))
+            allowed = self._allowed_bytes(direction, len(data))
             if not allowed:
                 return False
-            sent = way.sink.send(data[:allowed])
+            sent = direction.sink.send(data[:allowed])
         except BlockingIOError:
             return False
         except OSError:
-            self._end(pair, abort=True)
+            self._end(conn, abort=True)
             return False
-        if way.up:
+        if direction.up:
             self.passed += sent
         elif self.rate is not None:
-            self.credit -= sent
-        way.size -= sent
+            self.send_credit -= sent
+        direction.buffered -= sent
         if sent < len(data):
-            way.held[0] = (way.held[0][0], data[sent:])
+            direction.queue[0] = (direction.queue[0][0], data[sent:])
             return False
-        way.held.pop(0)
+        direction.queue.pop(0)
         return True
 
-    def _end(self, pair, abort=False):
-        if self.loop.pairs.pop(pair, None) is None:
+    def _end(self, conn, abort=False):
+        """Close both sides of a connection, with a reset if abort is set."""
+        if self.loop.conns.pop(conn, None) is None:
             return
-        for sock in (pair.client, pair.server):
-            self.loop.forget(sock)
+        for sock in (conn.client, conn.server):
+            self.loop.unwatch(sock)
             if abort:
                 reset(sock)
             else:
--- a/tools/hosted.py
+++ b/tools/hosted.py
@@ -1,7 +1,9 @@
-"""A stand-in for the platform that hosts rillknot-node: its metadata store, its
-cloud API and its workers, by their published protocol, with the faults that tests
-ask for; and a deployment of real nodes in front of them. All in one process of the
-test, on ports of the kernel's choice."""
+"""A deployment of real rillknot-node processes on a stand-in for the hosting platform.
+
+The stand-ins implement the published protocol of the platform's metadata store, its
+cloud API and its workers (the VMs), with faults that tests can inject. They run in
+threads of the test's process, on ports that the kernel chooses.
+"""
 import collections
 import itertools
 import json
@@ -17,22 +19,27 @@
 from cluster import ROOT, Proc, free_port
 
 TEMPLATE = os.path.join(ROOT, "deploy", "entry.json")
-REASONS = {200: "OK", 404: "Not Found", 409: "Conflict", 410: "Gone", 421: "Misdirected",
+REASON_PHRASES = {200: "OK", 404: "Not Found", 409: "Conflict", 410: "Gone", 421: "Misdirected",
            429: "Too Many", 503: "Unavailable"}
 
 
 class Request:
+    """A received HTTP request; header names are in lower case."""
+
     def __init__(self, method, target, headers, body):
         self.method, self.target, self.headers, self.body = method, target, headers, body
-        self.at = time.monotonic()
+        self.at = time.monotonic()  # when it had been received
 
     def get(self, name, fallback=""):
         return self.headers.get(name.lower(), fallback)
 
 
 class RawServer:
-    """HTTP/1.1 on raw sockets, a thread for each connection, so that a test can
-    answer with any bytes. handle(request, conn) returns False to end it."""
+    """An HTTP/1.1 server on raw sockets, so that a test can answer with any bytes.
+
+    Each connection has a thread of its own. handle(request, conn) sends the answer
+    and returns False to close the connection.
+    """
 
     def __init__(self):
         self.sock = socket.socket()
@@ -70,6 +77,7 @@
 
     @staticmethod
     def _read(conn, buf):
+        """Return the next request, None at the end, and the bytes received after it."""
         while b"\r\n\r\n" not in buf:
             part = conn.recv(65536)
             if not part:
@@ -91,7 +99,7 @@
         return Request(method, target, headers, buf[:length]), buf[length:]
 
     def close(self):
-        """As a vm that is gone: nothing listens, what was open is reset."""
+        """Stop listening and reset all connections, as when a VM has disappeared."""
         self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
         for conn in list(self.conns):
@@ -102,6 +110,7 @@
 
 
 def reset(conn):
+    """Close a connection with a TCP reset."""
     try:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         conn.close()
@@ -113,39 +122,45 @@
     body = json.dumps(value).encode()
     conn.sendall(b"HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n"
                  b"Content-Length: %d\r\n\r\n%s"
-                 % (status, REASONS.get(status, "X").encode(), len(body), body))
+                 % (status, REASON_PHRASES.get(status, "X").encode(), len(body), body))
 
 
 class Store(RawServer):
-    """The metadata store. fault(request) may return "lost" (done, not answered),
-    "silent", "reset", a status to answer with, or None."""
+    """The metadata store.
+
+    fault(request) injects a fault: "lost" executes the request and does not answer,
+    "silent" does not execute it either, "reset" resets the connection, a number is
+    the status of the answer, and None means no fault.
+    """
 
     def __init__(self):
         self.objects = collections.defaultdict(dict)  # kind -> name -> object
-        self.log = []  # (revision, kind, gone, object)
+        self.log = []  # (revision, kind, whether it was deleted, object)
         self.revision = 100
-        self.oldest = 0  # history before it is forgotten
+        self.oldest_revision = 0  # a watch from an earlier revision is answered 410
         self.cond = threading.Condition()
         self.fault = None
-        self.calls = []
+        self.calls = []  # all requests received
         super().__init__()
 
     def put(self, kind, name, spec):
-        """As the operator or a worker writes it."""
+        """Write an object, as an operator or a worker does, and return it."""
         with self.cond:
             return self._write(kind, name, spec)
 
     def drop(self, kind, name):
+        """Delete an object, as an operator or a worker does."""
         with self.cond:
             self._remove(kind, name)
 
     def forget_history(self):
+        """Discard the change history; watches from an older revision are answered 410."""
         with self.cond:
-            self.oldest = self.revision
+            self.oldest_revision = self.revision
             self.cond.notify_all()
 
     def _write(self, kind, name, spec, status=None):
-        """A new spec keeps the status that was recorded."""
+        """Write an object; without a status, it keeps the recorded one."""
         if status is None:
             status = self.objects[kind].get(name, {}).get("status")
         self.revision += 1
@@ -193,7 +208,7 @@
                 return self._watch(kind, int(query["watch"]), int(query["waitMs"]))
             return self._list(kind, query.get("sinceRev", ""))
         with self.cond:
-            return self._one(req, kind, name)
+            return self._object_request(req, kind, name)
 
     def _list(self, kind, after):
         with self.cond:
@@ -203,10 +218,11 @@
                          "more": len(names) > len(page), "at": self.revision}
 
     def _watch(self, kind, since, wait_ms):
+        """Long poll: answer with later changes, or with none after wait_ms."""
         end = time.monotonic() + wait_ms / 1000
         with self.cond:
             while True:
-                if since < self.oldest:
+                if since < self.oldest_revision:
                     return 410, {"error": "history is gone"}
                 events = [{"gone": gone, "object": o} for rev, k, gone, o in self.log
                           if k == kind and rev > since]
@@ -215,7 +231,8 @@
                     return 200, {"events": events, "at": self.revision}
                 self.cond.wait(left)
 
-    def _one(self, req, kind, name):
+    def _object_request(self, req, kind, name):
+        """Answer a request for one object; the caller holds self.cond."""
         body = json.loads(req.body) if req.body else {}
         if req.method == "POST":
             name = body["metadata"]["name"]
@@ -227,8 +244,8 @@
             return 404, {}
         if req.method == "GET":
             return 200, o
-        wanted = body.get("metadata", {}).get("revision")
-        if wanted is not None and wanted != o["metadata"]["revision"]:
+        expected_revision = body.get("metadata", {}).get("revision")
+        if expected_revision is not None and expected_revision != o["metadata"]["revision"]:
             return 409, o
         if req.method == "DELETE":
             self._remove(kind, name)
@@ -241,13 +258,18 @@
 
 
 class Cloud(RawServer):
-    """Usage and orders, with fencing. refuse_spot: none to be had."""
+    """The cloud API for usage reports and VM orders, with fencing.
+
+    refuse_spot: orders of spot VMs are refused, as if there were no spot capacity.
+    fault(request) may return a status to answer with, or "lost": the request is
+    executed and not answered.
+    """
 
     def __init__(self):
-        self.usage = []  # (window, counts, holder, fence), those taken
-        self.orders = []
-        self.highest = {}
-        self.refused = []
+        self.usage = []  # accepted reports: (window, counts, leader, fence)
+        self.orders = []  # accepted: (service, zone, spot, count, leader, fence)
+        self.highest_fence = {}  # by subject: usage, or (service, zone)
+        self.refused = []  # requests with an outdated fence: (subject, fence, leader)
         self.refuse_spot = False
         self.fault = None
         super().__init__()
@@ -255,25 +277,25 @@
     def handle(self, req, conn):
         body = json.loads(req.body)
         fence = int(req.get("Rillknot-Fencing-Token"))
-        holder = req.get("Rillknot-Duty-Holder")
+        leader = req.get("Rillknot-Duty-Holder")
         subject = "usage" if req.target == "/usage" else (body["service"], body["zone"])
         fault = self.fault(req) if self.fault else None
         if isinstance(fault, int):
             answer_json(conn, fault, {})
             return True
-        if fence < self.highest.get(subject, 0):
-            self.refused.append((subject, fence, holder))
+        if fence < self.highest_fence.get(subject, 0):
+            self.refused.append((subject, fence, leader))
             answer_json(conn, 409, {"error": "a higher fence was seen"})
             return True
-        self.highest[subject] = fence
+        self.highest_fence[subject] = fence
         if req.target == "/usage":
-            self.usage.append((body["windowId"], body["counts"], holder, fence))
+            self.usage.append((body["windowId"], body["counts"], leader, fence))
         elif body.get("spot") and self.refuse_spot:
             answer_json(conn, 409, {"error": "none of that kind is to be had"})
             return True
         else:
             self.orders.append((body["service"], body["zone"], bool(body.get("spot")),
-                                body["desiredCount"], holder, fence))
+                                body["desiredCount"], leader, fence))
         if fault == "lost":
             time.sleep(30)
             return False
@@ -282,41 +304,46 @@
 
 
 class Worker(RawServer):
-    """A plain or model worker. fault(worker, request, conn) may answer in its own
-    way: it returns None to leave it to the worker, else what handle() returns."""
+    """A VM that runs a plain service, or a model engine if events is not 0.
+
+    fault(worker, request, conn) may answer a request itself and return what handle()
+    returns; if it returns None, the worker answers.
+    """
 
     ids = itertools.count(1)
-    copies = {}  # of runs' memory, by handle: (request's id, address of who holds it)
+    # Copies of requests' KV caches, by handle: (request id, address of the worker).
+    copies = {}
 
     def __init__(self, service, zone, events=0, slots=6, version="v1"):
         self.version = version
         self.id = "i-%010x" % next(self.ids)
         self.service, self.zone, self.slots = service, zone, slots
-        self.events = events  # of a stream; 0: plain
-        self.gap_s = 0.0
-        self.tokens_per_s = 0  # of prompts, read before the first event; 0: at once
+        self.events = events  # number of events in a stream; 0: plain service
+        self.gap_s = 0.0  # delay before each event
+        self.tokens_per_s = 0  # prefill rate before the first event; 0: no delay
         self.fault = None
-        self.seen = []
-        self.runs = collections.Counter()
-        self.left = []  # requests whose connection closed while they ran
-        self.stops = {}  # of streams that run, by request's id
-        self.move_fault = None  # of orders to move a run: full, gone, lost, dies
-        self.moved = []  # requests whose memory was copied away
-        self.went_on = []  # requests that went on from a copy
-        self.limit = None  # requests a second that it takes, named in its answers
-        self.says_leaving = False  # in its answers
-        self.rest_s = 0  # it turns all away, and asks for so much rest
+        self.seen = []  # all requests received, except orders to move a KV cache
+        self.runs = collections.Counter()  # executions by request id
+        self.left = []  # (request id, time) of streams that the caller's side closed
+        self.stops = {}  # threading.Event to stop a running stream, by request id
+        self.move_fault = None  # for orders to move a KV cache: full, gone, lost, dies
+        self.moved = []  # ids of requests whose KV cache was copied to another worker
+        self.went_on = []  # ids of requests that resumed from a copied KV cache
+        self.limit = None  # accepted requests/s, advertised in each answer
+        self.says_leaving = False  # whether each answer advertises that the VM leaves
+        self.rest_s = 0  # if not 0: refuses all requests and asks for this cooldown
         self.stopped = False
         self.born = int(time.time() * 1000)
         super().__init__()
 
     def spec(self, state="ready", spot=False):
+        """Return the worker's object in the metadata store."""
         return {"service": self.service, "address": self.addr, "zone": self.zone,
                 "version": self.version, "slots": self.slots, "state": state, "coldLeftMs": 0,
                 "spot": spot, "seqNo": 1, "born": self.born}
 
     def move(self, req, conn):
-        """Stops a run, and copies its memory to another worker."""
+        """Stop a running stream and copy its KV cache to another worker."""
         order = json.loads(req.body)
         stop = self.stops.get(order["id"])
         if self.move_fault == "gone" or stop is None:
@@ -336,7 +363,10 @@
         return True
 
     def has_copy(self, req):
-        """Of the run that the request goes on with; it serves once."""
+        """Take the KV cache copy that the request names; return whether it is usable here.
+
+        A copy can be used once.
+        """
         handle = req.get("Kv-From").split("/")[1]
         ident, addr = Worker.copies.pop(handle, (None, None))
         if ident != req.get("Rillknot-Attempt-Id") or addr != self.addr:
@@ -363,7 +393,7 @@
         return self.run(req, conn)
 
     def stop_at_once(self):
-        """As a process that is killed: what runs there is lost."""
+        """Stop like a killed process; running requests are lost."""
         self.stopped = True
         self.close()
 
@@ -371,7 +401,7 @@
         return "%s.%s" % (self.id, req.get("Rillknot-Attempt-Id"))
 
     def signals(self):
-        """What it says of itself in each answer."""
+        """Return the header lines that advertise the worker's state in each answer."""
         lines = b""
         if self.limit is not None:
             lines += b"Server-Limit: %g\r\n" % self.limit
@@ -380,13 +410,15 @@
         return lines
 
     def head(self, req, status=200, framing=b"", extra=b""):
+        """Return the status line and the headers of an answer."""
         return (b"HTTP/1.1 %d %s\r\nRillknot-Attempt-Id: %s\r\n"
                 b"Rillknot-Server-Signature: %s\r\n%s%s%s\r\n"
-                % (status, REASONS.get(status, "X").encode(),
+                % (status, REASON_PHRASES.get(status, "X").encode(),
                    req.get("Rillknot-Attempt-Id").encode(),
                    self.signature(req).encode(), self.signals(), framing, extra))
 
     def shed(self, req, conn):
+        """Refuse a request: 503, declared as not executed."""
         rest = b"Retry-After: %g\r\n" % self.rest_s if self.rest_s else b""
         conn.sendall(b"HTTP/1.1 503 Service Unavailable\r\nRillknot-Not-Executed: 1\r\n"
                      b"Rillknot-Attempt-Id: %s\r\n%s%sContent-Length: 0\r\n\r\n"
@@ -411,7 +443,10 @@
             number, req.get("Rillknot-Attempt-Id").encode(), number)
 
     def stream(self, req, conn, upto, end=True):
-        """Events after Last-Event-Id up to `upto`, in chunks."""
+        """Send the events after Last-Event-Id up to number upto, each in a chunk.
+
+        end: send the last chunk, too, which completes the answer.
+        """
         if self.tokens_per_s:
             tokens = float(req.get("Rillknot-Token-Usage", "0,0").split(",")[0])
             time.sleep(tokens / self.tokens_per_s)
@@ -436,21 +471,21 @@
 
 
 def render(text, fields):
-    """The platform's template language, as far as deploy/entry.json uses it."""
-    def look(name):
+    """Expand a template in the part of the platform's language that deploy/entry.json uses."""
+    def lookup(name):
         value = fields
         for part in name.split("."):
             value = value[int(part)] if isinstance(value, list) else value[part]
         return value
 
-    def given(name):
+    def lookup_or_none(name):
         try:
-            return look(name)
+            return lookup(name)
         except (KeyError, IndexError):
             return None
 
-    def each(match):
-        items = given(match.group(1))
+    def expand_section(match):
+        items = lookup_or_none(match.group(1))
         if items in (None, False):
             return ""
         if not isinstance(items, list):
@@ -461,12 +496,12 @@
             out.append(s.replace("{{,}}", "," if i + 1 < len(items) else ""))
         return "".join(out)
 
-    def one(match):
-        value = look(match.group(1))
+    def expand_field(match):
+        value = lookup(match.group(1))
         return json.dumps(value) if isinstance(value, bool) else str(value)
 
-    text = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", each, text, flags=re.S)
-    return re.sub(r"\{\{([\w.]+)\}\}", one, text)
+    text = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", expand_section, text, flags=re.S)
+    return re.sub(r"\{\{([\w.]+)\}\}", expand_field, text)
 
 
 BOUNDS = {"graceS": 8, "leaseMs": 1200, "reportWindowS": 1, "usageLateS": 4,
@@ -474,17 +509,23 @@
 
 
 class Answer:
+    """An HTTP response; status is 0 if none was received."""
+
     def __init__(self, status, headers, body, whole):
         self.status, self.headers, self.body, self.whole = status, headers, body, whole
         self.took_s = 0.0
 
 
 class Hosted:
-    """A deployment: store, cloud, workers, nodes. Use as a context manager."""
+    """A deployment of store, cloud, workers and nodes, used as a context manager.
+
+    The nodes are distributed over the zones (failure domains) in turn. bounds overrides
+    entries of BOUNDS.
+    """
 
     def __init__(self, nodes=1, zones=("klein-hall",), build=None, bounds=None,
                  fixed_addresses=False):
-        self.fixed_addresses = fixed_addresses  # nodes keep theirs over a restart
+        self.fixed_addresses = fixed_addresses  # nodes keep their addresses over a restart
         self.build = build or os.environ.get("RILLKNOT_BUILD", "build")
         self.zones = list(zones)
         self.bounds = dict(BOUNDS, **(bounds or {}))
@@ -493,14 +534,14 @@
         self.workers, self.nodes = [], []
         self.version = 0
         self.ids = itertools.count(1)
-        self.first_nodes = nodes
+        self.initial_nodes = nodes
 
     def __enter__(self):
         return self.start()
 
     def start(self):
-        """Start the first nodes, once."""
-        while len(self.nodes) < self.first_nodes:
+        """Start the initial nodes that do not run yet."""
+        while len(self.nodes) < self.initial_nodes:
             self.add_node()
         return self
 
@@ -521,10 +562,14 @@
             except OSError:
                 pass
 
-    # ---- parts ----
+    # ---- nodes and workers ----
 
     def add_node(self, first_start=True, **more):
-        """more: fields of the platform's settings that differ, and `advertise`."""
+        """Start a node and return its Proc.
+
+        more holds template fields that differ from the defaults, and `advertise`, the
+        control address that peers are given.
+        """
         number = len(self.nodes) + 1
         zone = self.zones[(number - 1) % len(self.zones)]
         any_port = "127.0.0.1:0"
@@ -553,9 +598,11 @@
         return node
 
     def restart_node(self, index):
-        """The same node again, as after a kill: the deployment has started before. One that
-        still runs is killed: left, it asked for its store for good, and calls at whoever
-        got that address next."""
+        """Restart a node as after a kill, in a deployment that has started before.
+
+        A node that still runs is killed. Otherwise it would go on calling its store for
+        good, and with it any server that is given the same address later.
+        """
         old = self.nodes[index]
         if old.popen.poll() is None:
             old.kill()
@@ -570,6 +617,7 @@
         return node
 
     def add_worker(self, service, events=0, zone=None, spot=False, **kw):
+        """Start a worker and list it in the store."""
         worker = Worker(service, zone or self.zones[0], events, **kw)
         worker.spot = spot
         self.workers.append(worker)
@@ -577,9 +625,12 @@
         return worker
 
     def roll_out(self, service, version, duration_s, bad=None, count=None):
-        """An operator's order: workers of a version start beside the old ones. bad: their
-        fault. What the platform does at its end is done here, too: the old ones stop at
-        once, or the new ones drain."""
+        """Order a rollout as an operator does; return the old and the new workers.
+
+        Starts workers of the new version beside the old ones, at most count of them; bad
+        is their fault. Acts for the platform at the end of the rollout: the old workers
+        are killed when it has completed, the new ones are drained when it is rolled back.
+        """
         listed = self.store.objects["servers"]
         old = [w for w in self.workers if w.service == service and w.id in listed]
         new = [self.add_worker(service, events=w.events, zone=w.zone, slots=w.slots,
@@ -606,11 +657,15 @@
         return old, new
 
     def rollout_state(self, service, version=None):
-        """As recorded, of that version if one is named."""
+        """Return the recorded state of the service's rollout.
+
+        Returns None if there is none, or if it is of another version than the named one.
+        """
         status = self.store.objects["rollouts"].get(service, {}).get("status") or {}
         return status.get("state") if version in (None, status.get("targetVersion")) else None
 
     def drain(self, worker):
+        """List the worker as draining."""
         self.store.put("servers", worker.id, worker.spec("draining", worker.spot))
 
     @staticmethod
@@ -623,7 +678,10 @@
         return r
 
     def configure(self, routes, services=("plain",), tenants=None, wait=True, **kw):
-        """Write the next version; wait until all nodes have it."""
+        """Write the next settings version and return its number.
+
+        wait: return only when all nodes have applied it.
+        """
         self.version += 3
         spec = {"version": self.version, "routes": routes,
                 "services": [s if isinstance(s, dict) else
@@ -647,7 +705,7 @@
     def wait_ready(self, timeout=20):
         wait_until(lambda: all(self.ready(n) for n in self.nodes), timeout)
 
-    # ---- asking nodes ----
+    # ---- requests to nodes ----
 
     @staticmethod
     def port(addr):
@@ -663,11 +721,13 @@
         return self.page(node.ready["metrics"], "/metrics").body.decode()
 
     def gauge(self, node, name):
+        """Return the value of an unlabelled metric, 0 if there is none."""
         found = re.search(r"^rillknot_%s (-?\d+)$" % name, self.metrics(node), re.M)
         return int(found.group(1)) if found else 0
 
     def call(self, target, node=0, method="POST", body=b"hello", key="key-1", ident=None,
              deadline=2000, headers=(), host="api.example", timeout=20):
+        """Send a request to a node and return the Answer; deadline is in ms."""
         ident = ident or "%016x" % next(self.ids)
         fields = [("Host", host), ("Rillknot-Attempt-Id", ident),
                   ("Rillknot-Deadline-Ms", str(deadline))]
@@ -685,11 +745,15 @@
         return s
 
     def runs(self, ident):
+        """Return how often all workers together executed the request."""
         return sum(w.runs[ident] for w in self.workers)
 
 
 def http(port, method, target, headers=(("Host", "x"),), body=b"", timeout=20):
-    """One request on a connection of its own; says whether the answer was whole."""
+    """Send one request on a new connection and return the Answer.
+
+    Answer.whole is False if the answer was incomplete or the connection failed.
+    """
     start = time.monotonic()
     s = socket.create_connection(("127.0.0.1", port), timeout)
     s.settimeout(timeout)
@@ -707,7 +771,10 @@
 
 
 def read_answer(s, method="GET", rest=None):
-    """rest: a list that keeps bytes behind the answer for the next call."""
+    """Read one answer from a connection.
+
+    rest is a list in which bytes received after the answer are kept for the next call.
+    """
     buf = rest.pop() if rest else b""
     try:
         while b"\r\n\r\n" not in buf:
@@ -729,6 +796,7 @@
 
 
 def read_body(s, headers, buf, method):
+    """Return the body, the bytes received after it, and whether it is complete."""
     def more():
         nonlocal buf
         try:
@@ -767,9 +835,10 @@
 
 
 def wait_until(condition, timeout=20, step=0.02):
+    """Poll condition until it is true; raise AssertionError after timeout seconds."""
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         if condition():
             return True
         time.sleep(step)
-    raise AssertionError("not in %s s: %s" % (timeout, condition))
+    raise AssertionError("condition not met within %s s: %s" % (timeout, condition))
