--- a/tools/demo.py
+++ b/tools/demo.py
@@ -67,17 +67,17 @@
         nodes = c.entries
         print("\nrequests through several nodes:")
         ok &= print_answer("clinic: referral summary (stream)", nodes[0].name,
-                   chat(nodes[0].port, "Summarise this referral for the specialist. " * 40,
-                        max_tokens=24))
+                           chat(nodes[0].port, "Summarise this referral for the specialist. " * 40,
+                                max_tokens=24))
         ok &= print_answer("patient: visiting hours", nodes[4].name,
-                   chat(nodes[4].port, "When may I visit?", stream=False))
+                           chat(nodes[4].port, "When may I visit?", stream=False))
         ok &= print_answer("call centre: confirm slot 17", nodes[1].name,
-                   call(nodes[1].port, "slots/confirm", "booking-17", b'{"slot":17}'))
+                           call(nodes[1].port, "slots/confirm", "booking-17", b'{"slot":17}'))
         ok &= print_answer("the same key at another node", nodes[5].name,
-                   call(nodes[5].port, "slots/confirm", "booking-17", b'{"slot":17}'),
-                   "(answered from the first run)")
+                           call(nodes[5].port, "slots/confirm", "booking-17", b'{"slot":17}'),
+                           "(answered from the first run)")
         ok &= print_answer("clinic: release slot 4", nodes[2].name,
-                   call(nodes[2].port, "slots/release", "release-4", b'{"slot":4}'))
+                           call(nodes[2].port, "slots/release", "release-4", b'{"slot":4}'))
 
         print("\na VM is reclaimed under a running stream:")
         prompt = "Rewrite this rescheduling notice kindly. " * 60
--- a/tools/faultproxy.py
+++ b/tools/faultproxy.py
@@ -151,7 +151,7 @@
         self._reset()
 
     def _reset(self):
-        for conn in [p for p, proxy in self.loop.conns.items() if proxy is self]:
+        for conn in [c for c, proxy in self.loop.conns.items() if proxy is self]:
             self._end(conn, abort=True)
 
     def _accept(self):
@@ -171,7 +171,7 @@
             conn.directions[0].filter = FrameFilter(self.frame_limit)
         self.loop.conns[conn] = self
         for direction in conn.directions:
-            self.loop.watch(direction.source, lambda w=direction, p=conn: self._read(p, w))
+            self.loop.watch(direction.source, lambda d=direction, c=conn: self._read(c, d))
 
     def _read(self, conn, direction):
         if direction.buffered > MAX_BUFFERED_BYTES or direction.eof:
@@ -223,7 +223,7 @@
             if not data:
                 direction.queue.pop(0)
                 direction.sink.shutdown(socket.SHUT_WR)
-                if all(w.eof and not w.queue for w in conn.directions):
+                if all(d.eof and not d.queue for d in conn.directions):
                     self._end(conn)
                 return False
             allowed = self._allowed_bytes(direction, len(data))
--- a/tools/hosted.py
+++ b/tools/hosted.py
@@ -326,14 +326,14 @@
         self.runs = collections.Counter()  # executions by request id
         self.left = []  # (request id, time) of streams that the caller's side closed
         self.stops = {}  # threading.Event to stop a running stream, by request id
-        self.move_fault = None  # for orders to move a KV cache: full, gone, lost, dies
+        self.move_fault = None  # see move()
         self.moved = []  # ids of requests whose KV cache was copied to another worker
         self.went_on = []  # ids of requests that resumed from a copied KV cache
         self.limit = None  # accepted requests/s, advertised in each answer
         self.says_leaving = False  # whether each answer advertises that the VM leaves
         self.rest_s = 0  # if not 0: refuses all requests and asks for this cooldown
         self.stopped = False
-        self.born = int(time.time() * 1000)
+        self.born = int(time.time() * 1000)  # start time in ms, the incarnation
         super().__init__()
 
     def spec(self, state="ready", spot=False):
@@ -343,7 +343,11 @@
                 "spot": spot, "seqNo": 1, "born": self.born}
 
     def move(self, req, conn):
-        """Stop a running stream and copy its KV cache to another worker."""
+        """Stop a running stream and copy its KV cache to another worker.
+
+        move_fault: "gone" answers 404 and does nothing, "full" keeps the copy here and
+        answers 503, "lost" does not answer, "dies" stops the worker without an answer.
+        """
         order = json.loads(req.body)
         stop = self.stops.get(order["id"])
         if self.move_fault == "gone" or stop is None:
--- a/tools/record_traces.py
+++ b/tools/record_traces.py
@@ -64,7 +64,7 @@
 
     def trace(name, events, expect, extra=(), rows=None):
         write_trace("%s-%s" % (user, name), settings, rows or vms, calls + list(extra), events,
-              expect)
+                    expect)
     all_complete = {"whole": {"min": n}, "not_run": {"max": 0}, "may_have_run": {"max": 0}}
     trace("plain", [], {**all_complete, "on_target": {"min": n}, "recomputed_tokens": {"max": 0}})
     # One VM of each kind is reclaimed with 5 s of notice. Then the VM list, which lags,
