--- a/tests/prop_claims.cc
+++ b/tests/prop_claims.cc
@@ -1,6 +1,7 @@
-// Promise 4, in the core: two owners of one shard over a store that loses
-// answers, drops writes, lets them land late; owners restart and sleep. Whatever
-// the order, a key runs at most once and no refusal is false.
+// Promise 4, in the core: several owners of one shard share a store that loses
+// answers, drops writes or applies them late, while the owners restart and pause.
+// In any order of these events a key runs at most once, and the verdict of each
+// refusal is true.
 #include "tests/props.h"
 
 #include <deque>
@@ -16,14 +17,17 @@
 namespace {
 
 constexpr int kOwners = 3;
-constexpr int kKeys = 120; // more than the ring below takes
+// More than a ring of RK_CLAIM_SLOTS slots of 3 keys holds.
+constexpr int kKeys = 120;
 constexpr int64_t kRetentionMs = 1000000;
 
+// A slot of the ring in the store; version 0: it was never written.
 struct Slot {
     int64_t version = 0;
     std::string value;
 };
 
+// A store operation of an owner that is not answered yet.
 struct Op {
     enum { None, ReadRing, Write, ReadSlot } kind = None;
     unsigned slot = 0;
@@ -31,26 +35,26 @@
     std::string value;
 };
 
-struct World;
+struct Simulation;
 
 struct Owner {
-    World *world = nullptr;
+    Simulation *sim = nullptr;
     int id = 0;
     struct rk_claims *claims = nullptr;
     Op op;
-    std::map<int, bool> running; // keys granted here: was it sent?
+    std::map<int, bool> granted_keys; // true: the key's call was sent
 };
 
-struct World {
+struct Simulation {
     std::map<unsigned, Slot> store;
-    std::vector<Op> late;
+    std::vector<Op> delayed_writes;
     std::vector<std::unique_ptr<Owner>> owners;
     std::map<uint64_t, int> ticket_key;
-    int runs[kKeys] = {};
+    int run_counts[kKeys] = {};
     int64_t now = 1;
-    uint64_t tickets = 0, seeds = 0;
+    uint64_t last_ticket = 0, owners_created = 0;
     bool send_at_once = true;
-    int granted = 0;
+    int grant_count = 0;
 };
 
 struct rk_claim_key key_of(int k)
@@ -77,29 +81,29 @@
 
 void send(Owner *o, int k)
 {
-    RC_ASSERT(++o->world->runs[k] <= 1);
-    o->running[k] = true;
+    RC_ASSERT(++o->sim->run_counts[k] <= 1);
+    o->granted_keys[k] = true;
 }
 
-void decided(void *ctx, uint64_t ticket, const struct rk_claim_result *r)
+void on_decision(void *ctx, uint64_t ticket, const struct rk_claim_result *r)
 {
     Owner *o = static_cast<Owner *>(ctx);
-    World *w = o->world;
-    int k = w->ticket_key.at(ticket);
+    Simulation *sim = o->sim;
+    int k = sim->ticket_key.at(ticket);
     if (r->decision == RK_CLAIM_GRANTED) {
-        w->granted++;
-        o->running[k] = false;
-        if (w->send_at_once)
+        sim->grant_count++;
+        o->granted_keys[k] = false;
+        if (sim->send_at_once)
             send(o, k);
     } else {
-        RC_ASSERT(!(r->verdict == RK_NOT_RUN && w->runs[k]));
-        RC_ASSERT(!(r->verdict == RK_RAN && !w->runs[k]));
+        RC_ASSERT(!(r->verdict == RK_NOT_RUN && sim->run_counts[k]));
+        RC_ASSERT(!(r->verdict == RK_RAN && !sim->run_counts[k]));
     }
 }
 
-const struct rk_claims_ops kOps = {read_ring, write_slot, read_slot, decided};
+const struct rk_claims_ops kOps = {read_ring, write_slot, read_slot, on_decision};
 
-void make(Owner *o)
+void create_claims(Owner *o)
 {
     static const char *names[kOwners] = {"a", "b", "c"};
     struct rk_claims_config cfg = {};
@@ -108,16 +112,17 @@
     cfg.patience_ms = 100;
     cfg.answer_bytes = 1000;
     cfg.max_tickets = 100;
-    cfg.slot_keys = 3; // so that slots fill, seal, and the ring comes round
-    cfg.seed = ++o->world->seeds * 7919;
+    cfg.slot_keys = 3; // few, so that slots are sealed and the ring wraps
+    cfg.seed = ++o->sim->owners_created * 7919;
     o->claims = rk_claims_create(&cfg, &kOps, o);
     o->op = Op{};
-    o->running.clear();
+    o->granted_keys.clear();
 }
 
-bool apply(World &w, const Op &op, int64_t *version)
+// Writes if the slot's version is the expected one. Returns whether it did.
+bool apply_write(Simulation &sim, const Op &op, int64_t *version)
 {
-    Slot &s = w.store[op.slot];
+    Slot &s = sim.store[op.slot];
     if (s.version != op.expect)
         return false;
     s.value = op.value;
@@ -125,56 +130,61 @@
     return true;
 }
 
-enum Fate { Good, LoseAnswer, Drop, Later };
+// What happens to a store operation and to its answer.
+enum Delivery { ANSWERED, ANSWER_LOST, WRITE_DROPPED, WRITE_DELAYED };
 
-void answer(Owner *o, Fate fate)
+void complete_op(Owner *o, Delivery delivery)
 {
-    World &w = *o->world;
+    Simulation &sim = *o->sim;
     Op op = o->op;
     o->op = Op{};
-    bool lost = fate != Good;
+    bool answer_lost = delivery != ANSWERED;
     if (op.kind == Op::Write) {
         int64_t version = 0;
-        if (fate == Drop || fate == Later) {
-            if (fate == Later)
-                w.late.push_back(op);
-            rk_claims_on_written(o->claims, RK_EUNKNOWN, 0, w.now, w.now);
+        if (delivery == WRITE_DROPPED || delivery == WRITE_DELAYED) {
+            if (delivery == WRITE_DELAYED)
+                sim.delayed_writes.push_back(op);
+            rk_claims_on_written(o->claims, RK_EUNKNOWN, 0, sim.now, sim.now);
             return;
         }
-        bool ok = apply(w, op, &version);
+        bool ok = apply_write(sim, op, &version);
         rk_claims_on_written(o->claims,
-                             lost ? RK_EUNKNOWN
-                             : ok ? RK_OK
-                                  : RK_ECONFLICT,
-                             version, w.now, w.now);
+                             answer_lost ? RK_EUNKNOWN
+                             : ok        ? RK_OK
+                                         : RK_ECONFLICT,
+                             version, sim.now, sim.now);
     } else if (op.kind == Op::ReadRing) {
         std::vector<struct rk_slot_read> slots;
-        for (auto &e : w.store)
+        for (auto &e : sim.store)
             if (e.second.version)
                 slots.push_back(
                     {e.first, e.second.version, e.second.value.c_str()});
-        rk_claims_on_ring(o->claims, lost ? RK_EUNKNOWN : RK_OK, slots.data(),
-                          slots.size(), w.now, w.now);
+        rk_claims_on_ring(o->claims, answer_lost ? RK_EUNKNOWN : RK_OK,
+                          slots.data(), slots.size(), sim.now, sim.now);
     } else if (op.kind == Op::ReadSlot) {
-        Slot &s = w.store[op.slot];
-        enum rk_status st = lost ? RK_EUNKNOWN : s.version ? RK_OK : RK_ENOTFOUND;
-        rk_claims_on_slot(o->claims, st, s.version, s.value.c_str(), w.now, w.now);
+        Slot &s = sim.store[op.slot];
+        enum rk_status st = answer_lost ? RK_EUNKNOWN
+                            : s.version ? RK_OK
+                                        : RK_ENOTFOUND;
+        rk_claims_on_slot(o->claims, st, s.version, s.value.c_str(), sim.now,
+                          sim.now);
     }
 }
 
-// End one of the calls this owner has granted.
-void finish(Owner *o, int which, int how)
+// Ends one of the calls that this owner has granted, with an answer if how is 1. A
+// call that was not sent yet is sent first, unless how is 0.
+void finish_call(Owner *o, int which, int how)
 {
-    if (o->running.empty())
+    if (o->granted_keys.empty())
         return;
-    auto it = std::next(o->running.begin(), which % o->running.size());
+    auto it = std::next(o->granted_keys.begin(), which % o->granted_keys.size());
     int k = it->first;
     bool sent = it->second;
     if (!sent && how != 0) {
-        send(o, k); // a call that was late to go out
+        send(o, k); // it was granted earlier and is sent only now
         sent = true;
     }
-    o->running.erase(it);
+    o->granted_keys.erase(it);
     enum rk_verdict v = sent ? (how == 1 ? RK_RAN : RK_MAY_HAVE_RUN) : RK_NOT_RUN;
     struct rk_answer a = {};
     a.status = 200;
@@ -183,89 +193,90 @@
     rk_claims_finish(o->claims, key_of(k), v, v == RK_RAN ? &a : nullptr, 5);
 }
 
-void restart(Owner *o)
+// Restarts an owner; a write in flight may still be applied later.
+void restart_owner(Owner *o)
 {
     if (o->op.kind == Op::Write)
-        o->world->late.push_back(o->op);
+        o->sim->delayed_writes.push_back(o->op);
     rk_claims_destroy(o->claims);
-    make(o);
+    create_claims(o);
 }
 
-void step(World &w, int what, int who, int arg)
+void step(Simulation &sim, int action, int owner_index, int arg)
 {
-    Owner *o = w.owners[who % kOwners].get();
-    switch (what % 12) {
+    Owner *o = sim.owners[owner_index % kOwners].get();
+    switch (action % 12) {
     case 0:
     case 1:
     case 2: {
-        uint64_t t = ++w.tickets;
-        w.ticket_key[t] = arg % kKeys;
-        rk_claims_ask(o->claims, t, key_of(arg % kKeys), false, w.now);
-        rk_claims_tick(o->claims, w.now, w.now);
+        uint64_t t = ++sim.last_ticket;
+        sim.ticket_key[t] = arg % kKeys;
+        rk_claims_ask(o->claims, t, key_of(arg % kKeys), false, sim.now);
+        rk_claims_tick(o->claims, sim.now, sim.now);
         break;
     }
     case 3:
     case 4:
     case 5:
-        answer(o, Good);
+        complete_op(o, ANSWERED);
         break;
     case 6:
-        answer(o, static_cast<Fate>(1 + arg % 3));
+        complete_op(o, static_cast<Delivery>(1 + arg % 3));
         break;
     case 7:
-        w.now += arg % 150;
-        rk_claims_tick(o->claims, w.now, w.now);
+        sim.now += arg % 150;
+        rk_claims_tick(o->claims, sim.now, sim.now);
         break;
     case 8:
-        finish(o, arg / 3, arg % 3);
+        finish_call(o, arg / 3, arg % 3);
         break;
     case 9:
-        if (!w.late.empty()) {
+        if (!sim.delayed_writes.empty()) {
             int64_t version;
-            Op op = w.late.back();
-            w.late.pop_back();
-            apply(w, op, &version);
+            Op op = sim.delayed_writes.back();
+            sim.delayed_writes.pop_back();
+            apply_write(sim, op, &version);
         }
         break;
     case 10:
         if (arg % 4 == 0)
-            restart(o);
+            restart_owner(o);
         break;
     default:
-        if (w.tickets)
-            rk_claims_cancel(o->claims, 1 + arg % w.tickets);
+        if (sim.last_ticket)
+            rk_claims_cancel(o->claims, 1 + arg % sim.last_ticket);
         break;
     }
 }
 
-World *make_world(bool send_at_once)
+Simulation *make_simulation(bool send_at_once)
 {
-    World *w = new World;
-    w->send_at_once = send_at_once;
+    Simulation *sim = new Simulation;
+    sim->send_at_once = send_at_once;
     for (int i = 0; i < kOwners; i++) {
-        w->owners.emplace_back(new Owner);
-        w->owners.back()->world = w;
-        w->owners.back()->id = i;
-        make(w->owners.back().get());
+        sim->owners.emplace_back(new Owner);
+        sim->owners.back()->sim = sim;
+        sim->owners.back()->id = i;
+        create_claims(sim->owners.back().get());
     }
-    return w;
+    return sim;
 }
 
-void destroy_world(World *w)
+void destroy_simulation(Simulation *sim)
 {
-    for (auto &o : w->owners)
+    for (auto &o : sim->owners)
         rk_claims_destroy(o->claims);
-    delete w;
+    delete sim;
 }
 
-struct Guard {
-    World *w;
-    explicit Guard(World *world) : w(world)
+struct SimulationGuard {
+    Simulation *sim;
+    explicit SimulationGuard(Simulation *simulation) : sim(simulation)
     {
     }
-    ~Guard()
+    ~SimulationGuard()
     {
-        destroy_world(w);
+        destroy_simulation(sim);
     }
 };
 
@@ -273,40 +284,45 @@
 
 void run_steps(const Steps &steps, bool send_at_once)
 {
-    Guard g(make_world(send_at_once));
+    SimulationGuard g(make_simulation(send_at_once));
     for (const auto &s : steps)
-        step(*g.w, std::get<0>(s), std::get<1>(s), std::get<2>(s));
+        step(*g.sim, std::get<0>(s), std::get<1>(s), std::get<2>(s));
 }
 
 rc::Gen<Steps> steps_gen()
 {
-    auto one = rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange(0, kOwners),
-                              rc::gen::inRange(0, 3000));
-    return rc::gen::resize(600, rc::gen::container<Steps>(one));
+    auto any_step =
+        rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange(0, kOwners),
+                       rc::gen::inRange(0, 3000));
+    return rc::gen::resize(600, rc::gen::container<Steps>(any_step));
 }
 
 } // namespace
 
+// The first two properties guard against a key that runs twice: an owner believes
+// that it holds the shard while another has taken it over, or takes a write without
+// an answer for made or for lost. The third guards against a ring that grants no
+// more keys once its slots are full.
 int main()
 {
     bool ok = report("at_most_once_sent_at_once",
                      rc::check("a key runs at most once",
                                [] { run_steps(*steps_gen(), true); }));
     ok = report("at_most_once_sent_late",
-                rc::check("also when the owner sleeps between grant and send",
+                rc::check("also when the owner pauses between grant and send",
                           [] { run_steps(*steps_gen(), false); })) &&
          ok;
     ok = report("a_lone_owner_serves_every_key",
                 rc::check("without faults each new key is granted",
                           [] {
-                              Guard g(make_world(true));
+                              SimulationGuard g(make_simulation(true));
                               int n = *rc::gen::inRange(1, 3 * RK_CLAIM_SLOTS);
                               for (int k = 0; k < n; k++) {
-                                  step(*g.w, 0, 0, k);
-                                  while (g.w->owners[0]->op.kind != Op::None)
-                                      answer(g.w->owners[0].get(), Good);
+                                  step(*g.sim, 0, 0, k);
+                                  while (g.sim->owners[0]->op.kind != Op::None)
+                                      complete_op(g.sim->owners[0].get(), ANSWERED);
                               }
-                              RC_ASSERT(g.w->granted == n);
+                              RC_ASSERT(g.sim->grant_count == n);
                           })) &&
          ok;
     return ok ? 0 : 1;
--- a/tests/prop_core.cc
+++ b/tests/prop_core.cc
@@ -1,5 +1,5 @@
-// Properties of the core's smaller parts: whatever the order of rows, tokens,
-// changes and waiters, what the brief promises of each holds.
+// Properties of verdicts, token streams, the member table, settings changes, leases
+// and fair queueing, each with rows, tokens, changes or requests in random order.
 #include "tests/props.h"
 
 #include <cstring>
@@ -26,7 +26,9 @@
 
 // ---- verdicts ----
 
-void verdicts_are_true()
+// Guards against a call that is reported as not run although its upstream may have
+// run it, and against one sent again for which that isn't allowed.
+void verdicts_match_what_happened()
 {
     struct rk_attempt_end end = {};
     end.handed = *rc::gen::arbitrary<bool>();
@@ -44,12 +46,13 @@
 
 // ---- streams ----
 
-// Attempts give tokens from where they were asked, with repeats and gaps; the
-// caller gets 0..n-1 once, in order.
-void streams_are_whole()
+// Guards against tokens that a caller gets twice, out of order or not at all when a
+// stream is resumed: each attempt starts at or before the next token, repeats some
+// and skips some, and the caller still gets 0..n-1 once each, in order.
+void stream_tokens_are_delivered_once_in_order()
 {
     struct rk_stream s = {};
-    std::vector<int64_t> got;
+    std::vector<int64_t> delivered;
     int attempts = *rc::gen::inRange(1, 8);
     for (int a = 0; a < attempts; a++) {
         int64_t at = s.next - (s.next ? *rc::gen::inRange<int64_t>(0, s.next) : 0);
@@ -60,15 +63,15 @@
                 at += *rc::gen::inRange(-1, 3);
             enum rk_token_fate f = rk_stream_take(&s, index);
             if (f == RK_TOKEN_DELIVER)
-                got.push_back(index);
+                delivered.push_back(index);
             if (f == RK_TOKEN_GAP)
                 break;
             if (at < 0)
                 at = 0;
         }
     }
-    for (size_t i = 0; i < got.size(); i++)
-        RC_ASSERT(got[i] == static_cast<int64_t>(i));
+    for (size_t i = 0; i < delivered.size(); i++)
+        RC_ASSERT(delivered[i] == static_cast<int64_t>(i));
 }
 
 bool collect(void *ctx, const char *text)
@@ -77,8 +80,9 @@
     return true;
 }
 
-// However the bytes are cut, the events are the same.
-void sse_is_cut_anywhere()
+// Guards against a parser that depends on where reads end: the same bytes in pieces
+// of any size must give the same events.
+void sse_events_do_not_depend_on_read_sizes()
 {
     auto words = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100000));
     std::string bytes;
@@ -120,8 +124,8 @@
     return Table(rk_members_create(&self), rk_members_destroy);
 }
 
-// Two nodes that get the same vm rows in different orders believe the same, and
-// a vm that was leaving is never live again in that incarnation.
+// Two nodes that receive the same VM rows in different orders must end with the
+// same table, and a VM that was leaving is never live again in that incarnation.
 void vm_rows_converge()
 {
     std::vector<struct rk_vm> rows;
@@ -134,7 +138,7 @@
         rows.push_back(v);
     }
     Table a = table("a"), b = table("b");
-    std::vector<uint64_t> worst(4 * 4, 0);
+    std::vector<uint64_t> highest_state(4 * 4, 0);
     for (auto &v : rows) {
         rk_members_merge_vm(a.get(), &v, -1, 1);
         const struct rk_vm *now = rk_members_find_vm(a.get(), v.id);
@@ -151,8 +155,9 @@
     }
 }
 
-// Deltas: a peer that gets every delta in turn ends with the same rows.
-void deltas_bring_everything()
+// Guards against rows or loads that a delta leaves out: a peer that receives every
+// delta in order must end with the same rows.
+void deltas_carry_every_row()
 {
     Table a = table("a"), b = table("b");
     uint64_t mark = 0;
@@ -188,8 +193,9 @@
     }
 }
 
-// A node said to be dead refutes it; everybody believes the refutation.
-void the_living_refute()
+// A node that learns that it was declared dead must announce itself under a newer
+// incarnation, and its peers must accept that. Otherwise it stays excluded.
+void a_live_node_refutes_its_death()
 {
     Table a = table("a"), b = table("b");
     struct rk_member row = member("a", "d0");
@@ -206,8 +212,9 @@
     RC_ASSERT(rk_members_find(b.get(), "a")->state == RK_MEMBER_ALIVE);
 }
 
-// Only the shards of the node that left change hands.
-void shards_move_little()
+// When a node leaves, only its own shards move, unless it was the last of its
+// failure domain.
+void only_shards_of_a_lost_node_move()
 {
     Table a = table("n0");
     int n = *rc::gen::inRange(2, 12);
@@ -217,23 +224,24 @@
         struct rk_member m = member(id, i % 3 ? "d0" : "d1");
         rk_members_merge(a.get(), &m, -1, 0);
     }
-    std::vector<std::string> before;
+    std::vector<std::string> owners_before;
     for (uint32_t s = 0; s < 64; s++)
-        before.push_back(rk_members_at(a.get(), rk_shard_owner(a.get(), s))->id);
-    struct rk_member gone = *rk_members_at(a.get(), pick<size_t>(1, n));
-    gone.state = RK_MEMBER_DEAD;
+        owners_before.push_back(
+            rk_members_at(a.get(), rk_shard_owner(a.get(), s))->id);
+    struct rk_member lost = *rk_members_at(a.get(), pick<size_t>(1, n));
+    lost.state = RK_MEMBER_DEAD;
     bool last_of_domain = true;
     for (size_t i = 0; i < rk_members_count(a.get()); i++) {
         const struct rk_member *m = rk_members_at(a.get(), i);
-        if (strcmp(m->id, gone.id) && !strcmp(m->domain, gone.domain))
+        if (strcmp(m->id, lost.id) && !strcmp(m->domain, lost.domain))
             last_of_domain = false;
     }
-    rk_members_merge(a.get(), &gone, -1, 1);
+    rk_members_merge(a.get(), &lost, -1, 1);
     for (uint32_t s = 0; s < 64; s++) {
         const char *now = rk_members_at(a.get(), rk_shard_owner(a.get(), s))->id;
-        RC_ASSERT(strcmp(now, gone.id) != 0);
-        if (before[s] != gone.id && !last_of_domain)
-            RC_ASSERT(before[s] == now);
+        RC_ASSERT(strcmp(now, lost.id) != 0);
+        if (owners_before[s] != lost.id && !last_of_domain)
+            RC_ASSERT(owners_before[s] == now);
     }
 }
 
@@ -247,8 +255,9 @@
            "\":" + std::to_string(value) + "}}";
 }
 
-// Nodes that learn of changes in any order, with repeats and gaps, end with the
-// same tree, and no head ever falls.
+// Guards against settings that go back to an older version: nodes that receive the
+// changes in any order, with repeats and gaps, must end with the same tree, and the
+// version in force never falls.
 void settings_never_revert()
 {
     std::vector<std::string> log;
@@ -256,9 +265,9 @@
     for (int i = 0; i < n; i++)
         log.push_back(
             change(i, *rc::gen::inRange(0, 4), *rc::gen::inRange(-3, 12)));
-    struct rk_changelog *straight = rk_changelog_create();
+    struct rk_changelog *in_order = rk_changelog_create();
     for (int i = 0; i < n; i++)
-        rk_changelog_take(straight, i + 1, log[i].c_str());
+        rk_changelog_take(in_order, i + 1, log[i].c_str());
     struct rk_changelog *node = rk_changelog_create();
     int64_t head = 0;
     auto order = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, n));
@@ -268,67 +277,67 @@
         head = rk_changelog_head(node);
     }
     if (*rc::gen::arbitrary<bool>()) {
-        char *snapshot = rk_changelog_snapshot(straight);
+        char *snapshot = rk_changelog_snapshot(in_order);
         rk_changelog_restore(node, snapshot);
         free(snapshot);
     }
     for (int i = 0; i < n; i++)
         rk_changelog_take(node, i + 1, log[i].c_str());
-    char *a = rk_changelog_snapshot(straight), *b = rk_changelog_snapshot(node);
+    char *a = rk_changelog_snapshot(in_order), *b = rk_changelog_snapshot(node);
     bool same = !strcmp(a, b);
     free(a);
     free(b);
-    rk_changelog_destroy(straight);
+    rk_changelog_destroy(in_order);
     rk_changelog_destroy(node);
     RC_ASSERT(same);
 }
 
 // ---- leases ----
 
-struct rk_lease new_life(int node, int life)
+struct rk_lease new_lease(int node, int incarnation)
 {
     struct rk_lease l = {};
-    snprintf(l.holder, sizeof(l.holder), "h%d/%d", node, life);
+    snprintf(l.holder, sizeof(l.holder), "h%d/%d", node, incarnation);
     l.life_ms = 1000;
     return l;
 }
 
-// Holders that sleep or start again, writes that are lost or land: no two ever hold
-// a valid lease at once, and epochs only rise.
-void leases_exclude()
+// Guards against two valid leases at once and against epochs that fall, while
+// holders pause or restart and writes or their answers are lost.
+void at_most_one_lease_is_valid()
 {
     constexpr int kHolders = 3;
     struct rk_lease l[kHolders];
     for (int i = 0; i < kHolders; i++)
-        l[i] = new_life(i, 0);
+        l[i] = new_lease(i, 0);
     int64_t version = 0, now = 1, last_epoch = 0;
     std::string value;
     int steps = *rc::gen::inRange(10, 200);
     for (int s = 0; s < steps; s++) {
-        int who = *rc::gen::inRange(0, kHolders);
-        struct rk_lease *x = &l[who];
+        int index = *rc::gen::inRange(0, kHolders);
+        struct rk_lease *x = &l[index];
         now += *rc::gen::inRange(0, 400);
-        int what = *rc::gen::inRange(0, 8);
-        if (what == 7)
-            *x = new_life(who, s + 1); // killed and started again
-        what %= 3;
+        int action = *rc::gen::inRange(0, 8);
+        if (action == 7)
+            *x = new_lease(index, s + 1); // it was killed and restarted
+        action %= 3;
         char text[RK_LEASE_VALUE_MAX];
         int64_t expect;
-        if (what == 0) {
+        if (action == 0) {
             rk_lease_seen(x, version, value.c_str(), now);
         } else if (rk_lease_wants(x, now, text, &expect)) {
-            bool stands = expect == version;
+            bool applied = expect == version;
             int fate = *rc::gen::inRange(0, 4);
             if (fate == 3)
-                stands = false; // never got there
-            if (stands) {
+                applied = false; // the write is lost
+            if (applied) {
                 version++;
                 value = text;
             }
-            now += *rc::gen::inRange(0, 300); // the holder may sleep here
+            now += *rc::gen::inRange(0, 300); // the holder may be paused here
             rk_lease_written(x,
                              fate >= 2 ? RK_EUNKNOWN
-                             : stands  ? RK_OK
+                             : applied ? RK_OK
                                        : RK_ECONFLICT,
                              version, now);
         }
@@ -344,11 +353,12 @@
     }
 }
 
-// Who held it is back before anybody else may take it.
-void a_holder_that_starts_again_goes_on()
+// A restarted holder must get its lease back before another node may take it.
+// Otherwise each restart leaves the lease without a holder until it expires.
+void a_restarted_holder_renews_its_lease()
 {
-    struct rk_lease before = new_life(0, 1), after = new_life(0, 2),
-                    other = new_life(1, 1);
+    struct rk_lease before = new_lease(0, 1), after = new_lease(0, 2),
+                    other = new_lease(1, 1);
     char text[RK_LEASE_VALUE_MAX];
     int64_t expect, epoch, now = *rc::gen::inRange(1, 1000);
     rk_lease_seen(&before, 0, "", now);
@@ -365,7 +375,8 @@
 
 // ---- admission ----
 
-// Under steady demand organisations get slot time by weight, whatever each asks.
+// Guards against an organisation that gets more than its share by its deadlines or
+// by the size of its requests: under steady demand slot time follows the weights.
 void shares_follow_weights()
 {
     struct rk_admit *a = rk_admit_create();
@@ -400,7 +411,8 @@
     }
 }
 
-// Higher ranks go first; deferred work waits for its time and then goes.
+// Requests of a higher rank go first; deferrable work goes last until promote_ms
+// before its deadline and first from then on, or it would starve.
 void ranks_and_promotion()
 {
     struct rk_admit *a = rk_admit_create();
@@ -432,16 +444,19 @@
 int main()
 {
     static const Property properties[] = {
-        {"verdicts_are_true", verdicts_are_true},
-        {"streams_are_whole", streams_are_whole},
-        {"sse_is_cut_anywhere", sse_is_cut_anywhere},
+        {"verdicts_match_what_happened", verdicts_match_what_happened},
+        {"stream_tokens_are_delivered_once_in_order",
+         stream_tokens_are_delivered_once_in_order},
+        {"sse_events_do_not_depend_on_read_sizes",
+         sse_events_do_not_depend_on_read_sizes},
         {"vm_rows_converge", vm_rows_converge},
-        {"deltas_bring_everything", deltas_bring_everything},
-        {"the_living_refute", the_living_refute},
-        {"shards_move_little", shards_move_little},
+        {"deltas_carry_every_row", deltas_carry_every_row},
+        {"a_live_node_refutes_its_death", a_live_node_refutes_its_death},
+        {"only_shards_of_a_lost_node_move", only_shards_of_a_lost_node_move},
         {"settings_never_revert", settings_never_revert},
-        {"leases_exclude", leases_exclude},
-        {"a_holder_that_starts_again_goes_on", a_holder_that_starts_again_goes_on},
+        {"at_most_one_lease_is_valid", at_most_one_lease_is_valid},
+        {"a_restarted_holder_renews_its_lease",
+         a_restarted_holder_renews_its_lease},
         {"shares_follow_weights", shares_follow_weights},
         {"ranks_and_promotion", ranks_and_promotion},
     };
