--- a/tests/prop_fuzz.cc
+++ b/tests/prop_fuzz.cc
@@ -1,6 +1,6 @@
-// Promise 10: bytes from outside. Frames, settings, streams, requests and
-// snapshots are fed garbage and damaged good input, seeds fixed: no crash, no
-// leak (under the sanitizer build), bounded memory.
+// Promise 10: untrusted input. The parsers of frames, settings, streams, requests
+// and snapshots get random bytes and damaged valid input from fixed seeds. They
+// must not crash, leak (checked by the sanitizer build) or use unbounded memory.
 #include "tests/props.h"
 
 #include <cstring>
@@ -22,20 +22,21 @@
 #include "common/status.h"
 #include "core/place.h"
 
-/* platform/drivers.h, which is no C++. */
+/* As in platform/drivers.h, which C++ can't include. */
 enum rk_status rk_hosted_parse_vm(const char *name, struct json_object *spec,
                                   struct rk_vm_row *out);
 }
 
 namespace {
 
-std::string garbage()
+std::string random_bytes()
 {
     auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
     return bytes;
 }
 
-// Good input with bytes changed, cut out, doubled.
+// Returns valid input with up to five changes: a byte replaced, some removed or
+// doubled, or the end cut off.
 std::string damage(std::string s)
 {
     int n = *rc::gen::inRange(0, 6);
@@ -59,8 +60,8 @@
     return s;
 }
 
-// Text for functions that take C strings.
-std::string text(std::string s)
+// Replaces NUL bytes, for functions that take C strings.
+std::string without_nul(std::string s)
 {
     for (auto &c : s)
         if (!c)
@@ -68,7 +69,7 @@
     return s;
 }
 
-std::string good_frame()
+std::string valid_frame()
 {
     Rillknot__ForwardBegin b = RILLKNOT__FORWARD_BEGIN__INIT;
     b.id = 7;
@@ -84,9 +85,12 @@
     return s;
 }
 
+// A frame must not be read past the bytes received, and is returned only if
+// complete.
 void frames()
 {
-    std::string s = *rc::gen::arbitrary<bool>() ? garbage() : damage(good_frame());
+    std::string s =
+        *rc::gen::arbitrary<bool>() ? random_bytes() : damage(valid_frame());
     Rillknot__Frame *f;
     long n =
         rk_frame_decode(reinterpret_cast<const uint8_t *>(s.data()), s.size(), &f);
@@ -96,15 +100,17 @@
         rillknot__frame__free_unpacked(f, nullptr);
 }
 
-const char *kTree =
+const char *kSettings =
     "{ // comment\n \"deadline_ms\": 500, \"services\": {\"s\": {\"kind\": "
     "\"engine\", \"model\": \"m\", \"c\": {\"repeatable\": true}}},\n"
     "\"classes\": {\"a\": {\"rank\": 1}}, \"vm_classes\": {\"v\": "
     "{\"price\": 1.5}} /* end */ }";
 
+// Settings must be refused with a problem, or accepted without one.
 void settings()
 {
-    std::string s = text(*rc::gen::arbitrary<bool>() ? garbage() : damage(kTree));
+    std::string s = without_nul(*rc::gen::arbitrary<bool>() ? random_bytes()
+                                                            : damage(kSettings));
     struct rk_settings *tree = nullptr;
     static struct rk_problems problems;
     enum rk_status st = rk_settings_parse(s.c_str(), &tree, &problems);
@@ -113,16 +119,20 @@
         rk_settings_destroy(tree);
 }
 
+// A damaged change must still count as a version, or a node would wait for it
+// forever; damaged snapshots must not crash.
 void changes()
 {
-    std::string s = text(damage("{\"id\":\"1\",\"set\":{\"/services/s/vm_slots\":4,"
-                                "\"/classes/a\":{\"rank\":2},\"/x/y\":null}}"));
+    std::string s =
+        without_nul(damage("{\"id\":\"1\",\"set\":{\"/services/s/vm_slots\":4,"
+                           "\"/classes/a\":{\"rank\":2},\"/x/y\":null}}"));
     struct rk_changelog *log = rk_changelog_create();
     rk_changelog_take(log, 1, s.c_str());
     RC_ASSERT(rk_changelog_head(log) == 1);
     rk_changelog_restore(log, s.c_str());
     rk_changelog_restore(
-        log, text(damage("{\"head\":4,\"tree\":{\"deadline_ms\":50}}")).c_str());
+        log,
+        without_nul(damage("{\"head\":4,\"tree\":{\"deadline_ms\":50}}")).c_str());
     rk_changelog_destroy(log);
 }
 
@@ -133,11 +143,12 @@
     return true;
 }
 
+// Event streams of engines, whole or damaged, must not crash the parsers.
 void streams()
 {
     std::string s =
         *rc::gen::arbitrary<bool>()
-            ? garbage()
+            ? random_bytes()
             : damage("data: {\"id\":\"r\",\"choices\":[{\"delta\":{\"content\":"
                      "\"w\"}}],\"rk_index\":3}\n\ndata: [DONE]\n\n");
     struct rk_sse sse = {};
@@ -145,6 +156,7 @@
     rk_sse_free(&sse);
 }
 
+// Guards against unbounded memory: an upstream may send a line without an end.
 void long_lines_are_bounded()
 {
     struct rk_sse sse = {};
@@ -156,11 +168,12 @@
     rk_sse_free(&sse);
 }
 
+// A caller's completion request, whole or damaged, must be refused or parsed.
 void completions()
 {
     std::string s =
         *rc::gen::arbitrary<bool>()
-            ? garbage()
+            ? random_bytes()
             : damage("{\"model\":\"m\",\"max_tokens\":4,\"stream\":true,"
                      "\"messages\":[{\"content\":\"a b c\"}]}");
     static struct rk_prompt prompt;
@@ -185,41 +198,46 @@
     return nullptr;
 }
 
+// Guards against texts of a caller that overflow a field, or carry control
+// characters into the header of an upstream's request.
 void requests()
 {
     Headers h;
-    static const char *good[] = {"org",        "urgent", "key-1",
-                                 "text/plain", "500",    "4"};
+    static const char *valid[] = {"org",        "urgent", "key-1",
+                                  "text/plain", "500",    "4"};
     for (int i = 0; i < 6; i++)
-        h.values[i] = text(*rc::gen::inRange(0, 3) ? damage(good[i]) : garbage());
-    std::string path = text(damage("/services/slots/confirm/17"));
-    std::string query = text(*rc::gen::arbitrary<bool>() ? "" : damage("?a=b&c=d"));
+        h.values[i] = without_nul(*rc::gen::inRange(0, 3) ? damage(valid[i])
+                                                          : random_bytes());
+    std::string path = without_nul(damage("/services/slots/confirm/17"));
+    std::string query =
+        without_nul(*rc::gen::arbitrary<bool>() ? "" : damage("?a=b&c=d"));
     struct rk_request r = {};
     rk_parse_request(&r, "POST", path.c_str(), query.c_str(), header, &h);
     RC_ASSERT(strlen(r.path) < sizeof(r.path) && strlen(r.key) < sizeof(r.key));
     for (const char *p = r.key; *p; p++)
-        RC_ASSERT(*p >= 0x20 && *p <= 0x7e); // nothing that could split a header
+        RC_ASSERT(*p >= 0x20 && *p <= 0x7e); // others could split a header
     for (const char *p = r.path; *p; p++)
         RC_ASSERT(static_cast<unsigned char>(*p) > 0x20);
 }
 
-void no_read(void *, uint32_t)
+void ignore_read(void *, uint32_t)
 {
 }
-void no_write(void *, uint32_t, unsigned, int64_t, const char *)
+void ignore_write(void *, uint32_t, unsigned, int64_t, const char *)
 {
 }
-void no_slot(void *, uint32_t, unsigned)
+void ignore_slot(void *, uint32_t, unsigned)
 {
 }
-void no_decision(void *, uint64_t, const struct rk_claim_result *)
+void ignore_decision(void *, uint64_t, const struct rk_claim_result *)
 {
 }
 
+// A slot of the claims' ring as read from the store may hold anything.
 void claim_slots()
 {
-    static const struct rk_claims_ops ops = {no_read, no_write, no_slot,
-                                             no_decision};
+    static const struct rk_claims_ops ops = {ignore_read, ignore_write, ignore_slot,
+                                             ignore_decision};
     struct rk_claims_config cfg = {};
     cfg.owner = "a";
     cfg.retention_ms = 1000;
@@ -228,7 +246,7 @@
     struct rk_claims *c = rk_claims_create(&cfg, &ops, nullptr);
     rk_claims_ask(c, 1, rk_claim_key_make("o", "s", "k", "/", "", 0), false, 1);
     rk_claims_tick(c, 1, 1);
-    std::string value = text(damage(
+    std::string value = without_nul(damage(
         "{\"epoch\":3,\"owner\":\"b\",\"seq\":2,\"sealed\":false,\"newest_ms\":1,"
         "\"nonce\":\"ab\",\"keys\":[\"00112233445566778899aabbccddeeff00112233\"]"
         "}"));
@@ -237,16 +255,15 @@
     rk_claims_destroy(c);
 }
 
-// An entry of the list of vms, damaged: it is refused, or is a row within its
-// bounds.
-void entries_of_the_list()
+// A damaged entry of the VM list must be refused, or give a row within its bounds.
+void vm_list_entries()
 {
-    const std::string good =
+    const std::string valid =
         R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":6,)"
         R"("state":"draining","coldLeftMs":20,"spot":true,"leaves_ms":2100,"seqNo":4,)"
         R"("born":1764740000000,"models":[{"name":"m","version":1}]})";
-    const std::string s = *rc::gen::inRange(0, 8) ? damage(good) : garbage();
-    json_object *o = json_tokener_parse(text(s).c_str());
+    const std::string s = *rc::gen::inRange(0, 8) ? damage(valid) : random_bytes();
+    json_object *o = json_tokener_parse(without_nul(s).c_str());
     rk_vm_row row;
     if (rk_hosted_parse_vm("i-1", o, &row) == RK_OK) {
         RC_ASSERT(row.slots >= 1 && row.cold_ms >= 0 && row.born_ms >= 0);
@@ -262,7 +279,7 @@
 {
     static const Property properties[] = {
         {"frames", frames},
-        {"entries_of_the_list", entries_of_the_list},
+        {"vm_list_entries", vm_list_entries},
         {"settings", settings},
         {"changes", changes},
         {"streams", streams},
--- a/tests/prop_holding.cc
+++ b/tests/prop_holding.cc
@@ -1,7 +1,8 @@
-// Properties of how many vms are held: whatever stands, whatever is asked for and
-// whatever can't be had, each domain keeps its on-demand vm, no domain is ordered
-// more than the platform allows but for stand-ins that wait for those that replace
-// them, and a plan that is carried out is kept.
+// Properties of the plan of how many VMs each failure domain holds. For any running
+// VMs, any need and any domains without reclaimable capacity, each domain keeps its
+// on-demand minimum, no domain is ordered more VMs than the platform allows, except
+// for on-demand substitutes that wait for their replacements, and a plan that has
+// been carried out does not change.
 #include "tests/props.h"
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 namespace {
 
 constexpr int MAX_VMS = 40;
-constexpr int STEPS = 60; // of a plan that settles
+constexpr int STEPS = 60; // at most, until a plan no longer changes
 
 rk_holding_input any_input()
 {
@@ -42,6 +43,8 @@
     return in;
 }
 
+// Guards against a domain left without an on-demand VM when all reclaimable ones
+// are taken back, and against orders that the platform refuses as above max_vms.
 void every_domain_keeps_its_floor_and_its_limit()
 {
     rk_holding_input in = any_input();
@@ -50,16 +53,19 @@
     for (size_t i = 0; i < in.domains_len; i++) {
         RC_ASSERT(t[i].on_demand >= std::max(1, in.min_vms));
         RC_ASSERT(t[i].reclaimable >= 0);
-        int had = in.none ? std::min(t[i].reclaimable, in.domains[i].reclaimable)
-                          : t[i].reclaimable;
-        bool waits =
+        int reclaimable =
+            in.none ? std::min(t[i].reclaimable, in.domains[i].reclaimable)
+                    : t[i].reclaimable;
+        bool waits_for_replacement =
             t[i].on_demand <= in.domains[i].on_demand + in.domains[i].booting;
-        RC_ASSERT(waits || t[i].on_demand + had <= MAX_VMS);
+        RC_ASSERT(waits_for_replacement || t[i].on_demand + reclaimable <= MAX_VMS);
         RC_ASSERT(t[i].reclaimable <= MAX_VMS);
     }
 }
 
-void nothing_is_asked_for_where_none_can_be_had()
+// Guards against a plan that needs more reclaimable VMs in a domain that can't
+// provide any now.
+void nothing_more_is_ordered_in_an_exhausted_domain()
 {
     rk_holding_input in = any_input();
     rk_holding_target t[RK_HOLDING_DOMAINS];
@@ -69,50 +75,52 @@
             RC_ASSERT(t[i].reclaimable <= in.domains[i].reclaimable);
 }
 
-// Carried out again and again, with nothing else changing, a plan comes to rest.
-void a_plan_comes_to_rest()
+// Guards against plans that keep starting and stopping VMs: carried out repeatedly
+// with no other change, a plan must stop changing within STEPS.
+void a_plan_converges()
 {
     rk_holding_input in = any_input();
     rk_holding_target t[RK_HOLDING_DOMAINS];
     in.settled = true;
-    bool same = false;
-    for (int step = 0; step < STEPS && !same; step++) {
+    bool unchanged = false;
+    for (int step = 0; step < STEPS && !unchanged; step++) {
         rk_holding_plan(&in, t);
-        same = true;
+        unchanged = true;
         for (size_t i = 0; i < in.domains_len; i++) {
             rk_holding_domain &d = in.domains[i];
-            same = same && d.on_demand == t[i].on_demand && !d.booting &&
-                   d.reclaimable == t[i].reclaimable;
+            unchanged = unchanged && d.on_demand == t[i].on_demand && !d.booting &&
+                        d.reclaimable == t[i].reclaimable;
             d.booting = 0;
             d.on_demand = t[i].on_demand;
             d.reclaimable = t[i].reclaimable;
         }
     }
-    RC_ASSERT(same);
+    RC_ASSERT(unchanged);
 }
 
-// Any order of losses, refusals and grants: who was granted some isn't dry, and
-// nobody is asked twice within a second of a refusal.
-void a_dry_domain_is_asked_now_and_then()
+// For any order of losses, refusals and grants: once a domain has granted VMs, not
+// all are exhausted and the others may be asked at once; a domain that refused is
+// not asked again within 500 ms, and may be asked 10 s later.
+void an_exhausted_domain_is_retried_at_intervals()
 {
     rk_reclaims_domain d[3] = {};
     int64_t now_ms = 1000;
     for (int step = 0; step < STEPS; step++) {
         now_ms += *rc::gen::inRange(50, 2000);
-        size_t at = *rc::gen::inRange<size_t>(0, 3);
+        size_t index = *rc::gen::inRange<size_t>(0, 3);
         switch (*rc::gen::inRange(0, 3)) {
         case 0:
-            rk_reclaims_refused(&d[at], now_ms);
-            RC_ASSERT(!rk_reclaims_may_ask(&d[at], now_ms + 500));
-            RC_ASSERT(rk_reclaims_may_ask(&d[at], now_ms + 10000));
+            rk_reclaims_refused(&d[index], now_ms);
+            RC_ASSERT(!rk_reclaims_may_ask(&d[index], now_ms + 500));
+            RC_ASSERT(rk_reclaims_may_ask(&d[index], now_ms + 10000));
             break;
         case 1:
-            rk_reclaims_granted(d, 3, at);
+            rk_reclaims_granted(d, 3, index);
             RC_ASSERT(!rk_reclaims_none(d, 3));
-            RC_ASSERT(rk_reclaims_may_ask(&d[(at + 1) % 3], now_ms));
+            RC_ASSERT(rk_reclaims_may_ask(&d[(index + 1) % 3], now_ms));
             break;
         default:
-            rk_reclaims_seen(&d[at], *rc::gen::inRange(0, 20),
+            rk_reclaims_seen(&d[index], *rc::gen::inRange(0, 20),
                              *rc::gen::inRange(-1, 20), now_ms);
         }
     }
@@ -125,10 +133,11 @@
     static const Property properties[] = {
         {"every_domain_keeps_its_floor_and_its_limit",
          every_domain_keeps_its_floor_and_its_limit},
-        {"nothing_is_asked_for_where_none_can_be_had",
-         nothing_is_asked_for_where_none_can_be_had},
-        {"a_plan_comes_to_rest", a_plan_comes_to_rest},
-        {"a_dry_domain_is_asked_now_and_then", a_dry_domain_is_asked_now_and_then},
+        {"nothing_more_is_ordered_in_an_exhausted_domain",
+         nothing_more_is_ordered_in_an_exhausted_domain},
+        {"a_plan_converges", a_plan_converges},
+        {"an_exhausted_domain_is_retried_at_intervals",
+         an_exhausted_domain_is_retried_at_intervals},
     };
     return run_properties(properties);
 }
