--- a/tests/prop_limits.cc
+++ b/tests/prop_limits.cc
@@ -1,12 +1,12 @@
-// A VM that names a request limit, before fleets of 6 to 1,776 nodes that all have
-// calls for it: what it gets stays within one and a half times the limit and 5 in
-// any 4 s, from 3 s after it named one.
+// A VM that advertises a request limit to fleets of 6 to 1,776 nodes that all have
+// calls for it. From 3 s after the limit was advertised, the VM must not get more
+// than 1.5 times the limit plus 5 requests in any 4 s.
 //
-// The fleet, by its calls: nodes in failure domains hear of the VM by its answers
-// and, up to 1 s later, by peers; nodes are killed, restarted, frozen or cut off,
-// and others of the domain notice up to 2.5 s later, each at another time. What a
-// node sends counts from half a second after it heard the limit itself, unless it
-// was in trouble.
+// The simulation runs call by call. Nodes in failure domains learn of the limit by
+// the VM's answers and, up to 1 s later, from peers. Nodes are killed, restarted,
+// frozen or cut off, and each other node of the domain notices at a random time up
+// to 2.5 s later. A node's requests count from half a second after the VM answered
+// it with a limit, except for 6 s after each of the node's faults.
 #include "tests/props.h"
 
 #include <algorithm>
@@ -21,70 +21,82 @@
 
 namespace {
 
-constexpr int64_t END_MS = 30000, LIMIT_MS = 4000, IN_TOUCH_MS = 3000;
-constexpr int64_t WINDOW_MS = 4000, TOLD_MS = 500, ANSWER_MS = 20;
-constexpr int64_t LAG_MS = 1000, NOTICE_MS = 2500, STANDING_MS = 1000;
-constexpr int64_t EXCUSED_MS = 6000; // after a node's trouble
+constexpr int64_t END_MS = 30000, LIMIT_MS = 4000, SETTLE_MS = 3000;
+constexpr int64_t WINDOW_MS = 4000, LEARNT_MS = 500, ANSWER_MS = 20;
+constexpr int64_t UPDATE_DELAY_MS = 1000, NOTICE_DELAY_MS = 2500, REPEAT_MS = 1000;
+constexpr int64_t EXEMPT_MS = 6000; // after a node's fault
 constexpr int DOMAINS = 3;
-constexpr uint64_t LIFE = 0x11fe;
-constexpr char HERE[] = "d0";
+constexpr uint64_t INCARNATION = 0x11fe;
+constexpr char VM_DOMAIN[] = "d0";
 
 struct Node {
     rk_vm_signal signal{};
-    bool up = true, told = false;
-    int64_t told_ms = 0, trouble_ms = -EXCUSED_MS;
+    bool up = true, knows_limit = false;
+    int64_t learnt_ms = 0, fault_ms = -EXEMPT_MS;
     uint64_t hash = 0;
     int domain = 0;
 };
 
-enum class Kind { CALL, ANSWER, NEWS, NOTICE, TROUBLE, BACK, LIMIT, STANDING };
+// UPDATE: a peer's knowledge arrives; MEMBERSHIP: a node notices which others are
+// up; LIMIT: the VM changes its limit; REPEAT: nodes send the limit to their peers
+// again.
+enum class Kind {
+    CALL,
+    ANSWER,
+    UPDATE,
+    MEMBERSHIP,
+    FAULT,
+    RECOVERY,
+    LIMIT,
+    REPEAT
+};
 
 struct Event {
     int64_t at_ms;
     Kind kind;
     size_t node;
-    rk_vm_signal news;
-    double limit; // of an answer, or that the VM names from now on; under 0: none
+    rk_vm_signal update;
+    double limit; // in an answer, or advertised from now on; below 0: none
 };
 
 struct Outcome {
-    int most = 0, used = 0;
+    int max_in_window = 0, sent = 0;
     double allowed = 0;
-    int64_t noticed_ms = -1; // after the limit ended: half of the nodes know
+    // From the end of the limit until half of the nodes know of it; -1: they don't.
+    int64_t end_known_ms = -1;
 };
 
-// A fleet before one VM.
+// Simulates a fleet that sends calls to one VM.
 class Fleet {
   public:
-    Fleet(size_t nodes, double limit, double calls_per_s, int troubles,
-          uint32_t seed)
-        : nodes_(nodes), limit_(limit), calls_per_s_(calls_per_s),
-          troubles_(troubles), rng_(seed)
+    Fleet(size_t nodes, double limit, double calls_per_s, int faults, uint32_t seed)
+        : nodes_(nodes), limit_(limit), calls_per_s_(calls_per_s), faults_(faults),
+          rng_(seed)
     {
         for (size_t i = 0; i < nodes; i++) {
             nodes_[i].hash = rk_hash(seed, &i, sizeof(i));
             nodes_[i].domain = static_cast<int>(i % DOMAINS);
-            nodes_[i].signal = fresh();
+            nodes_[i].signal = unknown_signal();
         }
     }
 
-    Outcome play()
+    Outcome run()
     {
         push({LIMIT_MS, Kind::LIMIT, 0, {}, limit_});
         push({END_MS - 6000, Kind::LIMIT, 0, {}, -1});
-        for (int64_t at = 0; at < END_MS; at += STANDING_MS)
-            push({at, Kind::STANDING, 0, {}, 0});
-        for (int i = 0; i < troubles_; i++)
-            push({below(END_MS), Kind::TROUBLE, below(nodes_.size()), {}, 0});
+        for (int64_t at = 0; at < END_MS; at += REPEAT_MS)
+            push({at, Kind::REPEAT, 0, {}, 0});
+        for (int i = 0; i < faults_; i++)
+            push({below(END_MS), Kind::FAULT, below(nodes_.size()), {}, 0});
         push({0, Kind::CALL, 0, {}, 0});
         while (!events_.empty() && events_.front().at_ms < END_MS) {
             std::pop_heap(events_.begin(), events_.end(), later);
             Event e = events_.back();
             events_.pop_back();
             now_ = e.at_ms;
-            run(e);
+            handle(e);
         }
-        sum();
+        count_arrivals();
         return out_;
     }
 
@@ -110,16 +122,17 @@
         return std::uniform_int_distribution<int64_t>(0, bound - 1)(rng_);
     }
 
-    static rk_vm_signal fresh()
+    static rk_vm_signal unknown_signal()
     {
         rk_vm_signal v{};
-        v.life = LIFE;
-        std::strcpy(v.domain, HERE);
+        v.life = INCARNATION;
+        std::strcpy(v.domain, VM_DOMAIN);
         return v;
     }
 
-    // What the node knows of who else is there is as old as when it noticed last.
-    void set_part(Node &n)
+    // Updates the node's share of the limit by the nodes of its domain that are up
+    // now. Until the next update the node goes by this set, even if it is outdated.
+    void set_share(Node &n)
     {
         std::vector<uint64_t> others;
         if (!n.signal.limited || n.domain != 0) {
@@ -135,7 +148,8 @@
             now_);
     }
 
-    void call()
+    // The next call arrives at a random node, which sends it if it may.
+    void send_call()
     {
         std::exponential_distribution<double> pause(calls_per_s_ / 1000);
         push({now_ + 1 + static_cast<int64_t>(pause(rng_)), Kind::CALL, 0, {}, 0});
@@ -145,192 +159,204 @@
             rk_vm_signal_wait_ms(&n.signal, now_))
             return;
         rk_vm_signal_sent(&n.signal, now_);
-        bool excused = now_ - n.trouble_ms < EXCUSED_MS;
+        bool is_exempt = now_ - n.fault_ms < EXEMPT_MS;
         arrivals_.push_back(
-            {now_, n.told && now_ - n.told_ms >= TOLD_MS && !excused, named_});
-        push({now_ + ANSWER_MS, Kind::ANSWER, at, {}, named_});
+            {now_, n.knows_limit && now_ - n.learnt_ms >= LEARNT_MS && !is_exempt,
+             advertised_});
+        push({now_ + ANSWER_MS, Kind::ANSWER, at, {}, advertised_});
     }
 
-    void tell(size_t from)
+    // Sends a node's knowledge of the VM to all others.
+    void send_updates(size_t from)
     {
         for (size_t i = 0; i < nodes_.size(); i++)
             if (i != from)
-                push({now_ + 20 + below(LAG_MS), Kind::NEWS, i, nodes_[from].signal,
-                      0});
+                push({now_ + 20 + below(UPDATE_DELAY_MS), Kind::UPDATE, i,
+                      nodes_[from].signal, 0});
     }
 
-    void answer(const Event &e)
+    void on_answer(const Event &e)
     {
         Node &n = nodes_[e.node];
-        rk_vm_said said{};
-        said.limited = e.limit >= 0;
-        said.unlimited = !said.limited;
-        said.limit_per_s = e.limit;
+        rk_vm_said advertised{};
+        advertised.limited = e.limit >= 0;
+        advertised.unlimited = !advertised.limited;
+        advertised.limit_per_s = e.limit;
         if (!n.up)
             return;
-        if (said.limited && !n.told) {
-            n.told = true;
-            n.told_ms = now_;
+        if (advertised.limited && !n.knows_limit) {
+            n.knows_limit = true;
+            n.learnt_ms = now_;
         }
-        if (!rk_vm_signal_hear(&n.signal, &said, now_))
+        if (!rk_vm_signal_hear(&n.signal, &advertised, now_))
             return;
         if (n.signal.senders == RK_SENDERS_UNKNOWN)
             rk_vm_signal_set_senders(&n.signal, static_cast<int>(nodes_.size()),
                                      now_);
-        push({now_ + 200 + below(int64_t{250}), Kind::NOTICE, e.node, {}, 0});
-        tell(e.node);
+        push({now_ + 200 + below(int64_t{250}), Kind::MEMBERSHIP, e.node, {}, 0});
+        send_updates(e.node);
     }
 
-    void news(const Event &e)
+    void on_update(const Event &e)
     {
         Node &n = nodes_[e.node];
-        if (n.up && rk_vm_signal_merge(&n.signal, &e.news, now_)) {
+        if (n.up && rk_vm_signal_merge(&n.signal, &e.update, now_)) {
             n.signal.own = false;
-            set_part(n);
+            set_share(n);
         }
-        note_end();
+        record_limit_end();
     }
 
-    void note_end()
+    void record_limit_end()
     {
-        if (named_ >= 0 || out_.noticed_ms >= 0 || now_ < END_MS - 6000)
+        if (advertised_ >= 0 || out_.end_known_ms >= 0 || now_ < END_MS - 6000)
             return;
-        size_t know =
+        size_t aware =
             std::count_if(nodes_.begin(), nodes_.end(),
                           [](const Node &n) { return n.up && !n.signal.limited; });
-        if (know * 2 >= nodes_.size())
-            out_.noticed_ms = now_ - (END_MS - 6000);
+        if (aware * 2 >= nodes_.size())
+            out_.end_known_ms = now_ - (END_MS - 6000);
     }
 
-    void trouble(const Event &e)
+    void on_fault(const Event &e)
     {
         Node &n = nodes_[e.node];
         if (!n.up)
             return;
         n.up = false;
-        n.trouble_ms = now_;
-        push({now_ + 500 + below(int64_t{5000}), Kind::BACK, e.node, {}, 0});
-        noticed_by_others();
+        n.fault_ms = now_;
+        push({now_ + 500 + below(int64_t{5000}), Kind::RECOVERY, e.node, {}, 0});
+        schedule_membership();
     }
 
-    // Half of them were frozen or cut off, and know what they knew.
-    void back(const Event &e)
+    // A node runs again. Half of them were frozen or cut off and keep what they
+    // knew; the others were restarted and know nothing.
+    void on_recovery(const Event &e)
     {
         Node &n = nodes_[e.node];
         n.up = true;
-        n.trouble_ms = now_;
+        n.fault_ms = now_;
         if (below(size_t{2})) {
-            n.signal = fresh();
-            n.told = false;
+            n.signal = unknown_signal();
+            n.knows_limit = false;
         }
-        noticed_by_others();
+        schedule_membership();
     }
 
-    void noticed_by_others()
+    void schedule_membership()
     {
         for (size_t i = 0; i < nodes_.size(); i++)
             if (nodes_[i].domain == 0)
-                push({now_ + below(NOTICE_MS), Kind::NOTICE, i, {}, 0});
+                push({now_ + below(NOTICE_DELAY_MS), Kind::MEMBERSHIP, i, {}, 0});
     }
 
-    void standing()
+    // Two nodes that have the limit from the VM itself send it to their peers
+    // again.
+    void repeat_limit()
     {
-        int told = 0;
-        for (size_t i = 0; i < nodes_.size() && told < 2; i++)
+        int sent = 0;
+        for (size_t i = 0; i < nodes_.size() && sent < 2; i++)
             if (nodes_[i].up && nodes_[i].signal.limited && nodes_[i].signal.own) {
-                tell(i);
-                told++;
+                send_updates(i);
+                sent++;
             }
     }
 
-    void run(const Event &e)
+    void handle(const Event &e)
     {
         switch (e.kind) {
         case Kind::CALL:
-            return call();
+            return send_call();
         case Kind::ANSWER:
-            return answer(e);
-        case Kind::NEWS:
-            return news(e);
-        case Kind::NOTICE:
+            return on_answer(e);
+        case Kind::UPDATE:
+            return on_update(e);
+        case Kind::MEMBERSHIP:
             if (nodes_[e.node].up)
-                set_part(nodes_[e.node]);
+                set_share(nodes_[e.node]);
             return;
-        case Kind::TROUBLE:
-            return trouble(e);
-        case Kind::BACK:
-            return back(e);
+        case Kind::FAULT:
+            return on_fault(e);
+        case Kind::RECOVERY:
+            return on_recovery(e);
         case Kind::LIMIT:
-            named_ = e.limit;
+            advertised_ = e.limit;
             return;
-        case Kind::STANDING:
-            return standing();
+        case Kind::REPEAT:
+            return repeat_limit();
         }
     }
 
-    void sum()
+    // Finds the most requests that count in any window of WINDOW_MS.
+    void count_arrivals()
     {
         out_.allowed = 1.5 * limit_ * WINDOW_MS / 1000 + 5;
         for (size_t i = 0; i < arrivals_.size(); i++) {
-            int here = 0;
-            if (arrivals_[i].at_ms < LIMIT_MS + IN_TOUCH_MS)
+            int in_window = 0;
+            if (arrivals_[i].at_ms < LIMIT_MS + SETTLE_MS)
                 continue;
             for (size_t j = i; j < arrivals_.size() &&
                                arrivals_[j].at_ms < arrivals_[i].at_ms + WINDOW_MS;
                  j++)
-                here += arrivals_[j].counts && arrivals_[j].named >= 0;
-            out_.used += arrivals_[i].named >= 0;
-            out_.most = std::max(out_.most, here);
+                in_window += arrivals_[j].counts && arrivals_[j].limit >= 0;
+            out_.sent += arrivals_[i].limit >= 0;
+            out_.max_in_window = std::max(out_.max_in_window, in_window);
         }
     }
 
     struct Arrival {
         int64_t at_ms;
         bool counts;
-        double named;
+        double limit;
     };
 
     std::vector<Node> nodes_;
     std::vector<Event> events_;
     std::vector<Arrival> arrivals_;
-    double limit_, calls_per_s_, named_ = -1;
-    int troubles_;
+    double limit_, calls_per_s_, advertised_ = -1;
+    int faults_;
     int64_t now_ = 0;
     std::mt19937 rng_;
     Outcome out_;
 };
 
-bool play(size_t nodes, double limit, double calls_per_s, int troubles,
-          uint32_t seed)
+// Simulates one fleet; returns whether it stayed within the limit. With
+// SHOW_FIGURES in the environment, prints the result.
+bool stays_within_limit(size_t nodes, double limit, double calls_per_s, int faults,
+                        uint32_t seed)
 {
-    const Outcome o = Fleet(nodes, limit, calls_per_s, troubles, seed).play();
-    const double offered = limit * (END_MS - 6000 - LIMIT_MS - IN_TOUCH_MS) / 1000;
+    const Outcome o = Fleet(nodes, limit, calls_per_s, faults, seed).run();
+    const double offered = limit * (END_MS - 6000 - LIMIT_MS - SETTLE_MS) / 1000;
     if (std::getenv("SHOW_FIGURES"))
-        printf(
-            "%4zu nodes, limit %g, %g calls a second, %d troubles: %d in 4 s, %g "
-            "allowed, %.2f of it used, its end known to half of them after %lld "
-            "ms\n",
-            nodes, limit, calls_per_s, troubles, o.most, o.allowed,
-            o.used / offered, static_cast<long long>(o.noticed_ms));
-    return o.most <= o.allowed;
+        printf("%4zu nodes, limit %g, %g calls a second, %d outages: %d in 4 s, %g "
+               "allowed, %.2f of it used, its end known to half of them after %lld "
+               "ms\n",
+               nodes, limit, calls_per_s, faults, o.max_in_window, o.allowed,
+               o.sent / offered, static_cast<long long>(o.end_known_ms));
+    return o.max_in_window <= o.allowed;
 }
 
+// Guards against nodes that each use the limit as if they were alone, or that
+// disagree on who shares it, so that together they send more than the VM takes.
 void no_schedule_exceeds_a_limit()
 {
     const size_t nodes = *rc::gen::element<size_t>(6, 8, 86);
     const double limit = *rc::gen::element(0.0, 0.5, 1.0, 1.1, 5.0, 50.0, 400.0);
     const double calls = *rc::gen::element(5.0, 60.0, 500.0);
-    const int troubles = *rc::gen::inRange(0, 12);
-    RC_ASSERT(play(nodes, limit, calls, troubles, *rc::gen::arbitrary<uint32_t>()));
+    const int faults = *rc::gen::inRange(0, 12);
+    RC_ASSERT(stays_within_limit(nodes, limit, calls, faults,
+                                 *rc::gen::arbitrary<uint32_t>()));
 }
 
-bool holds(size_t nodes)
+// The same for one size of fleet: limits from 0.5 to 50 a second, few and many
+// calls, and without faults or with one for each ten nodes.
+bool limit_holds(size_t nodes)
 {
     bool ok = true;
     for (double limit : {0.5, 1.0, 5.0, 50.0})
         for (double calls : {10.0, nodes * 2.0})
-            for (int troubles : {0, static_cast<int>(nodes / 10)})
-                ok = play(nodes, limit, calls, troubles, 7) && ok;
+            for (int faults : {0, static_cast<int>(nodes / 10)})
+                ok = stays_within_limit(nodes, limit, calls, faults, 7) && ok;
     return ok;
 }
 
@@ -344,10 +370,10 @@
 {
     int failed = run_properties(properties);
     const bool ok[] = {
-        report("a_limit_holds_at_6_nodes", holds(6)),
-        report("a_limit_holds_at_86_nodes", holds(86)),
-        report("a_limit_holds_at_985_nodes", holds(985)),
-        report("a_limit_holds_at_1776_nodes", holds(1776)),
+        report("a_limit_holds_at_6_nodes", limit_holds(6)),
+        report("a_limit_holds_at_86_nodes", limit_holds(86)),
+        report("a_limit_holds_at_985_nodes", limit_holds(985)),
+        report("a_limit_holds_at_1776_nodes", limit_holds(1776)),
     };
     return std::all_of(std::begin(ok), std::end(ok), [](bool x) { return x; })
                ? failed
