--- a/tests/prop_lives.cc
+++ b/tests/prop_lives.cc
@@ -1,6 +1,6 @@
-// VMs that start again under their ids: whatever nodes are told of which life, in
-// which order and how often, each ends with the newest, and knows nothing of
-// before.
+// VMs that are restarted under the same ids: in whatever order and however often
+// nodes learn of a VM's incarnations, each node ends with the newest one and
+// carries nothing over from earlier ones.
 #include "tests/props.h"
 
 #include <algorithm>
@@ -17,16 +17,16 @@
 
 constexpr size_t NODES = 3;
 constexpr int IDS = 3;
-constexpr int LIVES = 4;
+constexpr int INCARNATIONS = 4;
 
-rk_vm_row make_row(int id, int life, bool leaving)
+rk_vm_row make_row(int id, int incarnation, bool leaving)
 {
     rk_vm_row row{};
     snprintf(row.id, sizeof(row.id), "i-%d", id);
-    snprintf(row.addr, sizeof(row.addr), "10.0.%d.%d:80", id, life);
+    snprintf(row.addr, sizeof(row.addr), "10.0.%d.%d:80", id, incarnation);
     std::strcpy(row.service, "s");
     std::strcpy(row.domain, "z");
-    row.born_ms = 1000 + life;
+    row.born_ms = 1000 + incarnation;
     row.slots = 4;
     row.leaving = leaving;
     row.leaves_in_ms = -1;
@@ -41,36 +41,40 @@
     return q;
 }
 
-// A call at some vm, if it can be placed; it ends later, or never.
+// A call placed at a VM; vm: NULL once it has ended.
 struct Call {
     rk_place_vm *vm;
     rk_place_job job;
 };
 
-void each_node_ends_with_the_newest_life()
+// Guards against a node that keeps the address, the age or the leaving state of a
+// VM's past incarnation because the list entry arrived late or twice.
+void each_node_ends_with_the_newest_incarnation()
 {
-    const auto told = *rc::gen::container<std::vector<std::tuple<int, int, bool>>>(
-        rc::gen::tuple(rc::gen::inRange(0, IDS), rc::gen::inRange(0, LIVES),
-                       rc::gen::arbitrary<bool>()));
-    std::map<int, std::pair<int, bool>> newest; // life, was it told to leave
-    for (const auto &[id, life, leaving] : told) {
+    const auto reported =
+        *rc::gen::container<std::vector<std::tuple<int, int, bool>>>(rc::gen::tuple(
+            rc::gen::inRange(0, IDS), rc::gen::inRange(0, INCARNATIONS),
+            rc::gen::arbitrary<bool>()));
+    // By VM: its newest incarnation, and whether that was reported to leave.
+    std::map<int, std::pair<int, bool>> newest;
+    for (const auto &[id, incarnation, leaving] : reported) {
         auto &n = newest.try_emplace(id, -1, false).first->second;
-        if (life > n.first)
-            n = {life, leaving};
-        else if (life == n.first)
+        if (incarnation > n.first)
+            n = {incarnation, leaving};
+        else if (incarnation == n.first)
             n.second = n.second || leaving;
     }
     for (size_t node = 0; node < NODES; node++) {
-        auto order = told;
-        const size_t turn = told.empty() ? 0 : node * 7 % told.size();
-        std::rotate(order.begin(), order.begin() + static_cast<long>(turn),
+        auto order = reported;
+        const size_t offset = reported.empty() ? 0 : node * 7 % reported.size();
+        std::rotate(order.begin(), order.begin() + static_cast<long>(offset),
                     order.end());
         rk_place *p = rk_place_create("z", node);
         std::map<int, rk_vm_row> rows;
         std::vector<Call> calls;
         int64_t now_ms = 1;
-        for (const auto &[id, life, leaving] : order) {
-            rows[id] = make_row(id, life, leaving);
+        for (const auto &[id, incarnation, leaving] : order) {
+            rows[id] = make_row(id, incarnation, leaving);
             std::vector<rk_vm_row> list;
             for (const auto &[key, row] : rows)
                 list.push_back(row);
@@ -83,11 +87,12 @@
             Call call{vm, {}};
             rk_place_sent(p, vm, &q, now_ms, &call.job);
             calls.push_back(call);
-            if (calls.size() % 3 == 0) { // an answer of some life, late
-                Call &late = calls[calls.size() / 2];
-                if (late.vm)
-                    rk_place_ended(p, late.vm, &late.job, RK_PLACE_LOST, ++now_ms);
-                late.vm = nullptr;
+            if (calls.size() % 3 == 0) { // a late end, of any incarnation
+                Call &ended = calls[calls.size() / 2];
+                if (ended.vm)
+                    rk_place_ended(p, ended.vm, &ended.job, RK_PLACE_LOST,
+                                   ++now_ms);
+                ended.vm = nullptr;
             }
         }
         for (const auto &[id, n] : newest) {
@@ -104,12 +109,13 @@
     }
 }
 
-// Failures of calls that the life before had in hand say nothing of the next.
-void what_ends_late_speaks_against_its_own_life()
+// Guards against a restarted VM that is paused or avoided for the lost calls of its
+// past incarnation.
+void late_failures_count_for_their_own_incarnation()
 {
     rk_place *p = rk_place_create("z", 1);
-    const rk_vm_row before = make_row(0, 0, false), after = make_row(0, 1, false);
-    rk_place_set_vms(p, &before, 1, 1);
+    const rk_vm_row past = make_row(0, 0, false), current = make_row(0, 1, false);
+    rk_place_set_vms(p, &past, 1, 1);
     rk_place_query q = query();
     rk_engine_forecast first;
     std::vector<Call> calls;
@@ -120,10 +126,10 @@
         rk_place_sent(p, call.vm, &q, 2, &call.job);
         calls.push_back(call);
     }
-    rk_place_set_vms(p, &after, 1, 3);
+    rk_place_set_vms(p, &current, 1, 3);
     for (Call &call : calls)
         rk_place_ended(p, call.vm, &call.job, RK_PLACE_LOST, 4);
-    const rk_place_vm *vm = rk_place_find(p, after.id);
+    const rk_place_vm *vm = rk_place_find(p, current.id);
     RC_ASSERT(vm->failures == 0 && vm->paused_until_ms == 0 && vm->running == 0);
     RC_ASSERT(!vm->over && vm->pace.failed == 0);
     size_t rows = 0;
@@ -134,9 +140,10 @@
 }
 
 constexpr Property properties[] = {
-    {"each_node_ends_with_the_newest_life", each_node_ends_with_the_newest_life},
-    {"what_ends_late_speaks_against_its_own_life",
-     what_ends_late_speaks_against_its_own_life},
+    {"each_node_ends_with_the_newest_incarnation",
+     each_node_ends_with_the_newest_incarnation},
+    {"late_failures_count_for_their_own_incarnation",
+     late_failures_count_for_their_own_incarnation},
 };
 
 } // namespace
--- a/tests/prop_quarantine.cc
+++ b/tests/prop_quarantine.cc
@@ -1,10 +1,11 @@
-// Requests that end VMs, over whole fleets: tables of nodes agree whatever is told
-// in which order, and a fleet stops what ends its VMs and nothing else.
+// Requests that crash VMs, over whole fleets: the nodes' quarantine tables agree
+// whatever rows they receive in which order, and a fleet stops the requests that
+// crash its VMs and no others.
 //
-// The fleet, in steps of 10 ms: VMs with calls that wait, begin and run; a request
-// that ends its VM 60 ms after it began, asked for again at a random node; news
-// that reach other nodes up to 1 s later; nodes cut off for 4 s, and restarted; VMs
-// that end by themselves, many at once. A VM is back after 4 s.
+// The simulation, in steps of 10 ms: VMs have calls that wait, begin and run; a
+// crashing request ends its VM 60 ms after it began, and is sent again to a random
+// node; updates reach other nodes up to 1 s later; nodes are cut off for 4 s or
+// restarted; VMs end for other reasons, many at once. A VM runs again after 4 s.
 #include "tests/props.h"
 
 #include <algorithm>
@@ -26,7 +27,7 @@
 constexpr uint32_t VMS = 8;
 constexpr size_t TABLES = 4;
 
-struct rk_quarantine_row named(uint64_t request)
+struct rk_quarantine_row make_row(uint64_t request)
 {
     rk_quarantine_row row{};
     row.request = request;
@@ -45,12 +46,14 @@
     return tables;
 }
 
-void tell_all(const rk_quarantine &from, rk_quarantine &to)
+void send_all_rows(const rk_quarantine &from, rk_quarantine &to)
 {
     for (size_t i = 0; i < from.len; i++)
         rk_quarantine_merge(&to, &from.rows[i], false, 1);
 }
 
+// Guards against nodes that disagree on which requests are stopped: a call stopped
+// by one node would crash VMs by way of another.
 void tables_agree_in_any_order()
 {
     Tables tables = make_tables(TABLES);
@@ -59,7 +62,7 @@
         rk_quarantine &t = *tables[*rc::gen::inRange<size_t>(0, TABLES)];
         rk_quarantine &peer = *tables[*rc::gen::inRange<size_t>(0, TABLES)];
         const uint64_t request = *rc::gen::inRange<uint64_t>(1, REQUESTS + 1);
-        const rk_quarantine_row names = named(request);
+        const rk_quarantine_row names = make_row(request);
         const rk_vm_end end = {*rc::gen::inRange<uint32_t>(1, VMS + 1),
                                *rc::gen::inRange(0, 3) ? RK_HAD_JUST_BEGUN
                                                        : RK_MAY_HAVE_BEGUN};
@@ -68,7 +71,7 @@
             rk_quarantine_clear(&t, request, 1);
             break;
         case 1:
-            tell_all(t, peer);
+            send_all_rows(t, peer);
             break;
         default:
             rk_quarantine_note(&t, &names, end, 1);
@@ -78,66 +81,68 @@
         for (auto &from : tables)
             for (auto &to : tables)
                 if (from != to)
-                    tell_all(*from, *to);
+                    send_all_rows(*from, *to);
     for (uint64_t request = 1; request <= REQUESTS; request++)
         for (size_t i = 1; i < TABLES; i++)
             RC_ASSERT(rk_quarantine_stops(tables[0].get(), request, 1) ==
                       rk_quarantine_stops(tables[i].get(), request, 1));
 }
 
-// ---- a fleet ----
+// ---- fleets ----
 
 constexpr int STEP_MS = 10;
 constexpr int END_MS = 20000;
-constexpr int ENDS_AFTER_MS = 60;
-constexpr int BACK_MS = 4000;
-constexpr int ASK_MS = 300;
-constexpr int ATTEMPTS = 2;
-constexpr int CUT_MS = 4000;
-constexpr int IN_TOUCH_MS = 3000;
-constexpr int JUST_BEGUN_MS = 250;
-constexpr int INNOCENT_MS = 1000;
-constexpr size_t WAVE = 17;
+constexpr int CRASH_AFTER_MS = 60; // from the begin of a crashing request
+constexpr int RESTART_MS = 4000;   // until an ended VM runs again
+constexpr int RESEND_MS = 300;     // between sends of a crashing request
+constexpr int ATTEMPTS = 2;        // VMs that one try may use
+constexpr int PARTITION_MS = 4000;
+constexpr int PROPAGATION_MS = 3000; // until all nodes must know
+constexpr int JUST_BEGUN_MS = 250;   // a call that ran no longer is most suspect
+constexpr int LONG_RUN_MS = 1000;    // a call that ran longer is no suspect
+constexpr size_t WAVE_VMS = 17;      // VMs that end at once for other reasons
 
 struct Call {
     uint64_t request;
     size_t node;
     int begins_ms, ends_ms;
-    int attempts, tries; // at VMs for this try, tries of its caller
-    bool guilty;
+    int attempts, tries; // VMs used in this try; tries of its caller
+    bool crashes_vm;
 };
 
 struct Vm {
-    uint32_t life = 0;
-    int back_ms = 0;
+    uint32_t incarnation = 0;
+    int up_from_ms = 0;
     int dies_ms = INT32_MAX;
     std::vector<Call> calls;
 };
 
-struct News {
+// A row on its way to a node.
+struct Update {
     int at_ms;
     size_t node;
     rk_quarantine_row row;
 };
 
 struct Outcome {
-    int asked = 0, guilty_ended = 0, died_beside = 0, stopped_innocent = 0,
+    // other: calls that crash no VM; late_sends: see count_late().
+    int other_calls = 0, vms_crashed = 0, other_lost = 0, other_stopped = 0,
         late_sends = 0;
 };
 
 class Fleet {
   public:
-    Fleet(size_t nodes, size_t vms, size_t guilty, bool waves,
+    Fleet(size_t nodes, size_t vms, size_t crashing, bool waves,
           bool every_end_counts, uint32_t seed)
-        : nodes_(make_tables(nodes)), cut_ms_(nodes, 0), vms_(vms),
-          ends_(guilty, 0), third_ms_(guilty, -1), waves_(waves),
-          alike_(every_end_counts), rng_(seed)
+        : nodes_(make_tables(nodes)), cut_until_ms_(nodes, 0), vms_(vms),
+          crash_counts_(crashing, 0), third_crash_ms_(crashing, -1), waves_(waves),
+          every_end_counts_(every_end_counts), rng_(seed)
     {
         for (Vm &vm : vms_)
-            vm.life = ++lives_;
+            vm.incarnation = ++last_incarnation_;
     }
 
-    Outcome play()
+    Outcome run()
     {
         for (now_ = 0; now_ < END_MS; now_ += STEP_MS)
             step();
@@ -152,17 +157,18 @@
 
     void step()
     {
-        deliver();
-        disturb();
+        deliver_updates();
+        inject_faults();
         for (Vm &vm : vms_)
-            run(vm);
-        const int innocent = static_cast<int>(vms_.size()) * 12;
-        for (int i = 0; i < innocent; i++) // a second, each VM
+            run_vm(vm);
+        const int per_s = static_cast<int>(vms_.size()) * 12; // 12 for each VM
+        for (int i = 0; i < per_s; i++)
             if (below(1000 / STEP_MS) == 0)
-                ask({100000 + next_++, pick_node(), 0, 0, 0, 0, false});
-        if (now_ % ASK_MS == 0)
-            for (size_t g = 0; g < ends_.size(); g++)
-                ask({g + 1, pick_node(), 0, 0, 0, 0, true});
+                start_call(
+                    {100000 + last_request_++, pick_node(), 0, 0, 0, 0, false});
+        if (now_ % RESEND_MS == 0)
+            for (size_t g = 0; g < crash_counts_.size(); g++)
+                start_call({g + 1, pick_node(), 0, 0, 0, 0, true});
     }
 
     size_t pick_node()
@@ -170,74 +176,78 @@
         return static_cast<size_t>(below(static_cast<int>(nodes_.size())));
     }
 
-    // A tenth of the nodes is cut off from 8 s on, another is restarted at 15 s.
-    void disturb()
+    // A tenth of the nodes is cut off at 8 s for PARTITION_MS, and another tenth is
+    // restarted at 15 s.
+    void inject_faults()
     {
         const size_t some = std::max<size_t>(1, nodes_.size() / 10);
         if (now_ == 8000)
             for (size_t i = 0; i < some; i++)
-                cut_ms_[i] = now_ + CUT_MS;
-        if (now_ == 8000 + CUT_MS || now_ == 15000 + 1000)
+                cut_until_ms_[i] = now_ + PARTITION_MS;
+        if (now_ == 8000 + PARTITION_MS || now_ == 15000 + 1000)
             for (size_t i = 0; i < 2 * some && i < nodes_.size(); i++)
-                tell_all(*nodes_.back(), *nodes_[i]); // what stays is told again
+                send_all_rows(*nodes_.back(), *nodes_[i]); // rows are sent again
         if (now_ == 15000)
             for (size_t i = some; i < 2 * some && i + 1 < nodes_.size(); i++) {
                 *nodes_[i] = rk_quarantine{};
-                cut_ms_[i] = now_ + IN_TOUCH_MS;
+                cut_until_ms_[i] = now_ + PROPAGATION_MS;
             }
         if (waves_ && now_ % 5000 == 2500)
-            for (size_t i = 0; i < WAVE && i < vms_.size() / 3; i++)
-                end(vms_[static_cast<size_t>(
+            for (size_t i = 0; i < WAVE_VMS && i < vms_.size() / 3; i++)
+                end_vm(vms_[static_cast<size_t>(
                     below(static_cast<int>(vms_.size())))]);
     }
 
-    void deliver()
+    void deliver_updates()
     {
-        for (size_t i = news_.size(); i-- > 0;) {
-            if (news_[i].at_ms > now_)
+        for (size_t i = updates_.size(); i-- > 0;) {
+            if (updates_[i].at_ms > now_)
                 continue;
-            rk_quarantine_merge(nodes_[news_[i].node].get(), &news_[i].row, false,
-                                now_ + 1);
-            news_[i] = news_.back();
-            news_.pop_back();
+            rk_quarantine_merge(nodes_[updates_[i].node].get(), &updates_[i].row,
+                                false, now_ + 1);
+            updates_[i] = updates_.back();
+            updates_.pop_back();
         }
     }
 
-    // Only requests that more than one node can meet are told in this model, and
-    // suspects of one call by their own callers' next tries at other nodes.
-    void tell(size_t from, const rk_quarantine_row &row)
+    // Sends a row to all nodes that are not cut off. The model sends only rows of
+    // requests that other nodes can receive, too: crashing ones, and others whose
+    // callers have sent them again.
+    void send_update(size_t from, const rk_quarantine_row &row)
     {
-        if (now_ < cut_ms_[from])
+        if (now_ < cut_until_ms_[from])
             return;
         for (size_t i = 0; i < nodes_.size(); i++)
-            if (i != from && now_ >= cut_ms_[i])
-                news_.push_back({now_ + 250 + below(750), i, row});
+            if (i != from && now_ >= cut_until_ms_[i])
+                updates_.push_back({now_ + 250 + below(750), i, row});
     }
 
-    void ask(Call call)
+    // A caller sends a request, or sends it again.
+    void start_call(Call call)
     {
-        out_.asked += !call.guilty && !call.tries;
+        out_.other_calls += !call.crashes_vm && !call.tries;
         call.tries++;
         call.attempts = 0;
-        send(call);
+        send_to_vm(call);
     }
 
-    void send(Call call)
+    // Sends a call to a VM that runs, unless the request is stopped.
+    void send_to_vm(Call call)
     {
         if (rk_quarantine_stops(nodes_[call.node].get(), call.request, now_ + 1)) {
-            out_.stopped_innocent += !call.guilty;
+            out_.other_stopped += !call.crashes_vm;
             return;
         }
         std::vector<Vm *> up;
         for (int i = 0; i < 8; i++) {
             Vm &vm =
                 vms_[static_cast<size_t>(below(static_cast<int>(vms_.size())))];
-            if (now_ >= vm.back_ms)
+            if (now_ >= vm.up_from_ms)
                 up.push_back(&vm);
         }
         if (up.empty())
             return;
-        if (call.guilty)
+        if (call.crashes_vm)
             count_late(call);
         call.attempts++;
         call.begins_ms = now_ + 20 + below(400);
@@ -245,28 +255,31 @@
         up[0]->calls.push_back(call);
     }
 
+    // Counts sends of a crashing request that its node should have stopped by then.
     void count_late(const Call &call)
     {
-        const int third = third_ms_[call.request - 1];
-        if (third >= 0 && now_ > third + IN_TOUCH_MS && now_ > cut_ms_[call.node])
+        const int third_crash_ms = third_crash_ms_[call.request - 1];
+        if (third_crash_ms >= 0 && now_ > third_crash_ms + PROPAGATION_MS &&
+            now_ > cut_until_ms_[call.node])
             out_.late_sends++;
     }
 
-    void run(Vm &vm)
+    // Ends the calls of a VM that are over, and the VM if one of them crashes it.
+    void run_vm(Vm &vm)
     {
-        if (now_ < vm.back_ms)
+        if (now_ < vm.up_from_ms)
             return;
         for (size_t i = vm.calls.size(); i-- > 0;) {
             Call &call = vm.calls[i];
-            if (call.guilty && now_ >= call.begins_ms + ENDS_AFTER_MS) {
+            if (call.crashes_vm && now_ >= call.begins_ms + CRASH_AFTER_MS) {
                 const size_t g = call.request - 1;
-                out_.guilty_ended++;
-                if (++ends_[g] == 3)
-                    third_ms_[g] = now_;
-                end(vm);
+                out_.vms_crashed++;
+                if (++crash_counts_[g] == 3)
+                    third_crash_ms_[g] = now_;
+                end_vm(vm);
                 return;
             }
-            if (!call.guilty && now_ >= call.ends_ms) {
+            if (!call.crashes_vm && now_ >= call.ends_ms) {
                 rk_quarantine_clear(nodes_[call.node].get(), call.request,
                                     now_ + 1);
                 vm.calls[i] = vm.calls.back();
@@ -275,39 +288,43 @@
         }
     }
 
+    // How suspect a call is when its VM ends, by how long it had run.
     rk_suspicion suspicion(const Call &call) const
     {
-        if (alike_)
+        if (every_end_counts_)
             return RK_HAD_JUST_BEGUN;
         if (now_ < call.begins_ms)
             return RK_MAY_HAVE_BEGUN;
         const int ran_ms = now_ - call.begins_ms;
-        if (ran_ms > INNOCENT_MS)
+        if (ran_ms > LONG_RUN_MS)
             return RK_NOT_SUSPECT;
         return ran_ms <= JUST_BEGUN_MS ? RK_HAD_JUST_BEGUN : RK_MAY_HAVE_BEGUN;
     }
 
-    void end(Vm &vm)
+    // Ends a VM. Its calls are sent to another VM, or sent again by their callers
+    // at another node.
+    void end_vm(Vm &vm)
     {
-        std::vector<Call> lost;
-        lost.swap(vm.calls);
-        const uint32_t life = vm.life;
-        vm.life = ++lives_;
-        vm.back_ms = now_ + BACK_MS;
-        for (const Call &call : lost)
-            note(call, life);
-        for (Call &call : lost) {
-            out_.died_beside += !call.guilty;
+        std::vector<Call> lost_calls;
+        lost_calls.swap(vm.calls);
+        const uint32_t incarnation = vm.incarnation;
+        vm.incarnation = ++last_incarnation_;
+        vm.up_from_ms = now_ + RESTART_MS;
+        for (const Call &call : lost_calls)
+            record_end(call, incarnation);
+        for (Call &call : lost_calls) {
+            out_.other_lost += !call.crashes_vm;
             if (call.attempts < ATTEMPTS) {
-                send(call);
-            } else if (!call.guilty && call.tries < 3) {
+                send_to_vm(call);
+            } else if (!call.crashes_vm && call.tries < 3) {
                 call.node = pick_node();
-                ask(call);
+                start_call(call);
             }
         }
     }
 
-    void note(const Call &call, uint32_t life)
+    // Records at the call's node that a VM ended under it.
+    void record_end(const Call &call, uint32_t incarnation)
     {
         const rk_suspicion s = suspicion(call);
         rk_quarantine *t = nodes_[call.node].get();
@@ -315,23 +332,23 @@
             rk_quarantine_ran(t, call.request, now_ + 1);
             return;
         }
-        const rk_quarantine_row names = named(call.request);
-        rk_quarantine_note(t, &names, {life, s}, now_ + 1);
+        const rk_quarantine_row names = make_row(call.request);
+        rk_quarantine_note(t, &names, {incarnation, s}, now_ + 1);
         const rk_quarantine_row *row = rk_quarantine_find(t, call.request);
-        if (row && (call.guilty || call.tries > 0))
-            tell(call.node, *row);
+        if (row && (call.crashes_vm || call.tries > 0))
+            send_update(call.node, *row);
     }
 
     int now_ = 0;
     Tables nodes_;
-    std::vector<int> cut_ms_;
+    std::vector<int> cut_until_ms_;
     std::vector<Vm> vms_;
-    std::vector<int> ends_, third_ms_;
-    std::vector<News> news_;
-    bool waves_, alike_;
+    std::vector<int> crash_counts_, third_crash_ms_;
+    std::vector<Update> updates_;
+    bool waves_, every_end_counts_;
     std::mt19937 rng_;
-    uint32_t lives_ = 0;
-    uint64_t next_ = 0;
+    uint32_t last_incarnation_ = 0;
+    uint64_t last_request_ = 0;
     Outcome out_;
 };
 
@@ -339,32 +356,34 @@
     size_t nodes, vms;
 };
 
-// Prints what a page may be written from, where that is asked for.
-void show(const Size &size, size_t guilty, bool waves, bool alike, const Outcome &o)
+// Prints the figures of a run if SHOW_FIGURES is set in the environment.
+void print_outcome(const Size &size, size_t crashing, bool waves,
+                   bool every_end_counts, const Outcome &o)
 {
     if (std::getenv("SHOW_FIGURES"))
         printf(
-            "%4zu nodes %4zu vms %3zu guilty%s%s: %d vms ended by them, %d calls "
-            "lost beside, %d of %d innocent stopped, %d late\n",
-            size.nodes, size.vms, guilty, waves ? " waves" : "",
-            alike ? " each end alike" : "", o.guilty_ended, o.died_beside,
-            o.stopped_innocent, o.asked, o.late_sends);
+            "%4zu nodes %4zu vms %3zu crashing%s%s: %d vms ended by them, %d calls "
+            "lost beside, %d of %d other stopped, %d late\n",
+            size.nodes, size.vms, crashing, waves ? " waves" : "",
+            every_end_counts ? " each end alike" : "", o.vms_crashed, o.other_lost,
+            o.other_stopped, o.other_calls, o.late_sends);
 }
 
-// The users' aim: at most three sends of each later than 3 s after its third VM;
-// and nobody else's request is stopped.
-bool holds(const Size &size, size_t guilty, bool waves, uint32_t seeds)
+// Checks the users' target: from 3 s after a request crashed its third VM it is
+// sent at most three times more, and no other request is stopped.
+bool meets_target(const Size &size, size_t crashing, bool waves, uint32_t seeds)
 {
     bool ok = true;
     for (uint32_t seed = 1; seed <= seeds; seed++) {
         const Outcome o =
-            Fleet(size.nodes, size.vms, guilty, waves, false, seed).play();
-        show(size, guilty, waves, false, o);
-        ok = ok && o.late_sends <= static_cast<int>(3 * guilty) &&
-             o.stopped_innocent == 0;
+            Fleet(size.nodes, size.vms, crashing, waves, false, seed).run();
+        print_outcome(size, crashing, waves, false, o);
+        ok = ok && o.late_sends <= static_cast<int>(3 * crashing) &&
+             o.other_stopped == 0;
         if (std::getenv("SHOW_FIGURES"))
-            show(size, guilty, waves, true,
-                 Fleet(size.nodes, size.vms, guilty, waves, true, seed).play());
+            print_outcome(
+                size, crashing, waves, true,
+                Fleet(size.nodes, size.vms, crashing, waves, true, seed).run());
     }
     return ok;
 }
@@ -379,14 +398,19 @@
 
 int main()
 {
+    // Each of the fleet tests guards against a crashing request that keeps ending
+    // VMs after its third, and against other requests that are stopped because many
+    // VMs ended beside it.
     int failed = run_properties(properties);
     const bool ok[] = {
-        report("a_small_fleet_stops_what_ends_its_vms", holds(SMALL, 1, false, 10)),
-        report("waves_beside_it_change_nothing", holds(SMALL, 1, true, 10)),
-        report("a_grown_fleet_stops_ten_of_them", holds(GROWN, 10, true, 2)),
-        report("waves_alone_stop_nothing", holds(GROWN, 0, true, 1)),
-        report("a_large_fleet_stops_one", holds(LARGE, 1, true, 1)),
-        report("a_large_fleet_stops_ten", holds(LARGE, 10, true, 1)),
+        report("a_small_fleet_stops_what_ends_its_vms",
+               meets_target(SMALL, 1, false, 10)),
+        report("unrelated_vm_losses_change_nothing",
+               meets_target(SMALL, 1, true, 10)),
+        report("a_medium_fleet_stops_ten", meets_target(GROWN, 10, true, 2)),
+        report("unrelated_vm_losses_stop_nothing", meets_target(GROWN, 0, true, 1)),
+        report("a_large_fleet_stops_one", meets_target(LARGE, 1, true, 1)),
+        report("a_large_fleet_stops_ten", meets_target(LARGE, 10, true, 1)),
     };
     return std::all_of(std::begin(ok), std::end(ok), [](bool x) { return x; })
                ? failed
--- a/tests/prop_rollout.cc
+++ b/tests/prop_rollout.cc
@@ -1,6 +1,6 @@
-// Properties of a roll-out's course, whatever is seen and whenever: it only goes
-// forward, what it ended as it stays, a version that is given back gets nothing,
-// and what a trial lets through is bounded as told.
+// Properties of a rollout, for any results of calls at any time: it only moves
+// forward, its final state is kept, a version that was rolled back gets no calls,
+// and the calls of a canary are bounded as configured.
 #include "tests/props.h"
 
 #include <cstdio>
@@ -27,7 +27,7 @@
     return r;
 }
 
-// More calls to both versions, of which some failed.
+// Adds random calls to one version, of which some failed.
 void add_calls(rk_trial_rows *rows)
 {
     const char *route = *rc::gen::arbitrary<bool>() ? "r" : "s";
@@ -56,7 +56,9 @@
     return v;
 }
 
-void it_only_goes_forward()
+// Guards against a rollout that goes back to an earlier phase, leaves its final
+// state or changes its rule without a new revision, which nodes would ignore.
+void a_rollout_only_moves_forward()
 {
     int64_t now_ms = 1000;
     rk_rollout r = any_rollout(now_ms);
@@ -78,8 +80,9 @@
     }
 }
 
-// While little is known, a trial gets a part of what a bad version may.
-void a_trial_stays_within_its_part()
+// Guards against a canary that gets more calls than its bounds allow a bad version
+// while it is still undecided.
+void a_canary_stays_within_its_share()
 {
     int64_t now_ms = 1000;
     rk_rollout r = any_rollout(now_ms);
@@ -88,25 +91,25 @@
     rk_trial_row *old_row = rk_trial_row_at(&rows, "r", "a", false);
     rk_trial_row *new_row = rk_trial_row_at(&rows, "r", "a", true);
     for (int i = 0; i < STEPS && r.rule.phase == RK_ROLLOUT_TRIAL; i++) {
-        rk_trial_seen some = {};
-        some.calls = some.timed = *rc::gen::inRange(0, 30);
-        rk_trial_add(&old_row->seen, &some);
+        rk_trial_seen more = {};
+        more.calls = more.timed = *rc::gen::inRange(0, 30);
+        rk_trial_add(&old_row->seen, &more);
         const rk_rollout_view v = any_view(now_ms, &rows);
         rk_rollout_step(&r, &v);
-        const double may =
+        const double allowed =
             r.bounds.share * (old_row->seen.calls + new_row->seen.calls) +
             r.bounds.slack;
-        if (r.rule.phase == RK_ROLLOUT_TRIAL && new_row->seen.calls >= may)
+        if (r.rule.phase == RK_ROLLOUT_TRIAL && new_row->seen.calls >= allowed)
             RC_ASSERT(r.rule.share == 0u);
-        some.calls = some.timed = r.rule.share ? *rc::gen::inRange(0, 5) : 0;
-        rk_trial_add(&new_row->seen, &some);
+        more.calls = more.timed = r.rule.share ? *rc::gen::inRange(0, 5) : 0;
+        rk_trial_add(&new_row->seen, &more);
         now_ms += 200;
     }
 }
 
-// It ends in its time; what has moved by then has three seconds more to end on the
-// old vms.
-void it_ends_in_its_time()
+// Guards against a rollout that never ends: it must be done after its duration and
+// 3 s more, in which calls on the old VMs may end.
+void a_rollout_ends_in_its_time()
 {
     int64_t now_ms = 1000;
     rk_rollout r = any_rollout(now_ms);
@@ -125,18 +128,20 @@
     RC_ASSERT(rk_rollout_state_of(&r) >= RK_ROLLOUT_DONE);
 }
 
-// The same call is judged the same by all nodes, and about as many try it as told.
-void calls_try_it_by_their_hash()
+// The choice depends only on the call's hash, so that all nodes make the same one,
+// and the share of calls that use the new version is about the configured one.
+void calls_choose_the_version_by_their_hash()
 {
     rk_rollout_rule rule = {};
     snprintf(rule.version, sizeof(rule.version), "v2");
     rule.share = *rc::gen::inRange(0u, RK_ROLLOUT_ALL + 1u);
     const uint64_t seed = *rc::gen::arbitrary<uint64_t>();
-    int tried = 0;
+    int new_version_calls = 0;
     for (uint64_t i = 0; i < 2000; i++)
-        tried += rk_rollout_tries(&rule, seed + i);
+        new_version_calls += rk_rollout_tries(&rule, seed + i);
     const double expected = 2000.0 * rule.share / RK_ROLLOUT_ALL;
-    RC_ASSERT(tried > expected - 150 && tried < expected + 150);
+    RC_ASSERT(new_version_calls > expected - 150 &&
+              new_version_calls < expected + 150);
 }
 
 } // namespace
@@ -144,10 +149,11 @@
 int main()
 {
     static const Property properties[] = {
-        {"it_only_goes_forward", it_only_goes_forward},
-        {"a_trial_stays_within_its_part", a_trial_stays_within_its_part},
-        {"it_ends_in_its_time", it_ends_in_its_time},
-        {"calls_try_it_by_their_hash", calls_try_it_by_their_hash},
+        {"a_rollout_only_moves_forward", a_rollout_only_moves_forward},
+        {"a_canary_stays_within_its_share", a_canary_stays_within_its_share},
+        {"a_rollout_ends_in_its_time", a_rollout_ends_in_its_time},
+        {"calls_choose_the_version_by_their_hash",
+         calls_choose_the_version_by_their_hash},
     };
     return run_properties(properties);
 }
