--- a/tests/test_bridges.c
+++ b/tests/test_bridges.c
@@ -1,5 +1,7 @@
-/* Who bridges a failure domain, as each of its nodes sees it: they have to agree,
- * or some tell nodes that others don't hear. */
+/* Tests of the mesh between nodes: which nodes each one elects as bridges of a
+ * failure domain, and what it takes in from reports and digests. A bridge is a
+ * domain's elected relay node. The nodes of a domain must elect the same ones:
+ * otherwise reports go to nodes from which others receive nothing. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,17 +13,17 @@
 
 #include "node/mesh_impl.h"
 
-#define NODES    16
-#define NEAR     5 /* of them in the domain of the first */
-#define CAPACITY 250
-#define ASKING   5 /* units a second, as told */
+#define NODES        16
+#define DOMAIN_NODES 5 /* nodes in the domain of the first */
+#define CAPACITY     250
+#define DEMAND       5 /* units a second, as reported */
 
 struct fleet {
     struct rk_node nodes[NODES];
     struct rk_mesh meshes[NODES];
 };
 
-static void name(char *id, char *addr, int number)
+static void format_name(char *id, char *addr, int number)
 {
     snprintf(id, RK_ID_MAX, "edge-%d", number);
     snprintf(addr, RK_ADDR_MAX, "10.0.0.%d:1", number + 1);
@@ -29,16 +31,18 @@
 
 static const char *domain_of(int number)
 {
-    return number < NEAR ? "a-hall" : number < 2 * NEAR ? "b-hall" : "c-hall";
+    return number < DOMAIN_NODES       ? "a-hall"
+           : number < 2 * DOMAIN_NODES ? "b-hall"
+                                       : "c-hall";
 }
 
-static void begin(struct fleet *f)
+static void fleet_init(struct fleet *f)
 {
     char addr[RK_ADDR_MAX];
     memset(f, 0, sizeof(*f));
     for (int i = 0; i < NODES; i++) {
         struct rk_node *n = &f->nodes[i];
-        name(n->file.id, addr, i);
+        format_name(n->file.id, addr, i);
         rk_strcpy(n->file.control_advertise, sizeof(n->file.control_advertise),
                   addr);
         rk_strcpy(n->file.failure_domain, sizeof(n->file.failure_domain),
@@ -50,18 +54,18 @@
     }
 }
 
-static void end(struct fleet *f)
+static void fleet_free(struct fleet *f)
 {
     for (int i = 0; i < NODES; i++)
         rk_mesh_free_members(&f->meshes[i]);
 }
 
-/* A node hears a report of another. */
-static void report(struct fleet *f, int to, int from)
+/* Node `to` receives a report of node `from`. */
+static void receive_report(struct fleet *f, int to, int from)
 {
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
     Rillknot__NodeReport r = RILLKNOT__NODE_REPORT__INIT;
-    name(id, addr, from);
+    format_name(id, addr, from);
     r.id = id;
     r.addr = addr;
     r.domain = (char *)domain_of(from);
@@ -70,10 +74,11 @@
     rk_report_take(rk_mesh_learn(&f->meshes[to], id, addr), &r);
 }
 
-/* A digest of the fleet by a node; id and addr are its text. */
+/* Makes a digest of the fleet by a node. id and addr hold its texts and must
+ * outlive it. */
 static void init_digest(Rillknot__Digest *d, char *id, char *addr, int from)
 {
-    name(id, addr, from);
+    format_name(id, addr, from);
     rillknot__digest__init(d);
     d->id = id;
     d->addr = addr;
@@ -82,9 +87,8 @@
     d->fleet = true;
 }
 
-/* A node hears a digest of another, which tells of members as the other knows them.
- */
-static void digest(struct fleet *f, int to, int from, int64_t capacity)
+/* Node `to` receives a digest of node `from` with the members that it knows. */
+static void receive_digest(struct fleet *f, int to, int from, int64_t capacity)
 {
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
     Rillknot__Digest d;
@@ -105,87 +109,89 @@
     rk_digest_take(rk_mesh_learn(&f->meshes[to], id, addr), &d);
 }
 
-static int bridges_seen_by(struct fleet *f, int node, bool is_bridge[NODES])
+/* Fills in which nodes a node elects as bridges; returns the number of those in the
+ * first domain. */
+static int elect_bridges(struct fleet *f, int node, bool is_bridge[NODES])
 {
     int count = 0;
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
     rk_mesh_elect(&f->meshes[node], rk_mono_ms());
     for (int i = 0; i < NODES; i++) {
-        name(id, addr, i);
+        format_name(id, addr, i);
         const struct member *k = rk_mesh_find(&f->meshes[node], id);
         is_bridge[i] = i == node ? f->meshes[node].bridge : k && k->bridge;
-        count += is_bridge[i] && i < NEAR;
+        count += is_bridge[i] && i < DOMAIN_NODES;
     }
     return count;
 }
 
-/* Each node learns of each: of the bridges of its domain by their digests, of the
- * others by reports. */
-static void meet(struct fleet *f, const bool is_bridge[NODES])
+/* All nodes learn of each other: of bridges by their digests, of the others by
+ * reports. */
+static void exchange_all(struct fleet *f, const bool is_bridge[NODES])
 {
     for (int to = 0; to < NODES; to++)
         for (int from = 0; from < NODES; from++)
             if (from != to && is_bridge[from])
-                digest(f, to, from, CAPACITY);
+                receive_digest(f, to, from, CAPACITY);
             else if (from != to)
-                report(f, to, from);
+                receive_report(f, to, from);
 }
 
-/* Seen: of 96 fleets of 16 nodes that started together on 8 cores with twice as
- * much to do, one never met: for 25 s 3 nodes of a domain were bridges at once, 2
- * were none, and each heard others than the next.
- *
- * How it came about: a node heard a digest of a bridge before it read the list of
- * nodes. Cause: a digest didn't tell what its sender's machine can do, the list was
- * not asked for a node that was known, and the bridge went on as one of capacity 0,
- * last of all; the node told others so, and they took its word. Proof: here the
- * same messages leave the bridges out of what each node elects. */
+/* Guards against nodes of a domain that elect different bridges and then do not
+ * reach each other. Nodes rank candidates by capacity. A node that received a
+ * bridge's digest before it read the node list did not learn the bridge's capacity,
+ * ranked it last with capacity 0 and passed the 0 on to others. Of 96 fleets of 16
+ * nodes that were started together on 8 cores under twice their load, one stayed
+ * split for 25 s, with 3 nodes of a domain as bridges at once and 2 not. */
 static void nodes_agree_however_they_learnt_of_bridges(void **state)
 {
     (void)state;
     static struct fleet f;
     bool first[NODES], seen[NODES];
     const bool none[NODES] = {0};
-    begin(&f);
-    meet(&f, none);
-    assert_int_equal(bridges_seen_by(&f, 0, first), RK_MESH_BRIDGES);
-    end(&f);
-    begin(&f);
-    meet(&f, first);
+    fleet_init(&f);
+    exchange_all(&f, none);
+    assert_int_equal(elect_bridges(&f, 0, first), RK_MESH_BRIDGES);
+    fleet_free(&f);
+    fleet_init(&f);
+    exchange_all(&f, first);
     for (int i = 0; i < NODES; i++) {
-        bridges_seen_by(&f, i, seen);
+        elect_bridges(&f, i, seen);
         assert_memory_equal(seen, first, sizeof(seen));
     }
-    end(&f);
+    fleet_free(&f);
 }
 
-/* Who doesn't know what a node's machine can do doesn't unlearn others of it. */
-static void what_a_bridge_does_not_know_changes_nothing(void **state)
+/* A digest from a node that doesn't know a member's capacity must not overwrite the
+ * capacity that others know. */
+static void a_capacity_unknown_to_a_bridge_changes_none(void **state)
 {
     (void)state;
     static struct fleet f;
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
-    begin(&f);
-    report(&f, 0, 1);
-    name(id, addr, 1);
-    rk_mesh_learn(&f.meshes[2], id, addr); /* by its address alone */
-    digest(&f, 0, 2, CAPACITY);
+    fleet_init(&f);
+    receive_report(&f, 0, 1);
+    format_name(id, addr, 1);
+    /* Node 2 knows only the address of node 1. */
+    rk_mesh_learn(&f.meshes[2], id, addr);
+    receive_digest(&f, 0, 2, CAPACITY);
     assert_int_equal(rk_mesh_find(&f.meshes[0], id)->capacity, CAPACITY);
-    end(&f);
+    fleet_free(&f);
 }
 
-/* While nodes are replaced one by one, some still leave it out of their digests. */
+/* During a rolling upgrade nodes of the old version send digests without their
+ * capacity, which must not overwrite the known one. */
 static void a_digest_without_a_capacity_changes_none(void **state)
 {
     (void)state;
     static struct fleet f;
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
-    begin(&f);
-    report(&f, 0, 1);
-    digest(&f, 0, 1, 0);
-    name(id, addr, 1);
+    fleet_init(&f);
+    receive_report(&f, 0, 1);
+    receive_digest(&f, 0, 1, 0);
+    format_name(id, addr, 1);
     assert_int_equal(rk_mesh_find(&f.meshes[0], id)->capacity, CAPACITY);
-    end(&f);
+    fleet_free(&f);
 }
 
 static int count_contacts(const struct rk_mesh *m)
@@ -196,33 +202,35 @@
     return count;
 }
 
-/* Seen: at 985 nodes more than half of a node's processor time went into looking
- * for the few members that tell it something among all that it knows, some hundred
- * times a second. Cause: each message was weighed by a walk over all members. What
- * is walked now are the contacts: who was heard or dialled. */
-static void messages_cost_by_who_tells_them(void **state)
+/* Guards against work for each message that grows with the fleet. Each message
+ * walked over all members to find the few that send reports, some hundred times a
+ * second; at 985 nodes that took more than half of a node's CPU time. Only contacts
+ * are walked now: members from which it received something or to which it
+ * connected. */
+static void messages_walk_only_contacts(void **state)
 {
     (void)state;
     static struct fleet f;
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
-    begin(&f);
+    fleet_init(&f);
     for (int i = 2; i < NODES; i++) {
-        name(id, addr, i);
+        format_name(id, addr, i);
         rk_strcpy(rk_mesh_learn(&f.meshes[1], id, addr)->domain, RK_ID_MAX,
                   domain_of(i));
     }
-    digest(&f, 0, 1, CAPACITY); /* tells of all others */
-    digest(&f, 0, 1, CAPACITY);
+    receive_digest(&f, 0, 1, CAPACITY); /* lists all others */
+    receive_digest(&f, 0, 1, CAPACITY);
     assert_int_equal(rk_mesh_count(&f.meshes[0]), NODES - 1);
     assert_int_equal(count_contacts(&f.meshes[0]), 1);
-    report(&f, 0, 2);
+    receive_report(&f, 0, 2);
     assert_int_equal(count_contacts(&f.meshes[0]), 2);
-    end(&f);
+    fleet_free(&f);
     assert_null(f.meshes[0].contacts);
 }
 
-/* A digest of the fleet's use of one organisation. */
-static void use_digest(struct fleet *f, int to, int from, char *org, double units)
+/* Node `to` receives a digest of the fleet with one organisation's quota usage. */
+static void receive_usage_digest(struct fleet *f, int to, int from, char *org,
+                                 double units)
 {
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
     Rillknot__Digest d;
@@ -230,13 +238,14 @@
     init_digest(&d, id, addr, from);
     use.org = org;
     use.units = units;
-    use.asking = ASKING;
+    use.asking = DEMAND;
     d.uses = &ptr;
     d.n_uses = 1;
     rk_digest_take(rk_mesh_learn(&f->meshes[to], id, addr), &d);
 }
 
-static double news_of(const struct rk_mesh *m, const char *org)
+/* Units of an organisation that peers used since they were last passed on. */
+static double peer_units_of(const struct rk_mesh *m, const char *org)
 {
     double sum = 0;
     for (size_t i = 0; i < m->news_len; i++)
@@ -244,29 +253,30 @@
     return sum;
 }
 
-/* What the relay counts itself isn't news, and only what a sum can hold is taken
- * out of it. */
-static void a_fleets_sum_leaves_out_own_use(void **state)
+/* Guards against quota units that are counted twice or lost: a node's own usage
+ * must be subtracted from the fleet's sum, but never more of it than the sum can
+ * contain. */
+static void a_fleets_sum_excludes_own_usage(void **state)
 {
     (void)state;
     static struct fleet f;
     struct rk_org_use own[] = {{.org = "a", .units = 10}, {.org = "b", .units = 7}};
     struct rk_relay_report report = {.uses = own, .uses_len = 2};
-    begin(&f);
+    fleet_init(&f);
     f.nodes[0].report = &report;
-    use_digest(&f, 0, 1, "a", 10);
+    receive_usage_digest(&f, 0, 1, "a", 10);
     own[0].units = 15;
-    use_digest(&f, 0, 1, "a", 40);
-    assert_float_equal(news_of(&f.meshes[0], "a"), 25, 0.001);
-    use_digest(&f, 0, 1, "a", 40);
-    assert_float_equal(news_of(&f.meshes[0], "a"), 25, 0.001);
-    assert_float_equal(news_of(&f.meshes[0], "b"), 0, 0.001);
+    receive_usage_digest(&f, 0, 1, "a", 40);
+    assert_float_equal(peer_units_of(&f.meshes[0], "a"), 25, 0.001);
+    receive_usage_digest(&f, 0, 1, "a", 40);
+    assert_float_equal(peer_units_of(&f.meshes[0], "a"), 25, 0.001);
+    assert_float_equal(peer_units_of(&f.meshes[0], "b"), 0, 0.001);
     free(f.meshes[0].news);
-    end(&f);
+    fleet_free(&f);
 }
 
-/* A bridge says that it is there, and no more. */
-static void brief_digest(struct fleet *f, int to, int from)
+/* Node `to` receives a brief digest: it says only that its sender is alive. */
+static void receive_brief_digest(struct fleet *f, int to, int from)
 {
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
     Rillknot__Digest d;
@@ -275,93 +285,97 @@
     rk_digest_take(rk_mesh_learn(&f->meshes[to], id, addr), &d);
 }
 
-static void a_brief_digest_leaves_what_was_told(void **state)
+/* Guards against demand of other domains that is taken for 0, or usage counted
+ * again, after each brief digest. */
+static void a_brief_digest_keeps_what_was_reported(void **state)
 {
     (void)state;
     static struct fleet f;
     struct rk_tally asking = {0};
-    begin(&f);
-    use_digest(&f, 0, 1, "a", 10);
-    brief_digest(&f, 0, 1);
+    fleet_init(&f);
+    receive_usage_digest(&f, 0, 1, "a", 10);
+    receive_brief_digest(&f, 0, 1);
     rk_loads_peers_asking(&f.meshes[0], &asking, rk_mono_ms());
-    assert_float_equal(rk_tally_total(&asking, "a"), ASKING, 0.001);
-    assert_float_equal(news_of(&f.meshes[0], "a"), 0, 0.001);
+    assert_float_equal(rk_tally_total(&asking, "a"), DEMAND, 0.001);
+    assert_float_equal(peer_units_of(&f.meshes[0], "a"), 0, 0.001);
     rk_tally_free(&asking);
-    end(&f);
+    fleet_free(&f);
 }
 
-/* A node that starts may hear a brief digest first. Counted from there, all that
- * was used since the bridge's start would be news when that is told. */
-static void a_brief_digest_is_nothing_to_count_from(void **state)
+/* Guards against a jump in quota usage at a node that has just started: if a brief
+ * digest came first and served as the baseline, all usage since the bridge's start
+ * would count as new with the next full digest. */
+static void a_brief_digest_is_no_baseline(void **state)
 {
     (void)state;
     static struct fleet f;
-    begin(&f);
-    brief_digest(&f, 0, 1);
+    fleet_init(&f);
+    receive_brief_digest(&f, 0, 1);
     assert_null(rk_digest_of_fleet(&f.meshes[0], rk_mono_ms()));
-    use_digest(&f, 0, 1, "a", 100000);
+    receive_usage_digest(&f, 0, 1, "a", 100000);
     assert_non_null(rk_digest_of_fleet(&f.meshes[0], rk_mono_ms()));
-    assert_float_equal(news_of(&f.meshes[0], "a"), 0, 0.001);
-    brief_digest(&f, 0, 1);
-    use_digest(&f, 0, 1, "a", 100030);
-    assert_float_equal(news_of(&f.meshes[0], "a"), 30, 0.001);
+    assert_float_equal(peer_units_of(&f.meshes[0], "a"), 0, 0.001);
+    receive_brief_digest(&f, 0, 1);
+    receive_usage_digest(&f, 0, 1, "a", 100030);
+    assert_float_equal(peer_units_of(&f.meshes[0], "a"), 30, 0.001);
     free(f.meshes[0].news);
-    end(&f);
+    fleet_free(&f);
 }
 
-/* Seen: a domain that was cut off, and whose nodes were restarted meanwhile, came
- * back, and organisations that had used a third of their quotas were refused for 8
- * s: what a node's life before had sent into the cut arrived behind the new life's
- * reports, and all that it had used in 50 s counted as used now. */
-static void what_arrives_late_of_an_ended_life_counts_for_nothing(void **state)
+/* Guards against late reports of a node's past incarnation that count as new usage.
+ * A domain was cut off and its nodes were restarted meanwhile. Afterwards the old
+ * incarnations' reports arrived behind those of the new ones, all usage of 50 s was
+ * counted as current, and organisations that had used a third of their quotas were
+ * refused for 8 s. */
+static void late_reports_of_a_past_incarnation_are_ignored(void **state)
 {
     (void)state;
     struct fleet f;
     const struct {
-        uint64_t life;
-        double units;
-        double counted; /* so far */
-    } heard[] = {{1, 5000, 0},   {1, 5100, 100}, {2, 40, 140},
-                 {1, 5200, 140}, {2, 50, 150},   {3, 7, 157},
-                 {2, 60, 157},   {1, 9000, 157}, {3, 8, 158}};
-    begin(&f);
+        uint64_t incarnation;
+        double units;   /* used since the start of the incarnation */
+        double counted; /* usage counted by then */
+    } reports[] = {{1, 5000, 0},   {1, 5100, 100}, {2, 40, 140},
+                   {1, 5200, 140}, {2, 50, 150},   {3, 7, 157},
+                   {2, 60, 157},   {1, 9000, 157}, {3, 8, 158}};
+    fleet_init(&f);
     f.meshes[0].direct = true;
-    for (size_t i = 0; i < RK_ARRAY_LEN(heard); i++) {
+    for (size_t i = 0; i < RK_ARRAY_LEN(reports); i++) {
         char id[RK_ID_MAX], addr[RK_ADDR_MAX];
         Rillknot__NodeReport r = RILLKNOT__NODE_REPORT__INIT;
         Rillknot__OrgUse use = RILLKNOT__ORG_USE__INIT, *uses[] = {&use};
-        name(id, addr, 1);
+        format_name(id, addr, 1);
         r.id = id;
         r.addr = addr;
         r.domain = (char *)domain_of(1);
-        r.incarnation = heard[i].life;
+        r.incarnation = reports[i].incarnation;
         use.org = "clinic";
-        use.units = heard[i].units;
+        use.units = reports[i].units;
         r.uses = uses;
         r.n_uses = 1;
         rk_report_take(rk_mesh_learn(&f.meshes[0], id, addr), &r);
         double counted = 0;
         for (size_t j = 0; j < f.meshes[0].news_len; j++)
             counted += f.meshes[0].news[j].units;
-        assert_true(counted == heard[i].counted);
+        assert_true(counted == reports[i].counted);
     }
     free(f.meshes[0].news);
     rk_tally_free(&f.meshes[0].domain_uses);
     rk_tally_free(&f.meshes[0].fleet_uses);
-    end(&f);
+    fleet_free(&f);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(what_arrives_late_of_an_ended_life_counts_for_nothing),
+        cmocka_unit_test(late_reports_of_a_past_incarnation_are_ignored),
         cmocka_unit_test(nodes_agree_however_they_learnt_of_bridges),
-        cmocka_unit_test(what_a_bridge_does_not_know_changes_nothing),
+        cmocka_unit_test(a_capacity_unknown_to_a_bridge_changes_none),
         cmocka_unit_test(a_digest_without_a_capacity_changes_none),
-        cmocka_unit_test(messages_cost_by_who_tells_them),
-        cmocka_unit_test(a_fleets_sum_leaves_out_own_use),
-        cmocka_unit_test(a_brief_digest_leaves_what_was_told),
-        cmocka_unit_test(a_brief_digest_is_nothing_to_count_from),
+        cmocka_unit_test(messages_walk_only_contacts),
+        cmocka_unit_test(a_fleets_sum_excludes_own_usage),
+        cmocka_unit_test(a_brief_digest_keeps_what_was_reported),
+        cmocka_unit_test(a_brief_digest_is_no_baseline),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
