--- a/tests/test_hosted.c
+++ b/tests/test_hosted.c
@@ -1,4 +1,5 @@
-/* Units of what a hosted node decides by: routes, usage, events. */
+/* Unit tests of the data that hosted nodes decide by: routes, usage counts and
+ * event streams. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -29,7 +30,7 @@
     route->shares_len = 1;
 }
 
-static struct rk_routes *some_routes(void)
+static struct rk_routes *make_routes(void)
 {
     struct rk_routes *r = rk_routes_create();
     r->limits = (struct rk_caller_limits){8192, 65536, 1000, 5000};
@@ -40,51 +41,57 @@
     return r;
 }
 
-static const char *found(const struct rk_routes *r, const char *host,
-                         const char *path)
+static const char *found_name(const struct rk_routes *r, const char *host,
+                              const char *path)
 {
     const struct rk_route *route = rk_routes_find(r, host, path);
     return route ? route->name : "none";
 }
 
+/* Guards against requests that follow the route of another host or of a shorter
+ * prefix. */
 static void longest_prefix_of_the_host_wins(void **state)
 {
     (void)state;
-    struct rk_routes *r = some_routes();
+    struct rk_routes *r = make_routes();
     assert_int_equal(rk_routes_finish(r), RK_OK);
-    assert_string_equal(found(r, "a.example", "/x/1"), "short");
-    assert_string_equal(found(r, "a.example", "/x/y/1"), "long");
-    assert_string_equal(found(r, "A.Example:80", "/x/y/"), "long");
-    assert_string_equal(found(r, "b.example", "/x/y/1"), "other");
-    assert_string_equal(found(r, "a.example", "/x"), "none");
-    assert_string_equal(found(r, "a.example", "/z/"), "none");
-    assert_string_equal(found(r, "c.example", "/x/1"), "none");
-    assert_string_equal(found(r, "a.example.org", "/x/1"), "none");
+    assert_string_equal(found_name(r, "a.example", "/x/1"), "short");
+    assert_string_equal(found_name(r, "a.example", "/x/y/1"), "long");
+    assert_string_equal(found_name(r, "A.Example:80", "/x/y/"), "long");
+    assert_string_equal(found_name(r, "b.example", "/x/y/1"), "other");
+    assert_string_equal(found_name(r, "a.example", "/x"), "none");
+    assert_string_equal(found_name(r, "a.example", "/z/"), "none");
+    assert_string_equal(found_name(r, "c.example", "/x/1"), "none");
+    assert_string_equal(found_name(r, "a.example.org", "/x/1"), "none");
     rk_routes_unref(r);
 }
 
-static void routes_that_can_not_be_used_are_refused(void **state)
+/* Guards against settings in force with a route to an unknown service, a bad prefix
+ * or a limit of 0, on which requests would fail one by one. */
+static void unusable_routes_are_refused(void **state)
 {
     (void)state;
-    struct rk_routes *r = some_routes();
+    struct rk_routes *r = make_routes();
     add_route(r, "lost", "a.example", "/l/", "nowhere");
     assert_int_equal(rk_routes_finish(r), RK_EINVAL);
     assert_non_null(strstr(rk_last_error(), "nowhere"));
     rk_routes_unref(r);
-    r = some_routes();
+    r = make_routes();
     add_route(r, "bad", "a.example", "no-slash", "slots");
     assert_int_equal(rk_routes_finish(r), RK_EINVAL);
     rk_routes_unref(r);
-    r = some_routes();
+    r = make_routes();
     r->limits.idle_ms = 0;
     assert_int_equal(rk_routes_finish(r), RK_EINVAL);
     rk_routes_unref(r);
 }
 
-static void keys_lead_to_their_organisation(void **state)
+/* Guards against API keys that map to another organisation, and unknown keys that
+ * map to any. */
+static void keys_map_to_their_organisation(void **state)
 {
     (void)state;
-    struct rk_routes *r = some_routes();
+    struct rk_routes *r = make_routes();
     for (size_t i = 0; i < 40; i++) {
         snprintf(rk_routes_add_org(r)->name, RK_ID_MAX, "org-%zu", i);
         for (int k = 0; k < 3; k++) {
@@ -101,7 +108,9 @@
     rk_routes_unref(r);
 }
 
-static void quotas_bound_what_is_asked_for_only_if_all_have_one(void **state)
+/* The sum of quotas bounds the demand only if every organisation has a quota in
+ * tokens. Otherwise too few VMs would be held for an organisation without one. */
+static void quotas_bound_demand_only_if_all_organisations_have_one(void **state)
 {
     (void)state;
     struct rk_routes *r = rk_routes_create();
@@ -113,7 +122,7 @@
         org->rate = 100;
     }
     assert_true(rk_routes_quotas_per_s(r) == 300);
-    r->orgs[1].counts_tokens = false; /* a request may be of any size */
+    r->orgs[1].counts_tokens = false; /* counts requests, of any size */
     assert_true(isinf(rk_routes_quotas_per_s(r)));
     r->orgs[1].counts_tokens = true;
     r->orgs[2].rate = 0;
@@ -121,6 +130,7 @@
     rk_routes_unref(r);
 }
 
+/* Guards against calls that are split between services unlike the weights say. */
 static void shares_follow_their_weights(void **state)
 {
     (void)state;
@@ -135,7 +145,8 @@
 
 /* ---- usage ---- */
 
-/* 300 nodes, 16 organisations, 4 windows: each row is found again. */
+/* Guards against rows that the index loses as it grows, or after old windows are
+ * removed: 300 nodes, 16 organisations, 4 windows. */
 static void usage_of_a_large_fleet_is_kept_by_row(void **state)
 {
     (void)state;
@@ -158,31 +169,35 @@
     rk_usage_free(&u);
 }
 
-/* Windows that had ended but weren't reported, 4 s while a node is silent, and the
- * one in which all nodes were killed, were reported as 0 and as what came after. */
+/* Guards against counts that are lost when all nodes are killed. Windows that had
+ * ended but were not reported yet, for up to 4 s while a node is unresponsive, were
+ * reported as 0, and the window of the kill with only the calls after it. */
 static void usage_outlasts_a_kill_of_all(void **state)
 {
     (void)state;
     struct rk_usage u = {.since_ms = 9000};
-    struct rk_usage_row kept = {.node = RK_USAGE_KEPT,
-                                .window = 7,
-                                .org = "a",
-                                .count = 100,
-                                .since_ms = 8000};
-    rk_usage_merge(&u, &kept);
+    struct rk_usage_row persisted = {.node = RK_USAGE_KEPT,
+                                     .window = 7,
+                                     .org = "a",
+                                     .count = 100,
+                                     .since_ms = 8000};
+    rk_usage_merge(&u, &persisted);
     assert_int_equal(rk_usage_sum(&u, 7, "a"), 100);
     for (int i = 0; i < 20; i++)
-        rk_usage_count(&u, 1, 7, "a"); /* by a node that began since */
+        rk_usage_count(&u, 1, 7, "a"); /* at a node that was started later */
     assert_int_equal(rk_usage_sum(&u, 7, "a"), 120);
-    kept.since_ms = 9500; /* a second kill: what was kept then holds all of that */
-    kept.count = 110;
-    rk_usage_merge(&u, &kept);
+    /* After a second kill: the later record includes these calls. */
+    persisted.since_ms = 9500;
+    persisted.count = 110;
+    rk_usage_merge(&u, &persisted);
     assert_int_equal(rk_usage_sum(&u, 7, "a"), 110);
     rk_usage_free(&u);
 }
 
-/* Some nodes live on: they told more than was kept. */
-static void what_nodes_told_counts_where_it_is_more(void **state)
+/* Guards against a count that is too low after some nodes were killed: the nodes
+ * still running have reported more than the persisted sum, and the higher one
+ * counts. */
+static void reported_counts_win_where_they_are_higher(void **state)
 {
     (void)state;
     struct rk_usage u = {0};
@@ -201,10 +216,10 @@
     rk_usage_free(&u);
 }
 
-/* A holder of the duties sums the rows of 985 nodes each 300 ms. Summed for one
- * organisation after the other, 333 of them, that was most of its processor time.
- */
-static void all_organisations_are_summed_at_once(void **state)
+/* The leader sums the rows of 985 nodes every 300 ms. Summing them for one
+ * organisation after the other, 333 of them, took most of its CPU time. The sums of
+ * a single pass must equal those computed here organisation by organisation. */
+static void sums_of_all_organisations_match_single_sums(void **state)
 {
     (void)state;
     struct rk_usage u = {0};
@@ -224,7 +239,7 @@
     for (size_t i = 0; i < sums.len; i++) {
         const char *org = sums.rows[i].name;
         const struct rk_usage_row *record = NULL;
-        uint64_t told = 0, since = 0;
+        uint64_t reported = 0, counted_after = 0;
         for (size_t j = 0; j < u.len; j++)
             if (u.rows[j].node == RK_USAGE_KEPT && u.rows[j].window == 1 &&
                 !strcmp(u.rows[j].org, org))
@@ -233,16 +248,20 @@
             const struct rk_usage_row *row = &u.rows[j];
             if (row == record || row->window != 1 || strcmp(row->org, org) != 0)
                 continue;
-            told += row->count;
-            since += record && row->since_ms > record->since_ms ? row->count : 0;
+            reported += row->count;
+            counted_after +=
+                record && row->since_ms > record->since_ms ? row->count : 0;
         }
-        uint64_t all = record ? record->count + since : 0;
-        assert_int_equal((uint64_t)sums.rows[i].total, told > all ? told : all);
+        uint64_t all = record ? record->count + counted_after : 0;
+        assert_int_equal((uint64_t)sums.rows[i].total,
+                         reported > all ? reported : all);
     }
     rk_tally_free(&sums);
     rk_usage_free(&u);
 }
 
+/* Guards against counts that fall or are counted twice when older reports arrive
+ * late or again. */
 static void usage_merges_in_any_order(void **state)
 {
     (void)state;
@@ -251,7 +270,7 @@
     rk_usage_count(&u, 1, 7, "a");
     struct rk_usage_row row = {.node = 2, .window = 7, .org = "a", .count = 5};
     rk_usage_merge(&u, &row);
-    row.count = 3; /* older news */
+    row.count = 3; /* an older report */
     rk_usage_merge(&u, &row);
     rk_usage_merge(&u, &row);
     assert_int_equal(rk_usage_sum(&u, 7, "a"), 7);
@@ -264,15 +283,16 @@
 
 /* ---- events ---- */
 
-static void collect(void *ctx, const char *data, size_t len, const char *id)
+static void collect_event(void *ctx, const char *data, size_t len, const char *id)
 {
     (void)id;
     rk_buf_add(ctx, data, len);
     rk_buf_addstr(ctx, "|");
 }
 
-/* However the bytes are cut, the same events come out, and only whole ones. */
-static void events_are_cut_where_they_end(void **state)
+/* Guards against a splitter that depends on where reads end: bytes in pieces of any
+ * size must give the same events, and only whole ones. */
+static void events_do_not_depend_on_read_sizes(void **state)
 {
     (void)state;
     static const char text[] = "id: 1\ndata: a\n\nid:22\r\ndata: b\r\n\r\n"
@@ -282,14 +302,15 @@
         struct rk_buf out = {0};
         for (size_t at = 0; at < sizeof(text) - 1; at += cut) {
             size_t left = sizeof(text) - 1 - at;
-            rk_events_feed(&e, text + at, cut < left ? cut : left, collect, &out);
+            rk_events_feed(&e, text + at, cut < left ? cut : left, collect_event,
+                           &out);
         }
         assert_string_equal(out.data, "id: 1\ndata: a\n\n|id:22\r\ndata: b\r\n\r\n|"
                                       ": comment\n\n|data: no id\n\n|");
         assert_string_equal(e.last_id, "22");
         assert_int_equal(e.part.len, strlen("id: 3\ndata: half"));
         rk_events_restart(&e);
-        rk_events_feed(&e, "id: 4\n\n", 7, collect, &out);
+        rk_events_feed(&e, "id: 4\n\n", 7, collect_event, &out);
         assert_string_equal(e.last_id, "4");
         rk_events_free(&e);
         rk_buf_free(&out);
@@ -300,16 +321,16 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(longest_prefix_of_the_host_wins),
-        cmocka_unit_test(routes_that_can_not_be_used_are_refused),
-        cmocka_unit_test(keys_lead_to_their_organisation),
-        cmocka_unit_test(quotas_bound_what_is_asked_for_only_if_all_have_one),
+        cmocka_unit_test(unusable_routes_are_refused),
+        cmocka_unit_test(keys_map_to_their_organisation),
+        cmocka_unit_test(quotas_bound_demand_only_if_all_organisations_have_one),
         cmocka_unit_test(shares_follow_their_weights),
         cmocka_unit_test(usage_outlasts_a_kill_of_all),
-        cmocka_unit_test(what_nodes_told_counts_where_it_is_more),
+        cmocka_unit_test(reported_counts_win_where_they_are_higher),
         cmocka_unit_test(usage_merges_in_any_order),
         cmocka_unit_test(usage_of_a_large_fleet_is_kept_by_row),
-        cmocka_unit_test(all_organisations_are_summed_at_once),
-        cmocka_unit_test(events_are_cut_where_they_end),
+        cmocka_unit_test(sums_of_all_organisations_match_single_sums),
+        cmocka_unit_test(events_do_not_depend_on_read_sizes),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
