--- a/tests/prop_claims.cc
+++ b/tests/prop_claims.cc
@@ -1,7 +1,7 @@
-// Promise 4, in the core: several owners of one shard share a store that loses
-// answers, drops writes or applies them late, while the owners restart and pause.
-// In any order of these events a key runs at most once, and the verdict of each
-// refusal is true.
+// Promise 4 (at most once), in the core: several owners of one shard share a store
+// that loses answers, drops writes or applies them late, while the owners restart
+// and pause. In any order of these events a key runs at most once, and the verdict
+// of each refusal is true.
 #include "tests/props.h"
 
 #include <deque>
@@ -27,7 +27,7 @@
     std::string value;
 };
 
-// A store operation of an owner that is not answered yet.
+// A store operation that an owner has requested and that is not answered yet.
 struct Op {
     enum { None, ReadRing, Write, ReadSlot } kind = None;
     unsigned slot = 0;
@@ -79,6 +79,7 @@
     static_cast<Owner *>(ctx)->op = Op{Op::ReadSlot, slot, 0, ""};
 }
 
+// Sends the call of a granted key; fails if any owner has sent it before.
 void send(Owner *o, int k)
 {
     RC_ASSERT(++o->sim->run_counts[k] <= 1);
@@ -133,6 +134,7 @@
 // What happens to a store operation and to its answer.
 enum Delivery { ANSWERED, ANSWER_LOST, WRITE_DROPPED, WRITE_DELAYED };
 
+// Answers an owner's store operation, or loses the operation or its answer.
 void complete_op(Owner *o, Delivery delivery)
 {
     Simulation &sim = *o->sim;
@@ -202,6 +204,8 @@
     create_claims(o);
 }
 
+// Takes one random action: a request for a key, an answer of the store, time that
+// passes, the end of a call, a delayed write, a restart or a cancelled request.
 void step(Simulation &sim, int action, int owner_index, int arg)
 {
     Owner *o = sim.owners[owner_index % kOwners].get();
--- a/tests/prop_fuzz.cc
+++ b/tests/prop_fuzz.cc
@@ -1,4 +1,4 @@
-// Promise 10: untrusted input. The parsers of frames, settings, streams, requests
+// Promise 10 (bad input), bytes: the parsers of frames, settings, streams, requests
 // and snapshots get random bytes and damaged valid input from fixed seeds. They
 // must not crash, leak (checked by the sanitizer build) or use unbounded memory.
 #include "tests/props.h"
--- a/tests/prop_limits.cc
+++ b/tests/prop_limits.cc
@@ -21,6 +21,9 @@
 
 namespace {
 
+// The limit is advertised from LIMIT_MS until 6 s before END_MS. Windows are
+// checked from SETTLE_MS after its begin, and a node's requests count from
+// LEARNT_MS after it learnt the limit.
 constexpr int64_t END_MS = 30000, LIMIT_MS = 4000, SETTLE_MS = 3000;
 constexpr int64_t WINDOW_MS = 4000, LEARNT_MS = 500, ANSWER_MS = 20;
 constexpr int64_t UPDATE_DELAY_MS = 1000, NOTICE_DELAY_MS = 2500, REPEAT_MS = 1000;
@@ -148,7 +151,8 @@
             now_);
     }
 
-    // The next call arrives at a random node, which sends it if it may.
+    // A call arrives at a random node, which sends it unless the limit forbids
+    // that.
     void send_call()
     {
         std::exponential_distribution<double> pause(calls_per_s_ / 1000);
@@ -207,6 +211,7 @@
         record_limit_end();
     }
 
+    // Records when half of the nodes know that the limit has ended.
     void record_limit_end()
     {
         if (advertised_ >= 0 || out_.end_known_ms >= 0 || now_ < END_MS - 6000)
@@ -243,6 +248,7 @@
         schedule_membership();
     }
 
+    // The nodes of the VM's domain notice a change at different times.
     void schedule_membership()
     {
         for (size_t i = 0; i < nodes_.size(); i++)
--- a/tests/prop_quarantine.cc
+++ b/tests/prop_quarantine.cc
@@ -92,7 +92,7 @@
 
 constexpr int STEP_MS = 10;
 constexpr int END_MS = 20000;
-constexpr int CRASH_AFTER_MS = 60; // from the begin of a crashing request
+constexpr int CRASH_AFTER_MS = 60; // of a crashing request's run
 constexpr int RESTART_MS = 4000;   // until an ended VM runs again
 constexpr int RESEND_MS = 300;     // between sends of a crashing request
 constexpr int ATTEMPTS = 2;        // VMs that one try may use
@@ -106,7 +106,7 @@
     uint64_t request;
     size_t node;
     int begins_ms, ends_ms;
-    int attempts, tries; // VMs used in this try; tries of its caller
+    int attempts, tries; // VMs used in this try; sends by its caller
     bool crashes_vm;
 };
 
@@ -186,7 +186,7 @@
                 cut_until_ms_[i] = now_ + PARTITION_MS;
         if (now_ == 8000 + PARTITION_MS || now_ == 15000 + 1000)
             for (size_t i = 0; i < 2 * some && i < nodes_.size(); i++)
-                send_all_rows(*nodes_.back(), *nodes_[i]); // rows are sent again
+                send_all_rows(*nodes_.back(), *nodes_[i]); // peers resend all rows
         if (now_ == 15000)
             for (size_t i = some; i < 2 * some && i + 1 < nodes_.size(); i++) {
                 *nodes_[i] = rk_quarantine{};
@@ -210,9 +210,8 @@
         }
     }
 
-    // Sends a row to all nodes that are not cut off. The model sends only rows of
-    // requests that other nodes can receive, too: crashing ones, and others whose
-    // callers have sent them again.
+    // Sends a row to all nodes that are not cut off; it arrives 250 to 1000 ms
+    // later.
     void send_update(size_t from, const rk_quarantine_row &row)
     {
         if (now_ < cut_until_ms_[from])
@@ -288,7 +287,8 @@
         }
     }
 
-    // How suspect a call is when its VM ends, by how long it had run.
+    // How suspect a call is when its VM ends, by how long it had run, or most
+    // suspect in any case if every end counts alike.
     rk_suspicion suspicion(const Call &call) const
     {
         if (every_end_counts_)
@@ -357,6 +357,7 @@
 };
 
 // Prints the figures of a run if SHOW_FIGURES is set in the environment.
+// `crashing`: number of crashing requests.
 void print_outcome(const Size &size, size_t crashing, bool waves,
                    bool every_end_counts, const Outcome &o)
 {
@@ -388,7 +389,7 @@
     return ok;
 }
 
-constexpr Size SMALL = {6, 9}, GROWN = {86, 80}, LARGE = {300, 160};
+constexpr Size SMALL = {6, 9}, MEDIUM = {86, 80}, LARGE = {300, 160};
 
 constexpr Property properties[] = {
     {"tables_agree_in_any_order", tables_agree_in_any_order},
@@ -396,19 +397,20 @@
 
 } // namespace
 
+// The tests of whole fleets guard against a crashing request that keeps ending VMs
+// after its third one, and against other requests that are stopped because many VMs
+// ended while they ran.
 int main()
 {
-    // Each of the fleet tests guards against a crashing request that keeps ending
-    // VMs after its third, and against other requests that are stopped because many
-    // VMs ended beside it.
     int failed = run_properties(properties);
     const bool ok[] = {
         report("a_small_fleet_stops_what_ends_its_vms",
                meets_target(SMALL, 1, false, 10)),
         report("unrelated_vm_losses_change_nothing",
                meets_target(SMALL, 1, true, 10)),
-        report("a_medium_fleet_stops_ten", meets_target(GROWN, 10, true, 2)),
-        report("unrelated_vm_losses_stop_nothing", meets_target(GROWN, 0, true, 1)),
+        report("a_medium_fleet_stops_ten", meets_target(MEDIUM, 10, true, 2)),
+        report("unrelated_vm_losses_stop_nothing",
+               meets_target(MEDIUM, 0, true, 1)),
         report("a_large_fleet_stops_one", meets_target(LARGE, 1, true, 1)),
         report("a_large_fleet_stops_ten", meets_target(LARGE, 10, true, 1)),
     };
