--- a/tests/prop_rollout.cc
+++ b/tests/prop_rollout.cc
@@ -57,7 +57,7 @@
 }
 
 // Guards against a rollout that goes back to an earlier phase, leaves its final
-// state or changes its rule without a new revision, which nodes would ignore.
+// state or changes its rule without a new revision, so that nodes miss the change.
 void a_rollout_only_moves_forward()
 {
     int64_t now_ms = 1000;
--- a/tests/test_bridges.c
+++ b/tests/test_bridges.c
@@ -138,10 +138,11 @@
 }
 
 /* Guards against nodes of a domain that elect different bridges and then do not
- * reach each other. Nodes rank candidates by capacity. A node that received a
- * bridge's digest before it read the node list did not learn the bridge's capacity,
- * ranked it last with capacity 0 and passed the 0 on to others. Of 96 fleets of 16
- * nodes that were started together on 8 cores under twice their load, one stayed
+ * reach each other. Nodes rank candidates by capacity. Digests did not contain
+ * their sender's capacity, and the node list was not used for a node that was known
+ * already. So a node that received a bridge's digest before it read the list ranked
+ * that bridge last, with capacity 0, and passed the 0 on to others. Of 96 fleets of
+ * 16 nodes that were started together on 8 cores under twice their load, one stayed
  * split for 25 s, with 3 nodes of a domain as bridges at once and 2 not. */
 static void nodes_agree_however_they_learnt_of_bridges(void **state)
 {
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -108,6 +108,7 @@
     free(f);
 }
 
+/* Makes a call due in the step after at_ms. */
 static void schedule(struct fleet *f, struct call *c, double at_ms)
 {
     size_t step = (size_t)(at_ms / STEP_MS) + 1;
@@ -117,6 +118,7 @@
     f->due[step] = c;
 }
 
+/* Moves a due call to its next stage, or ends it. */
 static void advance(struct fleet *f, struct call *c, int64_t now_ms)
 {
     struct rk_place *p = f->places[c->node];
@@ -154,6 +156,7 @@
     return q;
 }
 
+/* Places a call at the VM that its node prefers. */
 static void send_to_best(struct fleet *f, struct call *c, struct rk_place_query *q,
                          int64_t now_ms)
 {
@@ -187,6 +190,7 @@
     return false;
 }
 
+/* A call arrives at a random node. */
 static void start_call(struct fleet *f, int64_t now_ms)
 {
     struct second *second = &f->seconds[now_ms / RK_MS_PER_S];
@@ -264,6 +268,7 @@
     }
 }
 
+/* Sums the counts from second from_s up to, not including, to_s. */
 static struct second sum_seconds(const struct fleet *f, int from_s, int to_s)
 {
     struct second all = {0};
