--- a/tests/test_clock.c
+++ b/tests/test_clock.c
@@ -1,5 +1,6 @@
-/* A machine that is suspended for seconds: its steady clock stands still meanwhile,
- * so what expires must go by another. The clocks are this file's. */
+/* Tests of clock, timers and leases on a machine that is suspended for a minute.
+ * CLOCK_MONOTONIC stops during a suspension, so everything that expires must use
+ * another clock. This file replaces clock_gettime() to simulate the suspension. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -33,7 +34,8 @@
     suspended_s += SUSPENDED_S;
 }
 
-static void time_in_suspension_counts(void **state)
+/* Guards against a clock that stops during a suspension. */
+static void the_clock_counts_suspended_time(void **state)
 {
     (void)state;
     int64_t before_ms = rk_mono_ms();
@@ -43,7 +45,7 @@
                     SUSPENDED_S * RK_MS_PER_S + SLACK_MS);
 }
 
-static void on_timer(void *ctx)
+static void on_deadline(void *ctx)
 {
     int64_t *fired_ms = ctx;
     *fired_ms = rk_mono_ms();
@@ -54,30 +56,33 @@
     rk_loop_stop(ctx);
 }
 
-static void on_soon(void *ctx)
+static void on_suspend(void *ctx)
 {
     (void)ctx;
     suspend();
 }
 
-/* A deadline that passed meanwhile is over at the next turn of the loop. */
-static void a_timer_that_is_due_after_it_runs_at_once(void **state)
+/* Guards against deadlines that are late by the length of a suspension: one that
+ * passes meanwhile must fire at the next iteration of the event loop. */
+static void a_timer_due_during_a_suspension_fires_on_resume(void **state)
 {
     (void)state;
     int64_t fired_ms = 0;
     struct rk_loop *loop = rk_loop_create();
-    struct rk_timer deadline = {.fn = on_timer, .ctx = &fired_ms};
-    struct rk_timer soon = {.fn = on_soon};
-    struct rk_timer end = {.fn = stop, .ctx = loop};
+    struct rk_timer deadline = {.fn = on_deadline, .ctx = &fired_ms};
+    struct rk_timer suspend_timer = {.fn = on_suspend};
+    struct rk_timer stop_timer = {.fn = stop, .ctx = loop};
     rk_timer_start(loop, &deadline, SUSPENDED_S * RK_MS_PER_S / 2);
-    rk_timer_start(loop, &soon, 10);
-    rk_timer_start(loop, &end, SUSPENDED_S * RK_MS_PER_S);
+    rk_timer_start(loop, &suspend_timer, 10);
+    rk_timer_start(loop, &stop_timer, SUSPENDED_S * RK_MS_PER_S);
     rk_loop_run(loop);
     assert_true(fired_ms);
     rk_loop_destroy(loop);
 }
 
-static void a_holder_that_was_suspended_acts_no_more(void **state)
+/* Guards against a leader that is suspended, loses its lease to another node and
+ * still acts as leader after it resumes. */
+static void a_lease_expires_during_a_suspension(void **state)
 {
     (void)state;
     struct rk_lease l = {.holder = "node-1", .life_ms = LEASE_MS};
@@ -94,9 +99,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(time_in_suspension_counts),
-        cmocka_unit_test(a_holder_that_was_suspended_acts_no_more),
-        cmocka_unit_test(a_timer_that_is_due_after_it_runs_at_once),
+        cmocka_unit_test(the_clock_counts_suspended_time),
+        cmocka_unit_test(a_lease_expires_during_a_suspension),
+        cmocka_unit_test(a_timer_due_during_a_suspension_fires_on_resume),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
