--- a/tests/test_org_uses.c
+++ b/tests/test_org_uses.c
@@ -1,5 +1,5 @@
-/* The use of quotas as nodes of a large fleet tell it to a bridge: only what
- * changed, and nothing is lost or counted twice. */
+/* Tests of the quota usage that nodes of a large fleet report to a bridge: a report
+ * has only the rows that changed, and no usage is lost or counted twice. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -10,55 +10,59 @@
 
 #include "core/org_uses.h"
 
-#define ORGS     333
-#define REPORTS  400 /* a quarter of a second apart */
-#define PER_CALL 4000.0
+#define ORGS           333
+#define REPORTS        400 /* a quarter of a second apart */
+#define UNITS_PER_CALL 4000.0
 
 struct node {
     struct rk_org_use uses[ORGS];
-    struct rk_tally told;
+    struct rk_tally reported; /* what the bridge knows */
     struct rk_rng rng;
 };
 
-static void start(struct node *n, uint64_t seed)
+/* Initialises a node without usage. */
+static void init_node(struct node *n, uint64_t seed)
 {
     *n = (struct node){.rng.state = seed};
     for (int i = 0; i < ORGS; i++)
         snprintf(n->uses[i].org, sizeof(n->uses[i].org), "org-%d", i);
 }
 
-/* Half a call a second, each of another organisation, and now and then one that is
- * given back. */
-static void serve(struct node *n)
+/* Simulates the calls between two reports: half a call a second, each of a random
+ * organisation; one of twenty is a refund instead. */
+static void run_calls(struct node *n)
 {
     for (int i = 0; i < ORGS; i++)
-        n->uses[i].asking *= 0.78; /* of a second, smoothed */
+        n->uses[i].asking *= 0.78; /* decay of a rate smoothed over a second */
     if (rk_rng_below(&n->rng, 8))
         return;
     struct rk_org_use *use = &n->uses[rk_rng_below(&n->rng, ORGS)];
-    use->units += rk_rng_below(&n->rng, 20) ? PER_CALL : -PER_CALL;
-    use->asking += PER_CALL;
+    use->units += rk_rng_below(&n->rng, 20) ? UNITS_PER_CALL : -UNITS_PER_CALL;
+    use->asking += UNITS_PER_CALL;
 }
 
-/* What a report brings a bridge; all: each row, as one that just began is told.
- * Returns how many rows it had. */
-static int tell(struct node *n, struct rk_org_uses *bridge, bool all, double *rises)
+/* Sends a report with the changed rows to a bridge or, if all is set, one with each
+ * row that has usage, as a new bridge receives it. Adds the units by which the
+ * bridge's totals grow to *increase. Returns the number of rows. */
+static int report(struct node *n, struct rk_org_uses *bridge, bool all,
+                  double *increase)
 {
     int rows = 0;
     rk_org_uses_begin(bridge);
     for (int i = 0; i < ORGS; i++) {
         const struct rk_org_use *use = &n->uses[i];
-        bool news = rk_org_use_is_news(use, &n->told);
-        if (!news && !(all && use->units != 0))
+        bool changed = rk_org_use_is_news(use, &n->reported);
+        if (!changed && !(all && use->units != 0))
             continue;
-        *rises += rk_org_uses_rise(bridge, use->org, use->units);
+        *increase += rk_org_uses_rise(bridge, use->org, use->units);
         rk_org_uses_at(bridge, use->org)->asking = use->asking;
         rows++;
     }
     return rows;
 }
 
-static double units_of(const struct node *n)
+/* Returns the units that all organisations used at a node. */
+static double total_units(const struct node *n)
 {
     double sum = 0;
     for (int i = 0; i < ORGS; i++)
@@ -66,66 +70,67 @@
     return sum;
 }
 
-/* Seen: each of 207 nodes of a domain told each bridge the rows of all
- * organisations that anybody had used, four times a second. */
-static void a_report_has_the_rows_that_changed(void **state)
+/* Guards against reports of unchanged rows: each of 207 nodes of a domain sent each
+ * bridge the rows of all organisations with any usage, four times a second. */
+static void a_report_has_only_changed_rows(void **state)
 {
     (void)state;
     struct node n;
     struct rk_org_uses bridge = {0};
-    double rises = 0;
+    double increase = 0;
     int rows = 0;
-    start(&n, 1);
+    init_node(&n, 1);
     for (int i = 0; i < REPORTS; i++) {
-        serve(&n);
-        rows += tell(&n, &bridge, false, &rises);
+        run_calls(&n);
+        rows += report(&n, &bridge, false, &increase);
         for (int j = 0; j < ORGS; j++) {
-            const struct rk_org_use *heard =
+            const struct rk_org_use *received =
                 rk_org_use_find(bridge.rows, bridge.len, n.uses[j].org);
-            double asking = heard ? heard->asking : 0;
-            assert_true(n.uses[j].asking - asking < 1.0);
-            assert_true(asking <= n.uses[j].asking);
+            double demand = received ? received->asking : 0;
+            assert_true(n.uses[j].asking - demand < 1.0);
+            assert_true(demand <= n.uses[j].asking);
         }
     }
-    assert_true(rises == units_of(&n));
-    assert_true(rows < 6 * REPORTS); /* of 333 each */
+    assert_true(increase == total_units(&n));
+    assert_true(rows < 6 * REPORTS); /* a full report has 333 */
     rk_org_uses_free(&bridge);
-    rk_tally_free(&n.told);
+    rk_tally_free(&n.reported);
 }
 
-/* One that begins to bridge starts from all rows, which count as used before. */
-static void a_new_bridge_counts_from_where_it_begins(void **state)
+/* Guards against a new bridge that loses usage or counts it twice: its first report
+ * has all rows, and later ones add only what was used since. */
+static void a_new_bridge_counts_all_usage_once(void **state)
 {
     (void)state;
     struct node n;
-    struct rk_org_uses first = {0}, second = {0};
-    double rises = 0, before = 0;
-    start(&n, 2);
+    struct rk_org_uses old_bridge = {0}, new_bridge = {0};
+    double increase = 0, initial = 0;
+    init_node(&n, 2);
     for (int i = 0; i < REPORTS; i++) {
-        serve(&n);
-        tell(&n, &first, false, &rises);
+        run_calls(&n);
+        report(&n, &old_bridge, false, &increase);
     }
-    tell(&n, &second, true, &before);
-    assert_true(before == units_of(&n));
-    rises = 0;
+    report(&n, &new_bridge, true, &initial);
+    assert_true(initial == total_units(&n));
+    increase = 0;
     for (int i = 0; i < REPORTS; i++) {
-        serve(&n);
-        tell(&n, &second, false, &rises);
+        run_calls(&n);
+        report(&n, &new_bridge, false, &increase);
     }
-    assert_true(before + rises == units_of(&n));
-    rk_org_uses_clear(&second);
-    assert_int_equal(second.len, 0);
-    assert_true(rk_org_uses_rise(&second, "org-1", 5) == 5);
-    rk_org_uses_free(&first);
-    rk_org_uses_free(&second);
-    rk_tally_free(&n.told);
+    assert_true(initial + increase == total_units(&n));
+    rk_org_uses_clear(&new_bridge);
+    assert_int_equal(new_bridge.len, 0);
+    assert_true(rk_org_uses_rise(&new_bridge, "org-1", 5) == 5);
+    rk_org_uses_free(&old_bridge);
+    rk_org_uses_free(&new_bridge);
+    rk_tally_free(&n.reported);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_report_has_the_rows_that_changed),
-        cmocka_unit_test(a_new_bridge_counts_from_where_it_begins),
+        cmocka_unit_test(a_report_has_only_changed_rows),
+        cmocka_unit_test(a_new_bridge_counts_all_usage_once),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_send_budget.c
+++ b/tests/test_send_budget.c
@@ -1,8 +1,10 @@
-/* How much a node sends in a round over links of any width, without a network.
+/* Tests of the budget that bounds what a node sends in a gossip round, against
+ * simulated links of several widths.
  *
- * The pattern: all machines of a domain that have a wide link are lost, and one
- * with 20 Mbit/s has to tell some 200 nodes of 19 KB four times a second: 15 MB/s.
- */
+ * The budget guards against this overload: all machines of a domain that have a
+ * wide link are lost, and one with 20 Mbit/s has to send 19 KB to each of some 200
+ * nodes four times a second, 15 MB/s. Heartbeats queue behind that until peers
+ * consider the node unreachable. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,31 +13,31 @@
 
 #include "core/send_budget.h"
 
-#define ROUNDS   400
-#define ROUND_MS 250
-#define WANTED   (207 * 19 * 1024)
-#define HEARD_MS 900 /* a node that is silent for longer isn't heard */
-#define SETTLED  20  /* rounds */
-#define MB       1000000L
+#define ROUNDS          400
+#define ROUND_MS        250
+#define ROUND_BYTES     (207 * 19 * 1024) /* bytes that a full round sends */
+#define REACHABLE_MS    900 /* longer without a message: unreachable */
+#define SETTLING_ROUNDS 20  /* rounds until the budget fits the link */
+#define MB              1000000L
 
 struct link {
-    size_t per_round; /* bytes that it carries */
-    size_t waiting;
+    size_t per_round; /* bytes that the link carries */
+    size_t queued;    /* bytes not carried yet */
     struct rk_send_budget budget;
-    size_t sent; /* in all */
+    size_t sent; /* bytes in total */
 };
 
-/* One round; returns how long what is sent in it is under way, in ms. */
-static size_t play(struct link *l)
+/* Simulates a round. Returns the time, in ms, until all bytes sent in it arrive. */
+static size_t run_round(struct link *l)
 {
-    size_t may = rk_send_budget_begin(&l->budget, l->waiting);
-    size_t sent = may < WANTED ? may : WANTED;
+    size_t allowed = rk_send_budget_begin(&l->budget, l->queued);
+    size_t sent = allowed < ROUND_BYTES ? allowed : ROUND_BYTES;
     rk_send_budget_note(&l->budget, sent);
-    l->waiting += sent;
+    l->queued += sent;
     l->sent += sent;
-    size_t under_way_ms = l->waiting * ROUND_MS / l->per_round;
-    l->waiting -= l->waiting < l->per_round ? l->waiting : l->per_round;
-    return under_way_ms;
+    size_t transit_ms = l->queued * ROUND_MS / l->per_round;
+    l->queued -= l->queued < l->per_round ? l->queued : l->per_round;
+    return transit_ms;
 }
 
 static struct link make_link(size_t bytes_per_s)
@@ -43,47 +45,53 @@
     return (struct link){.per_round = bytes_per_s * ROUND_MS / 1000};
 }
 
+/* Guards against a budget that holds back data on a link that could carry it. */
 static void a_wide_link_carries_all(void **state)
 {
     (void)state;
     struct link l = make_link(125 * MB);
     for (int i = 0; i < ROUNDS; i++) {
         size_t before = l.sent;
-        play(&l);
-        if (i >= SETTLED)
-            assert_int_equal(l.sent - before, WANTED);
+        run_round(&l);
+        if (i >= SETTLING_ROUNDS)
+            assert_int_equal(l.sent - before, ROUND_BYTES);
     }
 }
 
-/* Heartbeats come in time, and most of the link is used. */
-static void a_narrow_link_is_used_and_not_filled(void **state)
+/* Guards against heartbeats that are late behind a long queue, and against a budget
+ * that wastes half of the link. */
+static void a_narrow_link_is_used_without_long_queues(void **state)
 {
     (void)state;
     for (size_t per_s = MB; per_s <= 16 * MB; per_s = per_s * 5 / 4) {
         struct link l = make_link(per_s);
         for (int i = 0; i < ROUNDS; i++) {
-            size_t under_way_ms = play(&l);
-            if (i >= SETTLED)
-                assert_true(under_way_ms < HEARD_MS - 2 * ROUND_MS);
+            size_t transit_ms = run_round(&l);
+            if (i >= SETTLING_ROUNDS)
+                assert_true(transit_ms < REACHABLE_MS - 2 * ROUND_MS);
         }
-        size_t could = l.per_round * ROUNDS;
-        could = could < (size_t)WANTED * ROUNDS ? could : (size_t)WANTED * ROUNDS;
-        assert_true(l.sent > could / 2);
+        size_t most = l.per_round * ROUNDS;
+        most = most < (size_t)ROUND_BYTES * ROUNDS ? most
+                                                   : (size_t)ROUND_BYTES * ROUNDS;
+        assert_true(l.sent > most / 2);
     }
 }
 
-/* Before it knows the link it doesn't fill it for long either. */
-static void the_first_rounds_are_small(void **state)
+/* Guards against a long queue in the first rounds, when the link's width is not
+ * known yet. */
+static void the_first_rounds_cause_no_long_queue(void **state)
 {
     (void)state;
     struct link l = make_link(5 * MB / 2);
-    for (int i = 0; i < SETTLED; i++)
-        assert_true(play(&l) < HEARD_MS);
+    for (int i = 0; i < SETTLING_ROUNDS; i++)
+        assert_true(run_round(&l) < REACHABLE_MS);
 }
 
-/* Peers that take nothing leave some waiting, also in a fleet whose rounds are
- * smaller than that. */
-static void peers_that_are_stuck_cost_the_others_nothing(void **state)
+/* Guards against peers that accept no data and so cut the budget for all others:
+ * their queue of 100 KB stays, and is larger than the 10 KB of a small fleet's
+ * round.
+ */
+static void peers_that_accept_no_data_leave_the_budget_to_others(void **state)
 {
     (void)state;
     struct rk_send_budget b = {0};
@@ -93,39 +101,40 @@
     }
 }
 
-/* A link that gets narrower, and wide again. */
-static void it_follows_the_link(void **state)
+/* Guards against a budget that keeps its size after the link gets narrower, stops,
+ * and gets wide again. */
+static void the_budget_adapts_to_the_link(void **state)
 {
     (void)state;
     struct link l = make_link(125 * MB);
-    for (int i = 0; i < SETTLED; i++)
-        play(&l);
+    for (int i = 0; i < SETTLING_ROUNDS; i++)
+        run_round(&l);
     l.per_round = 5 * MB / 2 * ROUND_MS / 1000;
     for (int i = 0; i < ROUNDS; i++) {
-        size_t under_way_ms = play(&l);
-        if (i >= SETTLED)
-            assert_true(under_way_ms < HEARD_MS - 2 * ROUND_MS);
+        size_t transit_ms = run_round(&l);
+        if (i >= SETTLING_ROUNDS)
+            assert_true(transit_ms < REACHABLE_MS - 2 * ROUND_MS);
     }
-    l.per_round = 0; /* it stands still */
+    l.per_round = 0; /* the link carries nothing */
     for (int i = 0; i < 4; i++)
-        rk_send_budget_begin(&l.budget, l.waiting);
+        rk_send_budget_begin(&l.budget, l.queued);
     l.per_round = 125 * MB * ROUND_MS / 1000;
     size_t before = 0;
-    for (int i = 0; i < 2 * SETTLED; i++) {
+    for (int i = 0; i < 2 * SETTLING_ROUNDS; i++) {
         before = l.sent;
-        play(&l);
+        run_round(&l);
     }
-    assert_int_equal(l.sent - before, WANTED);
+    assert_int_equal(l.sent - before, ROUND_BYTES);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(a_wide_link_carries_all),
-        cmocka_unit_test(a_narrow_link_is_used_and_not_filled),
-        cmocka_unit_test(the_first_rounds_are_small),
-        cmocka_unit_test(peers_that_are_stuck_cost_the_others_nothing),
-        cmocka_unit_test(it_follows_the_link),
+        cmocka_unit_test(a_narrow_link_is_used_without_long_queues),
+        cmocka_unit_test(the_first_rounds_cause_no_long_queue),
+        cmocka_unit_test(peers_that_accept_no_data_leave_the_budget_to_others),
+        cmocka_unit_test(the_budget_adapts_to_the_link),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
