--- a/tests/test_vms.c
+++ b/tests/test_vms.c
@@ -1,5 +1,5 @@
-/* Entries of the platform's list of vms, some of another writer: which name a vm.
- */
+/* Tests of the parser for entries of the platform's VM list. Other programs may
+ * write entries, too, so a malformed one must be rejected and not used. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -21,7 +21,8 @@
 
 static struct rk_vm_row row;
 
-/* The entry with a member in place of its own; value NULL: without it. */
+/* Parses ENTRY with its member name set to the JSON text value, or removed if value
+ * is NULL. */
 static enum rk_status parse_with(const char *name, const char *value)
 {
     struct json_object *o = json_tokener_parse(ENTRY);
@@ -35,7 +36,8 @@
     return st;
 }
 
-static void an_entry_as_the_platform_says_names_a_vm(void **state)
+/* Guards against fields that are lost or mixed up; unknown members are ignored. */
+static void a_complete_entry_is_parsed(void **state)
 {
     (void)state;
     assert_int_equal(parse_with("more", "[1]"), RK_OK);
@@ -49,7 +51,8 @@
     assert_int_equal(row.leaves_in_ms, -1);
 }
 
-static void what_may_be_left_out(void **state)
+/* Guards against an optional field that is required or ignored. */
+static void optional_fields_are_parsed(void **state)
 {
     (void)state;
     assert_int_equal(parse_with("born", NULL), RK_OK);
@@ -60,20 +63,24 @@
     assert_true(row.reclaimable);
 }
 
-static void a_field_that_is_missing_names_none(void **state)
+/* Guards against entries without a required field, and against an error that does
+ * not name it first. */
+static void a_missing_field_is_rejected(void **state)
 {
     (void)state;
     const char *const names[] = {"service", "address", "zone",       "version",
                                  "slots",   "state",   "coldLeftMs", "seqNo"};
     for (size_t i = 0; i < RK_ARRAY_LEN(names); i++) {
-        char start[RK_ID_MAX];
-        snprintf(start, sizeof(start), "/%s:", names[i]);
+        char prefix[RK_ID_MAX];
+        snprintf(prefix, sizeof(prefix), "/%s:", names[i]);
         assert_int_equal(parse_with(names[i], NULL), RK_EINVAL);
-        assert_ptr_equal(strstr(rk_last_error(), start), rk_last_error());
+        assert_ptr_equal(strstr(rk_last_error(), prefix), rk_last_error());
     }
 }
 
-static void a_field_of_another_type_or_range_names_none(void **state)
+/* Guards against values that would be converted, cut off or passed on as they are.
+ * The error must name the field. */
+static void a_field_of_wrong_type_or_range_is_rejected(void **state)
 {
     (void)state;
     const struct {
@@ -117,7 +124,8 @@
     }
 }
 
-static void what_is_no_object_names_none(void **state)
+/* Guards against entries that are no JSON object, or have no id. */
+static void a_non_object_or_empty_id_is_rejected(void **state)
 {
     (void)state;
     const char *const specs[] = {"[]", "\"ready\"", "5", "null", "true"};
@@ -134,11 +142,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(an_entry_as_the_platform_says_names_a_vm),
-        cmocka_unit_test(what_may_be_left_out),
-        cmocka_unit_test(a_field_that_is_missing_names_none),
-        cmocka_unit_test(a_field_of_another_type_or_range_names_none),
-        cmocka_unit_test(what_is_no_object_names_none),
+        cmocka_unit_test(a_complete_entry_is_parsed),
+        cmocka_unit_test(optional_fields_are_parsed),
+        cmocka_unit_test(a_missing_field_is_rejected),
+        cmocka_unit_test(a_field_of_wrong_type_or_range_is_rejected),
+        cmocka_unit_test(a_non_object_or_empty_id_is_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
