--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -1,5 +1,5 @@
-/* Units of the core: settings and their mistakes, configuration, prompts,
- * prefixes, the router's choices, the vm plan. */
+/* Unit tests of the core: settings, configuration, prompts and prefixes, the
+ * router, the VM plan, retry budgets, leases and process files. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -23,14 +23,16 @@
 
 static struct rk_problems problems;
 
-static struct rk_settings *parse(const char *text)
+/* Parses settings. Returns NULL on mistakes, which are then in problems. */
+static struct rk_settings *parse_settings(const char *text)
 {
     struct rk_settings *s = NULL;
     rk_settings_parse(text, &s, &problems);
     return s;
 }
 
-/* Each kind of mistake is named by path, line and what was expected. */
+/* Guards against a mistake in the settings that is accepted, or reported without
+ * its path, its line and what was expected. */
 static void mistakes_are_named(void **state)
 {
     (void)state;
@@ -63,14 +65,15 @@
          "/services/s", 2, "outlive"},
     };
     for (size_t i = 0; i < RK_ARRAY_LEN(cases); i++) {
-        assert_null(parse(cases[i].text));
+        assert_null(parse_settings(cases[i].text));
         assert_string_equal(problems.items[0].path, cases[i].path);
         assert_int_equal(problems.items[0].line, cases[i].line);
         assert_non_null(strstr(problems.items[0].expected, cases[i].expected));
     }
 }
 
-static void a_tree_fits_one_object(void **state)
+/* Guards against settings that are too large for the object that stores them. */
+static void oversized_settings_are_rejected(void **state)
 {
     (void)state;
     struct rk_buf b = {0};
@@ -78,15 +81,16 @@
     for (int i = 0; b.len <= RK_SETTINGS_MAX_BYTES; i++)
         rk_buf_printf(&b, ",\"organisation-%d\":{\"weight\":%d}", i, 1 + i % 1000);
     rk_buf_addstr(&b, "}}");
-    assert_null(parse(b.data));
+    assert_null(parse_settings(b.data));
     assert_non_null(strstr(problems.items[0].expected, "bytes"));
     rk_buf_free(&b);
 }
 
-static void all_mistakes_are_told_at_once(void **state)
+/* Guards against an operator who has to mend one mistake to see the next. */
+static void all_mistakes_are_reported_at_once(void **state)
 {
     (void)state;
-    assert_null(parse("{\"a\": 1, \"b\": 2, \"deadline_ms\": 0}"));
+    assert_null(parse_settings("{\"a\": 1, \"b\": 2, \"deadline_ms\": 0}"));
     assert_int_equal(problems.count, 3);
 }
 
@@ -100,10 +104,13 @@
     "  \"classes\": { \"c\": { \"rank\": 1 } },\n"
     "  \"organisations\": { \"weight\": 2, \"o\": {}, \"p\": { \"weight\": 5 } } }";
 
+/* Guards against a value that is taken from the wrong level of the settings, and
+ * against a wrong origin: it is the path of the value, or empty for a built-in
+ * default. */
 static void values_are_inherited(void **state)
 {
     (void)state;
-    struct rk_settings *s = parse(tree_text);
+    struct rk_settings *s = parse_settings(tree_text);
     char origin[RK_SETTING_PATH_MAX];
     assert_non_null(s);
     assert_int_equal(rk_settings_int(s, "/services/s/go", "deadline_ms"), 100);
@@ -116,10 +123,12 @@
     rk_settings_destroy(s);
 }
 
+/* Guards against a call that runs under another call's policy; calls that the
+ * settings do not name have that of their service. */
 static void config_finds_policies(void **state)
 {
     (void)state;
-    struct rk_settings *s = parse(tree_text);
+    struct rk_settings *s = parse_settings(tree_text);
     struct rk_config *c = rk_config_create(s, 7);
     assert_int_equal(rk_config_policy(c, "s", "go")->deadline_ms, 100);
     assert_true(rk_config_policy(c, "s", "look")->repeatable);
@@ -135,6 +144,8 @@
 
 /* ---- prompts and prefixes ---- */
 
+/* Builds a prompt of numbered words that begin with head, and a last word from
+ * tail. */
 static void make_prompt(struct rk_prompt *p, const char *head, int words, int tail)
 {
     struct rk_prompt_reader r;
@@ -149,7 +160,9 @@
     rk_prompt_end(&r);
 }
 
-static void prefixes_are_matched_and_forgotten(void **state)
+/* Guards against predictions from blocks that a VM no longer caches: after as many
+ * tokens were prefilled there as its cache holds, or after the VM was removed. */
+static void prefixes_are_matched_and_evicted(void **state)
 {
     (void)state;
     static struct rk_prompt a, b;
@@ -164,7 +177,7 @@
     rk_prefixes_match(p, &b, clocks, sizes, cached, 3);
     assert_int_equal(cached[0], 0);
     assert_int_equal(cached[1], 320);
-    clocks[1] = 1000; /* as much was prefilled there since as its cache holds */
+    clocks[1] = 1000; /* as many tokens as its cache holds */
     rk_prefixes_match(p, &b, clocks, sizes, cached, 3);
     assert_int_equal(cached[1], 0);
     rk_prefixes_insert(p, &a, 2, 0);
@@ -174,7 +187,9 @@
     rk_prefixes_destroy(p);
 }
 
-static void completions_are_read(void **state)
+/* Guards against request fields that are lost on the way to the upstream, which is
+ * always asked for a stream, and against bodies that are no object. */
+static void completion_requests_are_parsed(void **state)
 {
     (void)state;
     static struct rk_prompt p;
@@ -202,7 +217,7 @@
 
 static void router_setup(struct fixture *f, int vms, const char *service)
 {
-    f->tree = parse(tree_text);
+    f->tree = parse_settings(tree_text);
     f->cfg = rk_config_create(f->tree, 1);
     f->r = rk_router_create(1, RK_ROUTE_ADAPTIVE);
     for (int i = 0; i < vms; i++) {
@@ -243,7 +258,9 @@
     return rk_router_next(f->r, now);
 }
 
-static void a_prefix_sticks_until_its_own_demand_is_too_much(void **state)
+/* Guards against a prefix that is computed at several VMs without need, and against
+ * a queue at its VM while others have free slots. */
+static void a_prefix_stays_at_its_vm_until_that_is_full(void **state)
 {
     (void)state;
     struct fixture f;
@@ -251,14 +268,14 @@
     struct rk_job jobs[8];
     router_setup(&f, 2, "e");
     make_prompt(&p, "x", 640, 1);
-    /* One after the other: always the same vm. */
+    /* Calls in sequence all go to the same VM. */
     for (int i = 0; i < 3; i++) {
         jobs[i] = job_for("e", &p);
         assert_ptr_equal(submit_and_send(&f, &jobs[i], i), &jobs[i]);
         assert_int_equal(jobs[i].vm, jobs[0].vm);
         rk_router_end(f.r, &jobs[i], false, i + 10);
     }
-    /* More at once than its slots: the prefix is copied. */
+    /* More concurrent calls than the VM has slots: the prefix is copied. */
     int elsewhere = 0;
     for (int i = 0; i < 8; i++) {
         jobs[i] = job_for("e", &p);
@@ -271,7 +288,9 @@
     router_teardown(&f);
 }
 
-static void leaving_vms_get_nothing(void **state)
+/* Guards against calls to a VM that is leaving. A call whose last VM leaves cannot
+ * be served, and a new one is refused with a time to retry. */
+static void leaving_vms_get_no_calls(void **state)
 {
     (void)state;
     struct fixture f;
@@ -294,7 +313,8 @@
     router_teardown(&f);
 }
 
-static void what_cannot_make_its_deadline_is_refused(void **state)
+/* Guards against calls that wait in the queue only to miss their deadline. */
+static void calls_that_would_miss_their_deadline_are_refused(void **state)
 {
     (void)state;
     struct fixture f;
@@ -313,7 +333,8 @@
             refused += after > 0;
         rk_router_next(f.r, 0);
     }
-    /* Four slots of 920 ms: about eight more make it within 3 s. */
+    /* The VM has four slots and a call takes 920 ms, so that about eight more calls
+     * end within 3 s. */
     assert_in_range(queued, 8, 14);
     assert_int_equal(refused, 40 - queued);
     for (int i = 0; i < 40; i++)
@@ -321,6 +342,8 @@
     router_teardown(&f);
 }
 
+/* Guards against an organisation that has more calls in flight than its limit, and
+ * against a call that ends and still counts. */
 static void an_organisations_limit_holds(void **state)
 {
     (void)state;
@@ -357,7 +380,9 @@
     return in;
 }
 
-static void urgent_work_gets_a_floor(void **state)
+/* Guards against a plan that leaves urgent work to reclaimable VMs, which may all
+ * be lost at once, unless other failure domains have free slots for it. */
+static void urgent_work_gets_on_demand_vms(void **state)
 {
     (void)state;
     struct rk_plan_input in = plan_input();
@@ -372,12 +397,14 @@
     assert_int_equal(plan.actions[0].count, 2);
     assert_int_equal(plan.actions[1].cls, 0);
     assert_int_equal(plan.actions[1].count, 2);
-    in.elsewhere_slots = 6; /* a wave here is carried by the others */
+    in.elsewhere_slots = 6; /* enough in the other domains */
     rk_plan_make(&in, &plan);
     assert_int_equal(plan.want_floor, 0);
 }
 
-static void refused_starts_back_off_and_turn_elsewhere(void **state)
+/* Guards against a plan that insists on a class whose starts are refused: it must
+ * use another class meanwhile, and wait longer after each refusal. */
+static void refused_starts_back_off_and_use_another_class(void **state)
 {
     (void)state;
     struct rk_plan_input in = plan_input();
@@ -394,11 +421,13 @@
     assert_int_equal(plan.actions[0].cls, 0);
 }
 
+/* Guards against a choice of class that ignores the weights of price and of the
+ * tokens that are computed again after reclaims. */
 static void weights_decide_between_price_and_recompute(void **state)
 {
     (void)state;
     struct rk_plan_input in = plan_input();
-    in.classes[0].reclaims_per_hour = 4; /* 3.2 of recomputed tokens an hour */
+    in.classes[0].reclaims_per_hour = 4; /* recomputed tokens cost 3.2 an hour */
     in.weight_recompute = 0.1;
     assert_true(rk_plan_price(&in, &in.classes[0]) <
                 rk_plan_price(&in, &in.classes[1]));
@@ -407,8 +436,10 @@
                 rk_plan_price(&in, &in.classes[1]));
 }
 
-/* A vm is stopped for a cheaper one only when that is ready. */
-static void dear_vms_are_replaced(void **state)
+/* Guards against a loss of capacity while expensive VMs are replaced: one is
+ * stopped only when the cheaper one is ready, and only for a price that is much
+ * lower. */
+static void expensive_vms_are_replaced(void **state)
 {
     (void)state;
     struct rk_plan_input in = plan_input();
@@ -421,19 +452,20 @@
     assert_int_equal(plan.actions[0].cls, 0);
     in.classes[0].held = plan.actions[0].count;
     rk_plan_make(&in, &plan);
-    assert_int_equal(plan.len, 0); /* still starting */
+    assert_int_equal(plan.len, 0); /* the cheaper ones are starting */
     in.classes[0].ready = in.classes[0].held;
     rk_plan_make(&in, &plan);
     assert_int_equal(plan.len, 1);
     assert_int_equal(plan.actions[0].kind, RK_PLAN_STOP);
     assert_int_equal(plan.actions[0].cls, 1);
-    in.classes[0].price = 2.9; /* too little to gain */
+    in.classes[0].price = 2.9; /* too little is saved */
     in.classes[0].held = in.classes[0].ready = 0;
     rk_plan_make(&in, &plan);
     assert_int_equal(plan.len, 0);
 }
 
-static void stops_keep_the_floor(void **state)
+/* Guards against stopping the on-demand VMs that urgent work needs. */
+static void stops_keep_the_on_demand_vms(void **state)
 {
     (void)state;
     struct rk_plan_input in = plan_input();
@@ -450,9 +482,11 @@
     assert_int_equal(plan.len, 1);
 }
 
-/* ---- the rest ---- */
+/* ---- retry budgets, leases, process files ---- */
 
-static void budgets_bound_retries(void **state)
+/* Guards against retries that amplify an overload: they stay a tenth of the calls
+ * and an initial burst. */
+static void the_budget_bounds_retries(void **state)
 {
     (void)state;
     struct rk_budget b = {0};
@@ -464,21 +498,21 @@
     assert_in_range(spent, 100, 100 + RK_BUDGET_BURST);
 }
 
-/* 295 nodes that use up what they may, are all killed and use up again what they
- * get: no more retries than the deployment allows, 630 and a fifth of the calls.
- * Before, a node had one retry from standing and got it back by its start: it took
- * 6 s to earn another, and one in six of its repeatable calls that failed was not
- * tried again. */
-static void a_fleet_keeps_to_its_retries_over_a_kill(void **state)
+/* Guards against a restart that renews the budget: 295 nodes use up their retries,
+ * are all killed and use up again what they get. Together they may send the 630
+ * retries that the deployment allows and a fifth of the calls. Each must still have
+ * some at its first start: with a single one, a node needed 6 s to earn another,
+ * and one in six of its repeatable calls that failed was not retried. */
+static void a_restart_of_all_nodes_renews_no_retries(void **state)
 {
     (void)state;
     const int nodes = 295, calls = 8, burst = 630, pct = 20;
     int sent = 0;
-    for (int life = 0; life < 2; life++)
+    for (int restart = 0; restart < 2; restart++)
         for (int node = 0; node < nodes; node++) {
             struct rk_budget b = {0};
             for (int call = 0; call < calls; call++) {
-                rk_budget_set_share(&b, burst, nodes, life == 0);
+                rk_budget_set_share(&b, burst, nodes, restart == 0);
                 rk_budget_earn(&b, pct);
                 while (rk_budget_spend(&b))
                     sent++;
@@ -488,8 +522,10 @@
     assert_true(sent >= 2 * nodes);
 }
 
-/* A candidate that lost a race reads before it tries again. */
-static void a_lost_race_is_followed_by_a_read(void **state)
+/* Guards against a candidate that lost the race for a lease and writes again
+ * without reading it: it must read the lease first, and wait until it has expired.
+ */
+static void a_candidate_reads_the_lease_after_a_lost_race(void **state)
 {
     (void)state;
     struct rk_lease l = {.holder = "me", .life_ms = 1000};
@@ -506,6 +542,8 @@
     assert_int_equal(expect, 1);
 }
 
+/* Guards against a mistake in a process file that is accepted, or reported without
+ * line and path, and against a missing file that is taken for a mistake. */
 static void process_files_are_checked(void **state)
 {
     (void)state;
@@ -525,24 +563,24 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(mistakes_are_named),
-        cmocka_unit_test(a_tree_fits_one_object),
-        cmocka_unit_test(all_mistakes_are_told_at_once),
+        cmocka_unit_test(oversized_settings_are_rejected),
+        cmocka_unit_test(all_mistakes_are_reported_at_once),
         cmocka_unit_test(values_are_inherited),
         cmocka_unit_test(config_finds_policies),
-        cmocka_unit_test(prefixes_are_matched_and_forgotten),
-        cmocka_unit_test(completions_are_read),
-        cmocka_unit_test(a_prefix_sticks_until_its_own_demand_is_too_much),
-        cmocka_unit_test(leaving_vms_get_nothing),
-        cmocka_unit_test(what_cannot_make_its_deadline_is_refused),
+        cmocka_unit_test(prefixes_are_matched_and_evicted),
+        cmocka_unit_test(completion_requests_are_parsed),
+        cmocka_unit_test(a_prefix_stays_at_its_vm_until_that_is_full),
+        cmocka_unit_test(leaving_vms_get_no_calls),
+        cmocka_unit_test(calls_that_would_miss_their_deadline_are_refused),
         cmocka_unit_test(an_organisations_limit_holds),
-        cmocka_unit_test(urgent_work_gets_a_floor),
-        cmocka_unit_test(refused_starts_back_off_and_turn_elsewhere),
+        cmocka_unit_test(urgent_work_gets_on_demand_vms),
+        cmocka_unit_test(refused_starts_back_off_and_use_another_class),
         cmocka_unit_test(weights_decide_between_price_and_recompute),
-        cmocka_unit_test(dear_vms_are_replaced),
-        cmocka_unit_test(stops_keep_the_floor),
-        cmocka_unit_test(budgets_bound_retries),
-        cmocka_unit_test(a_fleet_keeps_to_its_retries_over_a_kill),
-        cmocka_unit_test(a_lost_race_is_followed_by_a_read),
+        cmocka_unit_test(expensive_vms_are_replaced),
+        cmocka_unit_test(stops_keep_the_on_demand_vms),
+        cmocka_unit_test(the_budget_bounds_retries),
+        cmocka_unit_test(a_restart_of_all_nodes_renews_no_retries),
+        cmocka_unit_test(a_candidate_reads_the_lease_after_a_lost_race),
         cmocka_unit_test(process_files_are_checked),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
