--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -86,7 +86,7 @@
     rk_buf_free(&b);
 }
 
-/* Guards against an operator who has to mend one mistake to see the next. */
+/* Guards against a report of the first mistake only. */
 static void all_mistakes_are_reported_at_once(void **state)
 {
     (void)state;
@@ -484,8 +484,8 @@
 
 /* ---- retry budgets, leases, process files ---- */
 
-/* Guards against retries that amplify an overload: they stay a tenth of the calls
- * and an initial burst. */
+/* Guards against retries that amplify an overload: their number is bounded by a
+ * tenth of the calls plus an initial burst. */
 static void the_budget_bounds_retries(void **state)
 {
     (void)state;
@@ -523,8 +523,7 @@
 }
 
 /* Guards against a candidate that lost the race for a lease and writes again
- * without reading it: it must read the lease first, and wait until it has expired.
- */
+ * without reading it: it must read the lease, and wait until that has expired. */
 static void a_candidate_reads_the_lease_after_a_lost_race(void **state)
 {
     (void)state;
--- a/tests/test_holding.c
+++ b/tests/test_holding.c
@@ -132,7 +132,7 @@
 }
 
 /* Guards against a slow release of many substitutes: at one in 4 s, sixty would
- * take four minutes. A step of this test stands for 4 s. */
+ * take four minutes. Each step of this test represents 4 s. */
 static void many_substitutes_are_released_within_a_minute(void **state)
 {
     (void)state;
@@ -186,7 +186,8 @@
 struct vm {
     int domain;
     bool reclaimable;
-    int64_t ready_ms, leaving_ms, gone_ms; /* INT64_MAX: not known yet */
+    /* When it serves, gets notice and is gone; INT64_MAX: not known yet. */
+    int64_t ready_ms, leaving_ms, gone_ms;
 };
 
 struct wave {
@@ -206,7 +207,7 @@
     struct rk_reclaims_domain reclaims[3];
     int granted[3];         /* reclaimable VMs by the last order that was granted */
     int64_t reduced_ms;     /* when fewer on-demand VMs were planned last */
-    double cost;            /* VM-seconds by price */
+    double cost;            /* VM-seconds, weighted by price */
     double served, elapsed; /* seconds, weighted by the share served; all seconds */
     double worst_second;    /* least share served in a second */
     /* The same, from when substitutes ordered at the first notice are ready. */
@@ -363,8 +364,8 @@
     c->second_served = 0;
 }
 
-/* Simulates the waves until ends_ms. At the start, the VMs that NEED asks for are
- * ready. */
+/* Simulates the waves until ends_ms. At the start, as many VMs as NEEDED_VMS asks
+ * for are ready. */
 static void simulate(struct cloud *c, const struct wave *waves, size_t len,
                      int64_t ends_ms)
 {
@@ -398,8 +399,8 @@
     static struct cloud c;
     simulate(&c, waves, 3, 60000);
     assert_true(c.served / c.elapsed > 0.97);
-    assert_true(c.worst_second >
-                0.6); /* the first domain is lost before any VM has booted */
+    /* The first domain is lost before any substitute has booted. */
+    assert_true(c.worst_second > 0.6);
     assert_true(c.worst_booted > 0.99);
     assert_true(c.refused < 40);
     /* The least cost, known in hindsight: reclaimable VMs while there are any, and
@@ -436,7 +437,7 @@
     assert_true(c.worst_second > 0.99);
 }
 
-/* Guards against one or two VMs that crash and are taken for a reclaim. */
+/* Guards against a crash of one or two VMs that is taken for a reclaim. */
 static void crashes_are_not_taken_for_a_reclaim(void **state)
 {
     (void)state;
@@ -449,7 +450,7 @@
     assert_true(rk_reclaims_may_ask(&d, 5000));
 }
 
-/* Guards against VMs that were stopped by an order and are taken for a reclaim. */
+/* Guards against VMs stopped by an order that are taken for reclaimed ones. */
 static void stopped_vms_are_not_taken_for_a_reclaim(void **state)
 {
     (void)state;
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -34,7 +34,7 @@
     return p;
 }
 
-/* Returns a query of a model call. parts: its prompt segments, "ID:TOKENS,...". */
+/* Returns a query of a model call. segments: of its prompt, "ID:TOKENS,...". */
 static struct rk_place_query engine_query(const char *segments, double tokens)
 {
     struct rk_place_query q = {
@@ -132,8 +132,8 @@
     rk_place_destroy(p);
 }
 
-/* Guards against a choice by this node's calls alone. Several peers may report the
- * same VM, and VMs that are not known here. */
+/* Guards against a choice that counts only this node's calls. Several peers may
+ * report the same VM, or one that is unknown here. */
 static void calls_of_peers_count_as_load(void **state)
 {
     (void)state;
@@ -250,9 +250,9 @@
 static void the_cost_of_peer_reports_depends_on_active_vms(void **state)
 {
     (void)state;
-    enum { VMS = 10000, BUSY = 40 };
+    enum { VMS = 10000, ACTIVE = 40 };
     struct rk_vm_row *rows = rk_alloc(VMS, sizeof(*rows));
-    struct rk_vm_load loads[BUSY] = {0}, *own;
+    struct rk_vm_load loads[ACTIVE] = {0}, *own;
     struct rk_place *p = rk_place_create("here", 1);
     struct rk_place_query q = engine_query("", 100);
     struct rk_engine_forecast forecast;
@@ -264,16 +264,16 @@
     }
     rk_place_set_vms(p, rows, VMS, 0);
     assert_int_equal(rk_place_busy_len(p), 0);
-    for (int i = 0; i < BUSY; i++) {
+    for (int i = 0; i < ACTIVE; i++) {
         loads[i].running = 1;
         rk_strcpy(loads[i].id, sizeof(loads[i].id), rows[i].id);
     }
-    rk_place_set_loads(p, loads, BUSY, 1000);
-    assert_int_equal(rk_place_busy_len(p), BUSY);
+    rk_place_set_loads(p, loads, ACTIVE, 1000);
+    assert_int_equal(rk_place_busy_len(p), ACTIVE);
     struct rk_place_vm *v = rk_place_choose(p, &q, 1000, &forecast);
     rk_place_sent(p, v, &q, 1000, &job);
-    rk_place_set_loads(p, loads, BUSY / 2, 1250);
-    assert_int_equal(rk_place_busy_len(p), BUSY / 2 + !v->peers_running);
+    rk_place_set_loads(p, loads, ACTIVE / 2, 1250);
+    assert_int_equal(rk_place_busy_len(p), ACTIVE / 2 + !v->peers_running);
     assert_int_equal(rk_place_own_loads(p, 1250, &own), 1);
     assert_string_equal(own[0].id, v->row.id);
     free(own);
@@ -402,12 +402,12 @@
 static void unanswered_calls_count_as_slow(void **state)
 {
     (void)state;
-    struct rk_pace pace = {0};
-    assert_true(rk_pace_factor(&pace, 0) == 1);
+    struct rk_pace health = {0};
+    assert_true(rk_pace_factor(&health, 0) == 1);
     for (int i = 0; i < 3; i++)
-        rk_pace_fail(&pace, 4000, 100, 1000);
-    assert_true(rk_pace_factor(&pace, 0) > 1.5);
-    struct rk_pace later = rk_pace_at(&pace, 30000);
+        rk_pace_fail(&health, 4000, 100, 1000);
+    assert_true(rk_pace_factor(&health, 0) > 1.5);
+    struct rk_pace later = rk_pace_at(&health, 30000);
     assert_true(rk_pace_factor(&later, 0) < 1.01);
 }
 
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -26,9 +26,9 @@
  * the request. */
 static bool note_end(uint64_t request, uint32_t vm, enum rk_suspicion suspicion)
 {
-    const struct rk_quarantine_row names = make_row(request, "clinic");
+    const struct rk_quarantine_row key = make_row(request, "clinic");
     const struct rk_vm_end end = {.vm = vm, .suspicion = suspicion};
-    return rk_quarantine_note(&table, &names, end, 1);
+    return rk_quarantine_note(&table, &key, end, 1);
 }
 
 static bool is_stopped(uint64_t request)
@@ -134,8 +134,8 @@
     assert_false(rk_quarantine_stops(&other, 7, 1));
 }
 
-/* Guards against trust that outlasts a rollout: VMs of a new version may end under
- * a request that those of the old one ran. */
+/* Guards against a request that is never suspected because it completed once: VMs
+ * of a new version may end under a request that those of the old one completed. */
 static void a_request_that_completed_long_ago_is_suspected(void **state)
 {
     (void)state;
@@ -212,10 +212,10 @@
 static void an_organisation_does_not_evict_rows_of_others(void **state)
 {
     (void)state;
-    struct rk_quarantine_row names = make_row(1, "rank");
+    struct rk_quarantine_row key = make_row(1, "rank");
     for (uint32_t vm = 1; vm <= 3; vm++)
-        rk_quarantine_note(&table, &names,
-                           (struct rk_vm_end){vm, RK_HAD_JUST_BEGUN}, 1);
+        rk_quarantine_note(&table, &key, (struct rk_vm_end){vm, RK_HAD_JUST_BEGUN},
+                           1);
     for (uint32_t i = 0; i < 20 * RK_QUARANTINE_ROWS; i++)
         note_end(100 + i, 10 + i, RK_HAD_JUST_BEGUN);
     assert_true(is_stopped(1));
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -122,8 +122,8 @@
 #define PARTITION_SLACK 72000
 #define UNITS_PER_CALL  1000.0
 
-/* Returns the quotas of a side with so many nodes. load: share of the rate used
- * before. */
+/* Returns the quotas of a side with this many nodes. load: share of the rate that
+ * was used before. */
 static struct rk_quota partition_side(int nodes, double load)
 {
     struct rk_quota q;
@@ -239,14 +239,14 @@
     }
 }
 
-/* Guards against a caution after restarts that refuses calls of organisations well
- * within their quotas. */
+/* Guards against restarted nodes that refuse calls of an organisation well within
+ * its quota, because its earlier usage is unknown. */
 static void an_organisation_that_uses_little_is_served_after_a_restart(void **state)
 {
     (void)state;
     SCOPED struct rk_quota q = single_node_quota(100000);
-    double got = admit_each_step(&q, 100, 100, 100050, 108050, 20,
-                                 1); /* half the rate: 50 units/s */
+    /* Half the rate: 50 units/s. */
+    double got = admit_each_step(&q, 100, 100, 100050, 108050, 20, 1);
     assert_true(got >= 390);
 }
 
@@ -280,8 +280,8 @@
 
 /* ---- fleets ----
  *
- * Four times a second, a digest tells each node what all nodes together had
- * admitted REPORT_AGE_MS before. */
+ * Four times a second, each node receives a digest of the units that all nodes
+ * together had admitted REPORT_AGE_MS before. */
 #define SMALL_FLEET        40
 #define LARGE_FLEET        86
 #define STEP_MS            10
@@ -290,8 +290,8 @@
 #define AGE_STEPS          (REPORT_AGE_MS / STEP_MS)
 #define RUN_MS             30000
 
-/* Numbers of nodes: of a large site today, twice those of the first sites, and of a
- * site in two years. */
+/* Numbers of nodes: of a large site today, of twice the first sites, and of a site
+ * in two years. */
 static const int large_fleets[] = {LARGE_FLEET, 295, 1776};
 
 struct fleet_node {
@@ -306,8 +306,8 @@
     int nodes;
     struct fleet_node *node;
     double total[RUN_MS / STEP_MS]; /* units admitted by all, up to each step */
-    double demand[RUN_MS /
-                  STEP_MS]; /* units/s that all were asked for, at each step */
+    /* Units/s that all were asked for, at each step. */
+    double demand[RUN_MS / STEP_MS];
 };
 
 static struct fleet *create_fleet(int nodes, double slack)
@@ -391,11 +391,11 @@
     const double rate = 240000, burst = 600000, units = 3000, slack = 72000;
     struct fleet *f = create_fleet(SMALL_FLEET, slack);
     struct rk_rng rng = {.state = 7};
-    double owed = 0, most = 0, window = rate * WINDOW_MS / 1000 + burst;
+    double pending = 0, most = 0, window = rate * WINDOW_MS / 1000 + burst;
     for (int step = 0; step < RUN_MS / STEP_MS; step++) {
         double per_s = step * STEP_MS < 10000 ? rate / 2 : rate * 8;
         deliver_digests(f, step);
-        for (owed += per_s * STEP_MS / 1000; owed > 0; owed -= units)
+        for (pending += per_s * STEP_MS / 1000; pending > 0; pending -= units)
             request_from_node(f, step, (int)rk_rng_below(&rng, SMALL_FLEET), rate,
                               burst, units);
         end_step(f, step);
@@ -417,15 +417,15 @@
     double window = rate * WINDOW_MS / 1000 + burst;
     struct fleet *f = create_fleet(nodes, slack);
     struct rk_rng rng = {.state = seed};
-    double owed = 0, most = 0;
+    double pending = 0, most = 0;
     for (int step = 0; step < RUN_MS / STEP_MS; step++) {
         double per_s = step * STEP_MS < 10000 ? rate / 2 : rate * 11;
         deliver_digests(f, step);
-        for (owed += per_s * STEP_MS / 1000; owed > 0;) {
+        for (pending += per_s * STEP_MS / 1000; pending > 0;) {
             double units = sizes[rk_rng_below(&rng, 10)];
             int node = (int)rk_rng_below(&rng, (uint32_t)nodes);
             request_from_node(f, step, node, rate, burst, units);
-            owed -= units;
+            pending -= units;
         }
         end_step(f, step);
         most =
@@ -504,10 +504,9 @@
     assert_true(refused_share(LARGE_FLEET, 0.55) == 0);
 }
 
-/* Guards against refusals by nodes that each keep to a share of the free units,
- * which is less than a call in a large fleet: although a fifth of the quota was
- * free, 2.7% of the units were refused at 86 nodes, 5.4% at 295, and 6.5% at 1,776.
- */
+/* Guards against nodes that each keep to a share of the free units, which is less
+ * than a call in a large fleet: although a fifth of the quota was free, 2.7% of the
+ * units were refused at 86 nodes, 5.4% at 295, and 6.5% at 1,776. */
 static void a_large_fleet_refuses_nothing_within_its_quota(void **state)
 {
     (void)state;
@@ -524,9 +523,9 @@
     double slices[RK_QUOTA_PARTS], used = load * rate;
     struct fleet *f = create_fleet(nodes, 72000);
     struct caller c = {.rng.state = 3, .rate = rate, .per_s = rate * load};
+    /* The quota of a window of eight seconds is the rate of nine seconds. */
     if (used > rate * 9 / 8)
-        used = rate * 9 /
-               8; /* the quota of a window of eight seconds is nine seconds' rate */
+        used = rate * 9 / 8;
     for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
         slices[i] = used;
     for (int i = 0; i < nodes; i++) {
@@ -614,8 +613,8 @@
     const double slices[RK_QUOTA_PARTS] = {880};
     rk_quota_restore(&q, "org", slices, 0, 1000, 100000);
     rk_quota_restored(&q, 1000);
-    double soon = admit_each_step(&q, 100, 100, 100000, 106000, 10, 1);
-    assert_true(880 + soon <= 900 + 1);
+    double early = admit_each_step(&q, 100, 100, 100000, 106000, 10, 1);
+    assert_true(880 + early <= 900 + 1);
     assert_true(admit_each_step(&q, 100, 100, 107600, 108600, 10, 1) > 50);
 }
 
@@ -646,8 +645,8 @@
     rk_quota_restored(&q, 500);
     assert_true(rk_quota_knows_all(&q, 100000));
     rk_quota_tell(&q, &q.orgs[0], slices, 101000);
-    assert_true(slices[0] + slices[1] + slices[2] ==
-                0); /* peers have restored it, too */
+    /* Peers have restored it, too. */
+    assert_true(slices[0] + slices[1] + slices[2] == 0);
     rk_quota_keep(&q, &q.orgs[0], 900, 100, slices, 101000);
     assert_true(slices[1] + slices[2] >= 880);
     SCOPED struct rk_quota second = single_node_quota(101500);
--- a/tests/test_returning.c
+++ b/tests/test_returning.c
@@ -36,8 +36,8 @@
 }
 
 /* Returns the longest wait for the store's link, in ms. A node reads if its delay
- * ends before its peers send it the data. Of the nodes, the number in large have
- * LARGE_CAPACITY, the others SMALL_CAPACITY. */
+ * ends before its peers send it the data. large: number of nodes with
+ * LARGE_CAPACITY; the others have SMALL_CAPACITY. */
 static double longest_wait_ms(int nodes, int large)
 {
     struct rk_fleet_size size = {0};
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -157,7 +157,7 @@
 /* State of a strategy. */
 struct strategy {
     struct rk_rollout r;                 /* of sequential() */
-    int step;                            /* of fixed_steps() */
+    int step;                            /* of fixed_steps(): index of the share */
     double good, bad, old_good, old_bad; /* of bandit() */
 };
 /* A strategy decides by the results that the leader has received. Sets the share of
@@ -320,8 +320,7 @@
     double ended_s;            /* when the rollout ended */
     double share;              /* of the calls that the new version got */
     double bad_answers;
-    double
-        exceeded; /* share of the runs with more calls than a bad version may get */
+    double exceeded; /* share of the runs that exceeded a bound of calls */
 };
 
 static struct figures measure(const struct service *s,
--- a/tests/test_send_budget.c
+++ b/tests/test_send_budget.c
@@ -16,8 +16,8 @@
 #define ROUNDS          400
 #define ROUND_MS        250
 #define ROUND_BYTES     (207 * 19 * 1024) /* bytes that a full round sends */
-#define REACHABLE_MS    900 /* longer without a message: unreachable */
-#define SETTLING_ROUNDS 20  /* rounds until the budget fits the link */
+#define REACHABLE_MS    900               /* without a message: unreachable */
+#define SETTLING_ROUNDS 20 /* rounds until the budget fits the link */
 #define MB              1000000L
 
 struct link {
@@ -87,10 +87,8 @@
         assert_true(run_round(&l) < REACHABLE_MS);
 }
 
-/* Guards against peers that accept no data and so cut the budget for all others:
- * their queue of 100 KB stays, and is larger than the 10 KB of a small fleet's
- * round.
- */
+/* Guards against peers that accept no data and so cut the budget for all others: in
+ * a small fleet, their queue of 100 KB is larger than a whole round of 10 KB. */
 static void peers_that_accept_no_data_leave_the_budget_to_others(void **state)
 {
     (void)state;
--- a/tests/test_vm_signals.c
+++ b/tests/test_vm_signals.c
@@ -62,7 +62,7 @@
 /* ---- limits ---- */
 
 /* Returns a row with a limit in requests per second that senders nodes share. */
-static struct rk_vm_signal *limited(double per_s, int senders, int64_t now_ms)
+static struct rk_vm_signal *limited_row(double per_s, int senders, int64_t now_ms)
 {
     const struct rk_vm_said signals = {.limited = true, .limit_per_s = per_s};
     struct rk_vm_signal *v = get_row(now_ms);
@@ -77,7 +77,7 @@
 static void senders_space_their_requests_evenly(void **state)
 {
     (void)state;
-    struct rk_vm_signal *v = limited(2, 2, 0);
+    struct rk_vm_signal *v = limited_row(2, 2, 0);
     assert_int_equal(rk_vm_signal_wait_ms(v, 0), 1000);
     assert_int_equal(rk_vm_signal_wait_ms(v, 1000), 0);
     rk_vm_signal_sent(v, 1500);
@@ -91,7 +91,7 @@
 static void a_share_taken_over_is_used_after_one_interval(void **state)
 {
     (void)state;
-    struct rk_vm_signal *v = limited(1, 0, 0);
+    struct rk_vm_signal *v = limited_row(1, 0, 0);
     assert_true(rk_vm_signal_bars(v));
     rk_vm_signal_set_senders(v, 1, 5000);
     assert_false(rk_vm_signal_bars(v));
@@ -103,7 +103,7 @@
 static void a_limit_of_zero_allows_a_request_each_ten_seconds(void **state)
 {
     (void)state;
-    struct rk_vm_signal *v = limited(0, 1, 0);
+    struct rk_vm_signal *v = limited_row(0, 1, 0);
     assert_int_equal(rk_vm_signal_wait_ms(v, 0), 10000);
 }
 
@@ -112,8 +112,8 @@
 static void the_later_of_two_limits_counts(void **state)
 {
     (void)state;
-    struct rk_vm_signal update = *limited(3, 1, 100);
-    struct rk_vm_signal *v = limited(10, 1, 200);
+    struct rk_vm_signal update = *limited_row(3, 1, 100);
+    struct rk_vm_signal *v = limited_row(10, 1, 200);
     assert_int_equal(rk_vm_signal_merge(v, &update, 300), 0);
     assert_true(v->limit_per_s == 10);
     update.limit_ms = 250;
@@ -151,8 +151,8 @@
 
 /* ---- leaving and cooldown ---- */
 
-/* Guards against new calls at a VM that advertised its end and then answered
- * without that signal. */
+/* Guards against new calls at a VM that advertised that it leaves, and then
+ * answered without that signal. */
 static void leaving_is_final(void **state)
 {
     (void)state;
