--- a/core/admit.h
+++ b/core/admit.h
@@ -3,9 +3,10 @@
  * queueing); within an organisation, the earliest deadline goes first. Deferrable
  * calls only use slots that are left over, until their deadline is near.
  *
- * The queue has no length limit: the router bounds it by time, as it refuses a call
- * that can't meet its deadline on arrival and says when to retry. One queue per
- * service and traffic thread; does no I/O, and time comes from the caller. */
+ * The queue has no length limit. The router bounds it by time: a call that can't
+ * meet its deadline is refused when it arrives, and its caller is told when to
+ * retry. One queue per service and traffic thread; does no I/O, and time comes from
+ * the caller. */
 #ifndef RK_CORE_ADMIT_H
 #define RK_CORE_ADMIT_H
 
@@ -22,10 +23,10 @@
  * leaves it unchanged while it is queued. */
 struct rk_waiter {
     char org[RK_ID_MAX];
-    int64_t weight; /* of the organisation; at least 1 */
-    int rank;       /* the queue lowers it when it promotes a deferrable call */
-    bool deferrable;
-    int64_t promote_ms;  /* time before the deadline at which it is promoted */
+    int64_t weight;     /* of the organisation; at least 1 */
+    int rank;           /* the queue lowers it when it promotes a deferrable call */
+    bool deferrable;    /* the queue clears it when it promotes the call */
+    int64_t promote_ms; /* time before the deadline at which it is promoted */
     int64_t deadline_ms; /* on the clock of now_ms */
     int64_t cost_ms;     /* estimated time in a slot, for fair shares */
     /* Set by the queue. */
--- a/core/call.h
+++ b/core/call.h
@@ -62,7 +62,7 @@
                       have been */
     bool replayed; /* the answer is that of an earlier call with the same key */
     bool resume;   /* the stream ended early and may be resumed at a peer */
-    int64_t retry_after_ms; /* 0: a retry would not help */
+    int64_t retry_after_ms; /* 0: none is sent, as waiting would not help */
     const char *detail;     /* one line for the caller; may be NULL */
 };
 
--- a/core/changes.c
+++ b/core/changes.c
@@ -35,8 +35,8 @@
 }
 
 /* Sets a path in the tree root to a copy of v, or deletes it if v is NULL, and adds
- * the nodes above it. Returns false if path isn't absolute, has an overlong name or
- * leads through a value. */
+ * the nodes above it. Returns false if path isn't absolute, has an overlong name
+ * above its last one or leads through a value. */
 static bool set_path(struct json_object *root, const char *path,
                      struct json_object *v)
 {
--- a/core/changes.h
+++ b/core/changes.h
@@ -7,7 +7,8 @@
  *   {"id": "...", "author": "...", "wall_ms": n, "base": n,
  *    "set": {"/services/slots/deadline_ms": 5000, "/classes/old": null}}
  *
- * null removes a value or a whole node; an object replaces a node. */
+ * null removes a value or a whole node; an object replaces a node. base is the head
+ * of the tree that the author edited. */
 #ifndef RK_CORE_CHANGES_H
 #define RK_CORE_CHANGES_H
 
--- a/core/claims.c
+++ b/core/claims.c
@@ -201,9 +201,9 @@
     rk_claim_decide(c, &e->key, id, RK_CLAIM_GRANTED, RK_NOT_RUN, NULL, 0, "");
 }
 
-/* Takes over a write that took effect: slot and keys are durable, the claims
- * granted. */
-static void write_stands(struct rk_claims *c, int64_t version)
+/* Records that a write took effect: its slot and keys are durable, and its claims
+ * are granted. */
+static void commit_write(struct rk_claims *c, int64_t version)
 {
     c->slots[c->write_slot] =
         (struct claim_slot){.version = version,
@@ -238,7 +238,7 @@
 {
     assert(c->state == OWNER_WRITING);
     if (st == RK_OK) {
-        write_stands(c, version);
+        commit_write(c, version);
     } else if (st == RK_ECONFLICT && !c->unresolved) {
         step_down(c, now_ms);
     } else {
@@ -271,7 +271,7 @@
                        !strcmp(json_object_get_string(nonce), own_nonce);
     json_object_put(o);
     if (took_effect) {
-        write_stands(c, version);
+        commit_write(c, version);
     } else if (version == c->write_expect) {
         /* The write did not take effect yet, but still may: only the same write can
          * be sent safely. */
@@ -300,8 +300,8 @@
     }
     if (e->state != ENTRY_PENDING)
         return;
-    /* Claims on it wait here, but another owner has written it: it must not be
-     * written again. */
+    /* Claims on it wait here, but it is in a slot already, written by another owner
+     * or earlier by this node: it must not be written again. */
     struct claim_entry *all = rk_claim_take_queue(c);
     for (struct claim_entry *next; all; all = next) {
         next = all->next_pending;
@@ -496,8 +496,9 @@
         rk_claim_free(c, rk_claim_find(c, &e->key));
 }
 
-/* Refuses all waiting claims. Their verdict is not RK_NOT_RUN: without a write that
- * took effect, it is unknown what another owner did with the key. */
+/* Refuses all claims that wait for a write. Their verdict is not RK_NOT_RUN:
+ * without a write that took effect, it is unknown what another owner did with the
+ * key. */
 static void refuse_pending(struct rk_claims *c, const char *detail)
 {
     struct claim_entry *e = rk_claim_take_queue(c);
@@ -510,9 +511,10 @@
     }
 }
 
-/* Ends the wait of a key's claims if the platform didn't answer in time. A claim
- * that may be granted from memory is, provided that this node has read the ring
- * before; its key stays queued and is written when the platform answers again. */
+/* Ends the wait of a key's claims if the platform didn't answer the oldest of them
+ * in time. If that one may be granted from memory it is, provided that this node
+ * has read the ring before; its key stays queued and is written when the platform
+ * answers again. */
 static void time_out_key(struct rk_claims *c, struct claim_entry *e, int64_t now_ms)
 {
     struct claim_ticket *t = e->tickets;
--- a/core/claims.h
+++ b/core/claims.h
@@ -9,7 +9,8 @@
  * than the retention. A new owner reads the ring and writes its epoch to the slot
  * that the old owner would write next, so the next write of the old owner fails:
  * the write is the fence. This doesn't depend on clocks, leases or pauses. A write
- * whose answer was lost is read back before any of its claims is decided.
+ * whose answer was lost is read back before its claims are granted; those that time
+ * out meanwhile are refused, or granted from memory (see rk_claims_ask()).
  *
  * Does no I/O: requests it through ops and gets the answers by rk_claims_on_*().
  * Control thread only. */
@@ -56,7 +57,9 @@
 };
 
 enum rk_claim_decision {
-    RK_CLAIM_GRANTED,  /* run the call: no other call with the key will ever run */
+    /* Run the call. No other call with the key runs, unless this one ends as
+     * RK_NOT_RUN or the claim was granted from memory. */
+    RK_CLAIM_GRANTED,
     RK_CLAIM_REPLAY,   /* the key ran: send its answer, if there is one */
     RK_CLAIM_MISMATCH, /* the key was used for a different request */
     RK_CLAIM_FOREIGN,  /* the key may have run, under an earlier owner or here */
@@ -99,7 +102,7 @@
     size_t max_tickets;   /* most calls that may wait */
     uint64_t seed;        /* must differ between incarnations of a node */
     size_t slot_keys;     /* keys of a slot; 0: RK_CLAIM_SLOT_KEYS, the maximum */
-    double writes_per_s;  /* write rate of this shard; 0: no limit */
+    double writes_per_s; /* this shard's share of claim_writes_per_s; 0: no limit */
 };
 
 /* Creates the claims of one shard. cfg is copied; ops must outlive the claims. */
@@ -143,8 +146,8 @@
 };
 
 /* Answers to ops. RK_EUNKNOWN and RK_EUNAVAILABLE mean that no answer was received,
- * and RK_ECONFLICT that a slot's version was not the expected one. slots and value
- * are borrowed for the call. */
+ * RK_ECONFLICT that a slot's version was not the expected one, and RK_ENOTFOUND
+ * that the slot read is absent. slots and value are borrowed for the call. */
 void rk_claims_on_ring(struct rk_claims *c, enum rk_status st,
                        const struct rk_slot_read *slots, size_t len, int64_t now_ms,
                        int64_t wall_ms);
--- a/core/claims_impl.h
+++ b/core/claims_impl.h
@@ -9,7 +9,8 @@
 #define RK_CLAIM_BUCKETS  1024
 #define RK_CLAIM_TEXT_LEN 40 /* 16 + 16 + 8 hex digits */
 
-/* State of a key. "Durable": the key is in a slot on the platform. */
+/* State of a key. "Durable": the key is in a slot on the platform, or, after a
+ * grant from memory, still queued to be written there. */
 enum claim_entry_state {
     ENTRY_PENDING,  /* not durable, or to be written again */
     ENTRY_RUNNING,  /* granted; its call is in flight */
--- a/core/holding.c
+++ b/core/holding.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /* Shares of a VM's capacity to plan with, as calls arrive in bursts. On three
- * sites, 0.6 and more of the reading capacity gave results within noise, and 0.55
- * of the slots cost 0.05 of the value of the calls. */
+ * sites, 0.6 and more of the reading capacity made no difference beyond noise, and
+ * 0.55 of the slots cost 0.05 of the value of the calls. */
 #define READ_SHARE      0.48 /* of the reading capacity */
 #define RUNNING_SHARE   0.35 /* of the slots */
 #define RECLAIMABLE_MIN 2    /* per domain, if that kind is cheaper */
--- a/core/holding.h
+++ b/core/holding.h
@@ -3,8 +3,8 @@
  * can serve its own calls, and the loss of all reclaimable VMs at once leaves some
  * capacity. Demand above the floor is served by reclaimable VMs, spread over the
  * domains. While the platform has no reclaimable VMs, on-demand substitutes are
- * started; once reclaimable VMs have replaced them they are stopped, half of them
- * at a time.
+ * started. Those no longer needed are stopped half at a time, or all at once when
+ * all planned reclaimable VMs are in service.
  *
  * While no reclaimable VMs can be had, those still running are not counted as
  * capacity: waves of reclaims go from domain to domain within seconds, and an
@@ -20,7 +20,7 @@
 
 #define RK_HOLDING_DOMAINS 16
 
-/* State of one failure domain, by the platform's VM list. */
+/* State of one failure domain, by the platform's VM list and the orders. */
 struct rk_holding_domain {
     char name[RK_ID_MAX];
     double price;    /* of an on-demand VM */
@@ -36,7 +36,7 @@
     int min_vms, max_vms; /* per domain, both kinds together */
     double spot_price; /* price of a reclaimable VM relative to an on-demand one */
     double need;       /* VMs, from rk_holding_need(), decaying slowly */
-    double need_now;   /* the same, decaying fast; for expensive VMs */
+    double need_now;   /* the same, decaying fast; for on-demand substitutes */
     bool none;         /* no domain has reclaimable VMs to give */
     bool idle;         /* no calls run, so surplus VMs may be stopped all at once */
     bool settled;      /* the last on-demand VM was stopped long enough ago */
--- a/core/jsonlines.h
+++ b/core/jsonlines.h
@@ -10,7 +10,8 @@
 struct rk_jsonlines;
 
 /* Indexes the keys of text, which json-c must have accepted. Never fails. Keys
- * deeper than 16 objects and paths of 512 bytes or more are left out. */
+ * deeper than 16 objects and paths of 512 bytes or more are left out; a name is cut
+ * to 2 * RK_ID_MAX - 1 bytes. */
 struct rk_jsonlines *rk_jsonlines_create(const char *text);
 /* Frees the index. NULL is allowed. */
 void rk_jsonlines_destroy(struct rk_jsonlines *jl);
--- a/core/lease.c
+++ b/core/lease.c
@@ -81,8 +81,8 @@
         rk_strcpy(l->seen_holder, sizeof(l->seen_holder), l->holder);
     } else if (st == RK_ECONFLICT) {
         l->held = false;
-        l->seen_ms =
-            0; /* the known state is outdated: read before the next attempt */
+        /* The known state is outdated: read before the next attempt. */
+        l->seen_ms = 0;
     }
 }
 
--- a/core/lease.h
+++ b/core/lease.h
@@ -1,4 +1,4 @@
-/* Lease on a single object, held by conditional updates. It needs no synchronised
+/* Lease kept in a single object by conditional updates. It needs no synchronised
  * clocks: a candidate takes the lease after it has seen the same version for a
  * whole lease duration by its own clock. The holder may rely on the lease
  * from the start of its last successful write, for the lease duration less a
--- a/core/plan.c
+++ b/core/plan.c
@@ -6,7 +6,7 @@
 #define BACKOFF_MS     5000
 #define BACKOFF_MAX_MS 120000
 #define STOP_SLACK     1    /* VMs held beyond the plan before any is stopped */
-#define SWAP_RATIO     1.25 /* price ratio at which a VM is replaced */
+#define SWAP_RATIO     1.25 /* price ratio above which a VM is replaced */
 
 double rk_plan_price(const struct rk_plan_input *in, const struct rk_plan_class *c)
 {
@@ -74,8 +74,9 @@
     }
 }
 
-/* Plans the start of one VM of a cheaper class beyond the target; once it is ready,
- * plan_stops() stops the most expensive one. */
+/* If a VM is much more expensive than another class, plans starts in that class, to
+ * one VM more than plan_stops() tolerates; once they are ready, it stops the most
+ * expensive one. */
 static void plan_swap(const struct rk_plan_input *in, struct rk_plan *out, int held,
                       int on_demand)
 {
--- a/core/procfile.h
+++ b/core/procfile.h
@@ -50,7 +50,8 @@
     double cpu_share;      /* CPU cores that this machine gives the process */
     /* Bounds for the canary of a new version that may be bad: the share of the
      * calls of its service (0: this deployment orders no new versions), calls on
-     * top of that, and the time until it must get none. */
+     * top of that, and the time in ms from its 50th bad response until it must get
+     * none. */
     double trial_share, trial_slack;
     double trial_give_up_ms;
 };
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -21,7 +21,7 @@
 
 #include "common/util.h"
 
-/* 256 rows of 220 bytes. A full table first evicts rows of the organisation with
+/* 256 rows of 208 bytes. A full table first evicts rows of the organisation with
  * the most rows. */
 #define RK_QUARANTINE_ROWS 256
 #define RK_QUARANTINE_ENDS 8 /* VM ends kept per row */
@@ -61,7 +61,7 @@
     size_t ends_len;
     /* Local, never sent: */
     int64_t changed_ms;   /* when anything in the row last changed */
-    int64_t requested_ms; /* when a caller last sent it to this node */
+    int64_t requested_ms; /* when this node last refused it */
     /* The last change was observed by this node, not reported by a peer. */
     bool own;
 };
@@ -104,12 +104,14 @@
 
 /* Records that a VM incarnation ended under a request, as observed by this node.
  * names: a row of which only request, org and route are read. Returns whether the
- * request is stopped as a result. */
+ * request is stopped as a result. Ignored if the request was completed here within
+ * the last minute. */
 bool rk_quarantine_note(struct rk_quarantine *q,
                         const struct rk_quarantine_row *names, struct rk_vm_end end,
                         int64_t now_ms);
 
-/* Returns whether the request is stopped, and notes that a caller sent it now. */
+/* Returns whether the request is stopped, and if so notes that a caller sent it
+ * now. */
 bool rk_quarantine_stops(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
 
 /* Records that a VM completed the request, or ran it for so long that it cannot be
--- a/core/returning.h
+++ b/core/returning.h
@@ -3,9 +3,9 @@
  * all of it at once. That load grows with the square of the fleet size: at a
  * thousand nodes it is more than the store's link carries before the calls time
  * out, so all nodes retry and none gets an answer. Therefore only a few nodes read
- * at once: those with the largest machines, as they become bridges. The others
- * delay their read, and most of them receive the state from peers before that.
- * Pure: no I/O, no clock. */
+ * at once: those with the largest machines, as they become bridges (the relay nodes
+ * of their failure domains). The others delay their read, and most of them receive
+ * the state from peers before that. Pure: no I/O, no clock. */
 #ifndef RK_CORE_RETURNING_H
 #define RK_CORE_RETURNING_H
 
--- a/core/rollout.h
+++ b/core/rollout.h
@@ -105,8 +105,8 @@
  * were skipped. */
 size_t rk_rollout_add(struct rk_trial_rows *sum, const struct rk_trial_rows *more);
 
-/* Starts a rollout, or resumes it. elapsed_ms: time since it was ordered. Keeps the
- * revision in r->rule, so *r must be zeroed or hold an earlier rollout. */
+/* Starts a rollout, or resumes it. elapsed_ms: time since it was ordered. Continues
+ * the revisions of r->rule, so *r must be zeroed or hold an earlier rollout. */
 void rk_rollout_begin(struct rk_rollout *r, const struct rk_rollout_order *order,
                       const struct rk_rollout_bounds *bounds, int64_t now_ms,
                       int64_t elapsed_ms);
--- a/core/routes.h
+++ b/core/routes.h
@@ -111,7 +111,8 @@
     struct rk_names org_names; /* index of orgs; filled by rk_routes_finish() */
     struct rk_org_key *keys;   /* rk_routes_finish() sorts them by hash */
     size_t keys_len, keys_cap;
-    bool keyed; /* calls need an API key, unless their route is anonymous */
+    bool keyed; /* there are organisations: calls need an API key, unless their
+                   route is anonymous */
 };
 
 /* Returns an empty table with one reference: the caller adds and fills rows, sets
--- a/core/settings.h
+++ b/core/settings.h
@@ -91,7 +91,8 @@
 
 /* Returns the effective value of a setting at a node ("/services/slots/confirm";
  * "": the root); NULL: neither the tree nor the schema gives one. name must be a
- * known setting. origin, unless NULL, gets the path that the value comes from; "":
+ * known setting. A node that doesn't exist gets the values of the nearest existing
+ * one above it. origin, unless NULL, gets the path that the value comes from; "":
  * it is the built-in default or missing. The value is borrowed: from the tree, or,
  * if it is a built-in default, from the calling thread. */
 struct json_object *rk_settings_get(const struct rk_settings *s, const char *node,
--- a/core/trial.c
+++ b/core/trial.c
@@ -35,18 +35,18 @@
 #define FAILURES_CONCLUSIVE 25
 
 struct rk_trial_row *rk_trial_row_at(struct rk_trial_rows *t, const char *route,
-                                     const char *domain, bool tried)
+                                     const char *domain, bool of_new_version)
 {
     for (size_t i = 0; i < t->len; i++) {
         struct rk_trial_row *row = &t->rows[i];
-        if (row->tried == tried && !strcmp(row->route, route) &&
+        if (row->tried == of_new_version && !strcmp(row->route, route) &&
             !strcmp(row->domain, domain))
             return row;
     }
     if (t->len == RK_TRIAL_ROWS)
         return NULL;
     struct rk_trial_row *row = &t->rows[t->len++];
-    *row = (struct rk_trial_row){.tried = tried};
+    *row = (struct rk_trial_row){.tried = of_new_version};
     rk_strcpy(row->route, sizeof(row->route), route);
     rk_strcpy(row->domain, sizeof(row->domain), domain);
     return row;
@@ -92,14 +92,14 @@
 
 /* ---- evidence ---- */
 
-static double failure_evidence(const struct rk_trial_seen *tried,
-                               const struct rk_trial_seen *serving)
+static double failure_evidence(const struct rk_trial_seen *new_stats,
+                               const struct rk_trial_seen *old_stats)
 {
-    double p0 = (serving->failed + 0.5) / (serving->calls + 1);
+    double p0 = (old_stats->failed + 0.5) / (old_stats->calls + 1);
     p0 = fmax(FAILED_SHARE_MIN, fmin(p0, FAILED_SHARE_MAX - FAILED_SHARE_RISE));
     double p1 = p0 + FAILED_SHARE_RISE;
-    double succeeded = tried->calls - tried->failed;
-    return tried->failed * log(p1 / p0) + succeeded * log((1 - p1) / (1 - p0));
+    double succeeded = new_stats->calls - new_stats->failed;
+    return new_stats->failed * log(p1 / p0) + succeeded * log((1 - p1) / (1 - p0));
 }
 
 static double variance(const struct rk_trial_seen *s)
@@ -110,27 +110,28 @@
     return fmax(LOG_VARIANCE_MIN, s->log_sq / s->timed - mean * mean);
 }
 
-static double time_evidence(const struct rk_trial_seen *tried,
-                            const struct rk_trial_seen *serving)
+static double time_evidence(const struct rk_trial_seen *new_stats,
+                            const struct rk_trial_seen *old_stats)
 {
-    if (tried->timed < 1 || serving->timed < 1)
+    if (new_stats->timed < 1 || old_stats->timed < 1)
         return 0;
-    double log_difference =
-        tried->log_sum / tried->timed - serving->log_sum / serving->timed;
-    double calls = tried->timed * serving->timed / (tried->timed + serving->timed);
+    double log_difference = new_stats->log_sum / new_stats->timed -
+                            old_stats->log_sum / old_stats->timed;
+    double sample_size =
+        new_stats->timed * old_stats->timed / (new_stats->timed + old_stats->timed);
     double log_slowdown = log(SLOWDOWN);
-    double max_variance = fmax(variance(tried), variance(serving));
-    return calls * log_slowdown / max_variance *
+    double max_variance = fmax(variance(new_stats), variance(old_stats));
+    return sample_size * log_slowdown / max_variance *
            (log_difference - log_slowdown / 2);
 }
 
 struct rk_trial_seen rk_trial_sum(const struct rk_trial_rows *t, const char *route,
-                                  bool tried, const char *without)
+                                  bool of_new_version, const char *without)
 {
     struct rk_trial_seen sum = {0};
     for (size_t i = 0; i < t->len; i++) {
         const struct rk_trial_row *row = &t->rows[i];
-        bool matches = row->tried == tried &&
+        bool matches = row->tried == of_new_version &&
                        (!route[0] || !strcmp(row->route, route)) &&
                        (!without[0] || strcmp(row->domain, without) != 0);
         if (matches)
@@ -142,13 +143,14 @@
 static double evidence(const struct rk_trial_rows *t, const char *route,
                        bool is_time, const char *without)
 {
-    struct rk_trial_seen tried = rk_trial_sum(t, route, true, without);
-    struct rk_trial_seen serving = rk_trial_sum(t, route, false, without);
-    /* A route without calls to the old version is compared with all its routes. */
-    if (!serving.calls)
-        serving = rk_trial_sum(t, "", false, without);
-    return is_time ? time_evidence(&tried, &serving)
-                   : failure_evidence(&tried, &serving);
+    struct rk_trial_seen new_stats = rk_trial_sum(t, route, true, without);
+    struct rk_trial_seen old_stats = rk_trial_sum(t, route, false, without);
+    /* If the old version got no calls of the route, its results over all routes are
+     * used. */
+    if (!old_stats.calls)
+        old_stats = rk_trial_sum(t, "", false, without);
+    return is_time ? time_evidence(&new_stats, &old_stats)
+                   : failure_evidence(&new_stats, &old_stats);
 }
 
 static void update_worst(const struct rk_trial_rows *t, const char *route,
@@ -164,7 +166,8 @@
     worst->serving = rk_trial_sum(t, route, false, "");
 }
 
-/* Returns whether the evidence holds without any single domain. */
+/* Returns whether the evidence holds without any single domain, or the failures are
+ * conclusive by their number. */
 static bool confirmed_elsewhere(const struct rk_trial_rows *t,
                                 const struct rk_trial_finding *worst)
 {
--- a/core/trial.h
+++ b/core/trial.h
@@ -43,11 +43,11 @@
 
 /* Returns the row, added if it is new, or NULL if the table is full. */
 struct rk_trial_row *rk_trial_row_at(struct rk_trial_rows *t, const char *route,
-                                     const char *domain, bool tried);
-/* Records the time to first byte of a call, with its expected value. */
+                                     const char *domain, bool of_new_version);
+/* Counts a call, with its observed and its expected time to first byte. */
 void rk_trial_note_time(struct rk_trial_seen *s, double seen_ms,
                         double expected_ms);
-/* Records a failed call. timed: it failed after its first byte, so
+/* Counts a failed call. timed: it failed after its first byte, so
  * rk_trial_note_time() has counted it already. */
 void rk_trial_note_failure(struct rk_trial_seen *s, bool timed);
 /* Adds more to sum. */
@@ -55,7 +55,7 @@
 /* Returns the sum of one version's rows of a route ("": all routes), leaving out
  * one domain ("": none). */
 struct rk_trial_seen rk_trial_sum(const struct rk_trial_rows *t, const char *route,
-                                  bool tried, const char *without);
+                                  bool of_new_version, const char *without);
 /* Returns the geometric mean of observed / expected time in percent; 0 if no time
  * is known. */
 int64_t rk_trial_pace_pct(const struct rk_trial_seen *s);
