--- a/callers/callers.c
+++ b/callers/callers.c
@@ -19,8 +19,9 @@
 #include "serve/exchange.h"
 #include "serve/traffic.h"
 
-#define CONNECTION_MEMORY_BYTES (16 * 1024) /* limit of a request's head */
-#define STREAM_BLOCK_BYTES      4096        /* bytes that MHD reads at a time */
+/* MHD's memory per connection, which limits a request's head. */
+#define CONNECTION_MEMORY_BYTES (16 * 1024)
+#define STREAM_BLOCK_BYTES      4096 /* bytes that MHD reads at a time */
 #define HEADER_VALUE_MAX        64
 
 struct rk_callers {
@@ -34,7 +35,7 @@
     uint16_t port;
 };
 
-/* A caller's request and its answer. MHD's per-request pointer refers to it. */
+/* A caller's request and its response. MHD's per-request pointer refers to it. */
 struct caller_request {
     struct rk_callers *c;
     struct MHD_Connection *mhd;
@@ -42,12 +43,12 @@
     struct rk_buf body;
     int64_t started_ms;
     bool head_parsed, exchange_started, suspended;
-    bool can_answer;              /* the answer's status and headers can be sent */
-    bool answer_ended;            /* the answer is complete, or was given up */
+    bool can_answer;   /* the response's status and headers can be sent */
+    bool answer_ended; /* the response is complete, or was given up */
     struct rk_exchange *exchange; /* NULL before its start and after its end */
     int status;
     char content_type[RK_CTYPE_MAX];
-    struct rk_buf pending; /* answer bytes; MHD has read those before pending_pos */
+    struct rk_buf pending; /* of the response; MHD has read up to pending_pos */
     size_t pending_pos;
     struct rk_outcome outcome;
     char detail[256]; /* what outcome.detail points to */
@@ -106,8 +107,8 @@
         has_room = rk_buf_add(&k->pending, part->data, part->len);
     }
     if (!has_room) {
-        /* The caller does not keep up with its answer. Dropping a piece would leave
-         * a gap, so the answer stops here, without an end marker. */
+        /* The caller does not keep up with its response. Dropping a piece would
+         * leave a gap, so the response stops here, without an end marker. */
         snprintf(k->detail, sizeof(k->detail), "the caller reads too slowly");
         k->answer_ended = true;
         k->outcome.whole = false;
@@ -158,9 +159,9 @@
 static const struct rk_sink answer_sink = {.part = on_answer_piece,
                                            .end = on_answer_end};
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
-/* MHD_ContentReaderCallback: copies pending bytes of a streamed answer to buf. */
+/* MHD_ContentReaderCallback: copies pending bytes of a streamed response to buf. */
 static ssize_t read_pending(void *cls, uint64_t pos, char *buf, size_t max)
 {
     (void)pos;
@@ -206,7 +207,7 @@
     MHD_add_response_header(r, "Rillknot-Retry-After-Ms", value);
 }
 
-/* Hands the answer to MHD. A stream is read piece by piece as it comes in. */
+/* Hands the response to MHD, which reads a stream piece by piece as it comes in. */
 static enum MHD_Result queue_answer(struct caller_request *k)
 {
     struct MHD_Response *r;
@@ -245,7 +246,8 @@
     return MHD_lookup_connection_value(k->mhd, MHD_HEADER_KIND, name);
 }
 
-/* Answers a malformed request with a problem page. */
+/* Responds with a problem document to a request that starts no exchange: it is
+ * malformed, its path is unknown or its body is too large. */
 static enum MHD_Result reject_request(struct caller_request *k, int status,
                                       const char *detail)
 {
--- a/callers/callers.h
+++ b/callers/callers.h
@@ -1,6 +1,7 @@
 /* HTTP front end of an entry node: parses callers' requests, starts an exchange for
- * each and writes its answer. It uses libmicrohttpd, driven by the event loop of a
- * traffic thread, so that a slow or malformed caller never blocks a thread.
+ * each and writes its response. It uses libmicrohttpd, driven by the event loop of
+ * a traffic thread, so that a slow caller or a malformed request never blocks a
+ * thread.
  *
  *   POST /v1/completions, /v1/chat/completions    model calls; SSE on request
  *   ANY  /services/SERVICE/CALL[/...][?...]       plain service calls
@@ -8,10 +9,11 @@
  *
  * Request headers: Rillknot-Organisation (required), Rillknot-Class,
  * Rillknot-Deadline-Ms, Idempotency-Key, Last-Event-ID (resumes a stream).
- * Answer headers: Rillknot-Request-Id, Rillknot-Verdict, Rillknot-Arrival (with the
- * value not-sent if this request was not sent to any upstream), Retry-After,
+ * Response headers: Rillknot-Request-Id, Rillknot-Verdict, Rillknot-Arrival (with
+ * the value not-sent if this request was not sent to any upstream), Retry-After,
  * Rillknot-Retry-After-Ms, Idempotent-Replay.
- * Failures have a body of type application/problem+json. */
+ * Failures have a body of type application/problem+json. In a stream that has
+ * begun, the same JSON is the data of a last event named error or resume. */
 #ifndef RK_CALLERS_CALLERS_H
 #define RK_CALLERS_CALLERS_H
 
@@ -29,7 +31,7 @@
     unsigned max_connections;
     unsigned idle_s;       /* inactivity after which a connection is closed, s */
     int64_t max_upload_ms; /* time limit for receiving a request body */
-    size_t max_unread;     /* answer bytes buffered for a slow caller */
+    size_t max_unread;     /* most response bytes buffered for a caller */
 };
 
 /* Starts to listen on opt->listen and serves requests on the loop of `t`, which
@@ -49,7 +51,8 @@
 /* Returns the port that it listens on, in host byte order. */
 uint16_t rk_callers_port(const struct rk_callers *c);
 
-/* Returns the number of requests whose answer is not completely written yet. */
+/* Returns the number of open requests: their heads were received, their responses
+ * are not completely written. */
 size_t rk_callers_open(const struct rk_callers *c);
 
 #endif
--- a/callers/server.c
+++ b/callers/server.c
@@ -27,8 +27,8 @@
 
 enum client_state {
     CLIENT_READING,   /* waits for a request, or has a part of one */
-    CLIENT_IN_FLIGHT, /* has a complete request and no answer yet */
-    CLIENT_ANSWERING, /* the answer has begun and not ended */
+    CLIENT_IN_FLIGHT, /* has a complete request and no response yet */
+    CLIENT_ANSWERING, /* the response has begun and not ended */
 };
 
 struct rk_client {
@@ -42,9 +42,9 @@
     struct rk_buf pipelined; /* bytes after the current request */
     struct rk_timer timer;
     void *user;
-    bool chunked;            /* the answer's body is sent in chunks */
-    bool no_body;            /* the answer has no body (HEAD, 204, 304) */
-    bool close_after_answer; /* the connection ends with the answer */
+    bool chunked;            /* the response's body is sent in chunks */
+    bool no_body;            /* the response has no body (HEAD, 204, 304) */
+    bool close_after_answer; /* the connection ends with the response */
     int refuse_status;       /* HTTP status to refuse the request with; 0: none */
 };
 
@@ -57,7 +57,7 @@
     void *ctx;
     struct rk_client *clients;
     size_t clients_len;
-    bool closing; /* every answer closes its connection */
+    bool closing; /* every response closes its connection */
 };
 
 static void feed(struct rk_client *c, const char *data, size_t len);
@@ -92,8 +92,8 @@
 }
 
 /* Closes the connection unless it has unread bytes. rk_conn_close() would discard a
- * request that crosses the close, and its caller would get no reset: callers lost
- * requests that way next to saturated links, where a close takes a second. */
+ * request that crosses the close, and its caller would get no reset. Callers lost
+ * requests that way where other links were saturated and a close took a second. */
 static void close_idle(struct rk_client *c)
 {
     if (rk_conn_close_idle(c->conn))
@@ -113,7 +113,7 @@
     rk_timer_start(c->s->loop, &c->timer, c->limits.idle_ms);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static const char *reason_phrase(int status)
 {
@@ -264,7 +264,7 @@
 
 /* ---- requests ---- */
 
-/* Answers with a status and closes the connection, because the end of the refused
+/* Responds with a status and closes the connection, because the end of the refused
  * request, and so the start of the next one, is not known. */
 static void refuse_request(struct rk_client *c, int status)
 {
@@ -385,7 +385,7 @@
     if (rk_http1_begun(&c->reader))
         refuse_request(c, 408);
     else if (rk_conn_unsent(c->conn))
-        wait_for_request(c); /* the last answer is not sent yet */
+        wait_for_request(c); /* the last response is not sent yet */
     else
         close_idle(c);
 }
--- a/callers/server.h
+++ b/callers/server.h
@@ -1,8 +1,9 @@
 /* HTTP/1.1 server on an event loop. It passes on complete requests and streams
- * their answers. A caller that disconnects is noticed in the same iteration of the
- * loop, also while its request waits; library servers do not watch the socket then,
- * which is why this is built on http-parser. Pipelined requests are buffered and
- * handled one after the other. All functions are called on the loop's thread. */
+ * their responses. A caller's disconnect is noticed as soon as the loop handles the
+ * socket's event, also while the request waits for its response. Library servers do
+ * not watch the socket then, which is why this is built on http-parser. Pipelined
+ * requests are buffered and handled one after the other. All functions are called
+ * on the loop's thread. */
 #ifndef RK_CALLERS_SERVER_H
 #define RK_CALLERS_SERVER_H
 
@@ -19,16 +20,18 @@
     size_t header_bytes; /* of a request line and its headers */
     size_t body_bytes;   /* of a request body */
     int64_t header_ms;   /* time-out from the first byte of a head to its end */
-    int64_t idle_ms;     /* time-out between requests, and without data in a body */
+    int64_t idle_ms;     /* time-out between requests, and without data in a body;
+                            for the first wait in a body whose head came in one
+                            read, header_ms counts instead */
     int max_clients;     /* open connections; further ones are closed at once */
 };
 
 struct rk_server_ops {
     /* Called with each complete request. Its head and body stay valid until its
-     * answer ends or the caller disconnects. */
+     * response ends or the caller disconnects. */
     void (*on_request)(void *ctx, struct rk_client *client);
-    /* Called when the caller disconnects before its answer has ended. `user` is the
-     * value of rk_client_set_user(). The client must not be used any more. */
+    /* Called when the caller disconnects before its response has ended. `user` is
+     * the value of rk_client_set_user(). The client must not be used any more. */
     void (*on_gone)(void *ctx, void *user);
 };
 
@@ -53,16 +56,16 @@
  * while it is off. It is on initially. */
 void rk_server_set_accepting(struct rk_server *s, bool on);
 
-/* Makes each answer that begins from now on close its connection, and announce that
- * with "Connection: close". */
+/* Makes each response that begins from now on close its connection, and announce
+ * that with "Connection: close". */
 void rk_server_set_closing(struct rk_server *s);
 
 /* Closes the connections that have neither a request, nor a part of one, nor unsent
- * answer bytes. Connections with bytes that were not read yet stay open. */
+ * response bytes. Connections with bytes that were not read yet stay open. */
 void rk_server_close_idle(struct rk_server *s);
 
 /* Returns the number of connections with a request or a part of one, or with unsent
- * answer bytes. */
+ * response bytes. */
 size_t rk_server_busy(const struct rk_server *s);
 
 /* Return the head and the body ("" if there is none) of the current request. They
@@ -74,25 +77,25 @@
  * with the next request. */
 void rk_client_set_user(struct rk_client *c, void *user);
 
-/* Sends a complete answer with a body of `len` bytes. `headers` is "" or header
+/* Sends a complete response with a body of `len` bytes. `headers` is "" or header
  * lines that each end with CRLF. The client must not be used for this request any
  * more. */
 void rk_client_answer(struct rk_client *c, int status, const char *headers,
                       const char *body, size_t len);
 
-/* Send an answer in pieces: begin, any number of data, then either end or cut.
+/* Send a response in pieces: begin, any number of data, then either end or cut.
  * `headers` is as above; `length` is the body's length in bytes, or -1 if it is not
- * known yet. Bytes are copied. rk_client_end() completes the answer; it may call
+ * known yet. Bytes are copied. rk_client_end() completes the response; it may call
  * on_request() with a pipelined request before it returns. rk_client_cut() resets
- * the connection, so that the caller can't take the answer for complete. The client
- * must not be used for this request after either of them. */
+ * the connection, so that the caller can't take the response for complete. The
+ * client must not be used for this request after either of them. */
 void rk_client_begin(struct rk_client *c, int status, const char *headers,
                      int64_t length);
 void rk_client_data(struct rk_client *c, const char *data, size_t len);
 void rk_client_end(struct rk_client *c);
 void rk_client_cut(struct rk_client *c);
 
-/* Returns the bytes of answers that the kernel has not taken yet. */
+/* Returns the bytes of responses that the kernel has not taken yet. */
 size_t rk_client_unsent(const struct rk_client *c);
 
 #endif
--- a/control/claims_io.c
+++ b/control/claims_io.c
@@ -1,6 +1,7 @@
 /* Handles claims of idempotency keys for the shards that this node owns. Receives
  * the traffic threads' requests as messages, passes them to core/claims.h, makes
- * the object API calls which that requests, and sends its decisions back. */
+ * the object API calls that core/claims.h requests, and sends its decisions back.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +13,7 @@
 #include "serve/traffic.h"
 
 #define CLAIM_TIMEOUT_MS    1500 /* wait of a claim for the platform */
-#define MAX_UNANSWERED      3    /* calls until the platform counts as down */
+#define MAX_UNANSWERED      3 /* consecutive ones after which the platform is down */
 #define MAX_ANSWER_BYTES    (2 * 1024 * 1024) /* stored answers of one shard */
 #define MAX_TICKETS         4096              /* waiting claims of one shard */
 #define TICKET_THREAD_SHIFT 56 /* a ticket's top byte is its thread's index */
@@ -166,7 +167,8 @@
     .decided = on_decided,
 };
 
-/* Returns the claims of a shard, created on first use. */
+/* Returns the claims of a shard, created on first use. They keep the settings that
+ * are in force then. */
 static struct rk_claims *get_claims(struct rk_claims_io *io, uint32_t shard)
 {
     struct shard *s = &io->shards[shard % RK_MAX_SHARDS];
--- a/control/control.h
+++ b/control/control.h
@@ -19,7 +19,7 @@
 struct rk_control_options {
     char id[RK_ID_MAX];                    /* node id */
     char domain[RK_ID_MAX];                /* failure domain */
-    char control_listen[RK_ADDR_MAX];      /* address that takes gossip links */
+    char control_listen[RK_ADDR_MAX];      /* address to listen on for gossip */
     char control_advertise[RK_ADDR_MAX];   /* "": the address bound */
     char forward_advertise[RK_ADDR_MAX];   /* sent to peers; must not be "" */
     char platform[RK_ADDR_MAX * 2];        /* "http://ip:port" */
--- a/control/gossip.c
+++ b/control/gossip.c
@@ -1,7 +1,8 @@
-/* Gossip between entry nodes. Once a second, a node sends one peer the rows that
- * changed since its last message to that peer; the peer replies likewise. Urgent
- * changes go to the whole failure domain at once. A missing reply makes the peer
- * suspect. */
+/* Gossip between entry nodes. Once a second, a node sends one peer of its failure
+ * domain the rows that changed since its last message to that peer; the peer
+ * replies likewise. Each round is also a probe: a peer that does not reply becomes
+ * suspect. Bridges gossip with other domains, too. Urgent changes go to the whole
+ * failure domain at once. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -13,8 +14,8 @@
 #include "serve/traffic.h"
 
 #define ROUND_INTERVAL_MS  1000
-#define REPLY_TIMEOUT_MS   1000 /* a peer without a reply is suspected after this */
-#define SUSPECT_TIMEOUT_MS 3000 /* a suspected peer counts as dead after this */
+#define REPLY_TIMEOUT_MS   1000   /* a peer that has not replied becomes suspect */
+#define SUSPECT_TIMEOUT_MS 3000   /* a suspected peer counts as dead after this */
 #define ROW_RETENTION_MS   600000 /* of dead members and gone VMs */
 #define ROUNDS_PER_SEED    5 /* rounds per contact to a seed and a dead member */
 #define ROUNDS_PER_BRIDGE  2 /* rounds per contact to another failure domain */
@@ -113,8 +114,8 @@
     send_frame(link, &frame);
 }
 
-/* Sends the changes behind the number after, or a snapshot if this node no longer
- * keeps the first of them. */
+/* Sends the changes that follow change `after`, MAX_CHANGES_PER_FRAME at most, or a
+ * snapshot if this node no longer keeps the first of them. */
 static void send_changes(struct rk_gossip *g, struct rk_link *link, int64_t after)
 {
     const struct rk_changelog *log = g->c->changelog;
--- a/control/settings_sync.c
+++ b/control/settings_sync.c
@@ -20,9 +20,9 @@
     struct rk_timer retry_timer;
     bool reading;             /* a read, list or watch is in flight */
     bool caught_up;           /* the log has been read to its end */
-    int64_t watch_revision;   /* the platform's, to watch from */
+    int64_t watch_revision;   /* revision of the platform to watch from */
     int64_t snapshot_head;    /* last change in the stored snapshot */
-    int64_t snapshot_version; /* the stored snapshot's; 0: there is none */
+    int64_t snapshot_version; /* of the stored snapshot; 0: there is none */
     bool writing_snapshot;
 };
 
@@ -123,7 +123,7 @@
     list_changes(s);
 }
 
-/* Reads the snapshot, then the changes behind it. */
+/* Reads the snapshot, then the changes that follow it. */
 static void read_snapshot(struct rk_settings_sync *s)
 {
     s->reading = true;
@@ -146,8 +146,8 @@
         s->caught_up = false; /* another node may have written it: read it again */
 }
 
-/* Writes a snapshot every CHANGES_PER_SNAPSHOT changes, which limits how many
- * changes a starting node has to read. */
+/* Writes a snapshot if CHANGES_PER_SNAPSHOT changes follow the stored one, which
+ * limits how many changes a starting node has to read. */
 static void write_snapshot_if_due(struct rk_settings_sync *s)
 {
     int64_t head = rk_changelog_head(s->c->changelog);
--- a/control/state.h
+++ b/control/state.h
@@ -69,8 +69,9 @@
 struct rk_settings_sync *rk_settings_sync_create(struct rk_control *c);
 void rk_settings_sync_destroy(struct rk_settings_sync *s);
 void rk_settings_sync_start(struct rk_settings_sync *s);
-/* Reads the change log if that has not succeeded yet. Then, on a bridge, watches
- * it. Does nothing while a call is in flight or a retry is scheduled. */
+/* Reads the change log if that has not succeeded yet. Then, on a bridge, watches it
+ * and writes a snapshot if one is due. Does nothing while a call is in flight or a
+ * retry is scheduled. */
 void rk_settings_sync_tick(struct rk_settings_sync *s);
 
 /* vms_sync.c */
--- a/control/vms_sync.c
+++ b/control/vms_sync.c
@@ -21,7 +21,7 @@
     struct rk_control *c;
     struct rk_timer list_retry_timer, notices_retry_timer, poll_timer;
     bool list_in_flight, notices_in_flight;
-    int64_t list_revision; /* of the VM list, to watch from; 0: not read yet */
+    int64_t list_revision; /* of the VM list, to watch from; 0: none yet */
     int64_t last_notice_seq;
 };
 
@@ -118,7 +118,8 @@
                         s->list_revision ? s->list_revision : -1,
                         s->list_revision ? WATCH_WAIT_MS : 0, on_list, s);
     }
-    /* A notice names its VM by id only, so the VM's row has to be known first. */
+    /* A notice has only its VM's id and incarnation, so the VM's row has to be
+     * known first. */
     if (s->list_revision && !s->notices_in_flight && !s->notices_retry_timer.slot) {
         s->notices_in_flight = true;
         rk_cloud_watch_notices(c->http, c->opt.platform, s->last_notice_seq,
--- a/engines/attempt.c
+++ b/engines/attempt.c
@@ -25,7 +25,7 @@
     struct rk_sse sse;
     struct rk_timer idle_timer;
     int64_t idle_timeout_ms;
-    int64_t cooldown_ms; /* from Retry-After; -1: it can't be parsed */
+    int64_t cooldown_ms; /* from Retry-After; 0: none; -1: unreadable */
     bool wrong_request;  /* the response belongs to another request */
     bool complete;       /* the end marker came */
     bool rejected;       /* on_chunk returned false */
--- a/engines/side.h
+++ b/engines/side.h
@@ -10,7 +10,7 @@
 
 struct rk_http;
 
-/* Receives the numbers of running and queued calls; both are 0 unless st is
+/* Receives the numbers of running and queued calls, which are valid only if st is
  * RK_OK. */
 typedef void rk_engine_load_fn(void *ctx, enum rk_status st, uint32_t running,
                                uint32_t queued);
@@ -29,7 +29,7 @@
                          rk_engine_kv_fn *fn, void *ctx);
 
 /* RK_ECONFLICT: the engine has accepted an order with a newer epoch, so the sender
- * is no longer the lease holder. */
+ * is no longer the lease holder and must give the lease up. */
 typedef void rk_engine_order_fn(void *ctx, enum rk_status st);
 
 /* Sends an order under the fencing epoch of the sender's lease. */
--- a/keeper/keeper.c
+++ b/keeper/keeper.c
@@ -23,7 +23,7 @@
 
 #define ORDER_LOAD_MODEL             "load"
 #define TICK_INTERVAL_MS             500
-#define ENTRY_QUERY_INTERVAL_MS      1000  /* as candidate or lease holder */
+#define ENTRY_QUERY_INTERVAL_MS      1000 /* candidate, holder, or no settings yet */
 #define ENTRY_QUERY_IDLE_INTERVAL_MS 10000 /* otherwise */
 #define PLAN_INTERVAL_MS             1000
 #define HEADROOM                     0.25   /* share of slots kept free */
@@ -61,7 +61,7 @@
     int64_t since_ms;   /* time of the first request */
 };
 
-/* The last order sent to a VM. Epoch 0 makes it be sent again. */
+/* The last order sent to a VM. Epoch 0: it has to be sent again. */
 struct sent_order {
     char vm[RK_ID_MAX];
     uint64_t incarnation;
@@ -236,8 +236,9 @@
     return NULL;
 }
 
-/* Counts the service's live VMs in this failure domain by class and adds up their
- * load. The classes are those of the VMs seen so far. */
+/* Counts the service's live VMs in this failure domain by class, and adds up the
+ * load of these and of the leaving ones. The classes are those of the VMs seen so
+ * far. */
 static void count_vms(struct rk_keeper *k, struct service *svc, double *load)
 {
     for (size_t i = 0; i < svc->classes_len; i++)
@@ -520,8 +521,8 @@
 {
     struct rk_keeper *k = ctx;
     rk_timer_start(k->loop, &k->tick_timer, TICK_INTERVAL_MS);
-    /* A keeper that is no candidate only has to notice when it becomes one, so it
-     * queries its entry node less often. */
+    /* A keeper that has the settings and is no candidate only has to notice when it
+     * becomes one, so it queries its entry node less often. */
     bool candidate = k->lease.held || !k->config || is_candidate(k);
     if (rk_mono_ms() - k->queried_ms >=
         (candidate ? ENTRY_QUERY_INTERVAL_MS : ENTRY_QUERY_IDLE_INTERVAL_MS))
@@ -534,6 +535,7 @@
     k->last_plan_ms = now;
     resend_unknown_starts(k);
     order_model_loads(k);
+    /* Policies of single calls are skipped: they share the VMs of their service. */
     for (size_t i = 0; i < k->config->policies_len; i++)
         if (!k->config->policies[i].call[0])
             plan_service(k, &k->config->policies[i]);
--- a/keeper/keeper.h
+++ b/keeper/keeper.h
@@ -14,11 +14,12 @@
 
 /* All functions run on the loop's thread. */
 
-/* Creates a keeper. loop and file are borrowed and must outlive it. seed must
- * differ between runs: it becomes part of the name under which the lease is
- * held. */
+/* Creates a keeper. loop and procfile are borrowed and must outlive it. The low 32
+ * bits of seed must differ between runs: they become part of the name under which
+ * the lease is held. */
 struct rk_keeper *rk_keeper_create(struct rk_loop *loop,
-                                   const struct rk_procfile *file, uint64_t seed);
+                                   const struct rk_procfile *procfile,
+                                   uint64_t seed);
 void rk_keeper_destroy(struct rk_keeper *k);
 
 /* Starts the periodic work. */
--- a/objects/objects.h
+++ b/objects/objects.h
@@ -1,6 +1,7 @@
 /* Client of the platform's object API: reads, lists, watches and conditionally
  * writes named, versioned objects. Only this module knows the API's URLs and
- * headers. Calls are asynchronous; a callback runs exactly once, never before the
+ * conditions of writes; common/rest.h reads the versions in the response headers.
+ * Calls are asynchronous; a callback runs exactly once, never before the
  * call returns. Loop thread only. */
 #ifndef RK_OBJECTS_OBJECTS_H
 #define RK_OBJECTS_OBJECTS_H
@@ -45,7 +46,7 @@
                      void *ctx);
 
 /* Lists the objects under a prefix in order of their names, from the first name
- * that sorts behind after ("" lists all). */
+ * that sorts after the name `after` ("" lists all). */
 void rk_objects_list(struct rk_objects *o, const char *prefix, const char *after,
                      rk_object_list_fn *fn, void *ctx);
 
--- a/operators/session.c
+++ b/operators/session.c
@@ -14,7 +14,7 @@
 #include "objects/objects.h"
 
 #define WRITE_TRIES    5
-#define CONFLICT_TRIES 64 /* conflicts with changes of other paths */
+#define CONFLICT_TRIES 64 /* conflicts with changes to other paths */
 #define LOOP_STEP_MS   1000
 #define URL_MAX        256
 
@@ -104,7 +104,7 @@
     s->done = true;
 }
 
-/* Reads the changes behind the log's head. */
+/* Reads the changes that follow the log's head. */
 static enum rk_status read_changes(struct rk_session *s)
 {
     char after[RK_CHANGE_NAME_MAX];
@@ -146,9 +146,9 @@
     return same;
 }
 
-/* Creates change n. Returns RK_ECONFLICT if n is another author's change, whose
- * text is then in s->value. If the response to the write was lost, reading n back
- * tells whether it took effect. */
+/* Creates change n. Returns RK_ECONFLICT if there is another change n already,
+ * whose text is then in s->value. If the response to the write was lost, reading n
+ * back tells whether it took effect. */
 static enum rk_status write_change(struct rk_session *s, int64_t n,
                                    const char *text, const char *id)
 {
@@ -242,7 +242,8 @@
     rk_buf_printf(out, ":%s", v ? json_object_to_json_string(v) : "null");
 }
 
-/* Appends what turns the node from into the node to; path is that of both. */
+/* Appends the paths and values of the change that turns the node `from` into the
+ * node `to`. Both are at path. */
 static void diff_node(const char *path, struct json_object *from,
                       struct json_object *to, struct rk_buf *out)
 {
--- a/operators/session.h
+++ b/operators/session.h
@@ -25,7 +25,8 @@
 /* Commits a change. set is a JSON object that maps paths to values. On RK_OK,
  * *number is the number of the change. Errors:
  * RK_EINVAL: the change is invalid for the reasons in problems; nothing was done.
- * RK_ECONFLICT: another change set the same paths meanwhile; nothing was done.
+ * RK_ECONFLICT: another change set the same paths meanwhile, or other changes came
+ * first at every try; nothing was done.
  * RK_EUNAVAILABLE: the platform was not reached; nothing was done.
  * RK_EUNKNOWN: the change may be in the log. rk_last_error() names its id, by
  * which it can be looked up. */
--- a/peers/link.c
+++ b/peers/link.c
@@ -25,7 +25,7 @@
 #define READ_CHUNK_BYTES    (64 * 1024)
 #define LISTEN_BACKLOG      256
 
-/* rk_link_waiting() compares samples that are at most this far apart. */
+/* rk_link_waiting() compares samples that are less than this apart. */
 #define SAMPLE_MAX_GAP_MS 100
 /* Time without progress after which a path counts as broken. A link that is merely
  * saturated sends something within it. */
--- a/services/attempt.c
+++ b/services/attempt.c
@@ -13,7 +13,7 @@
 
 #define URL_MAX          (RK_PATH_MAX + 64)
 #define HEADER_LINE_MAX  192
-#define ANSWER_MAX_BYTES (4 * 1024 * 1024) /* an attempt with more fails */
+#define ANSWER_MAX_BYTES (4 * 1024 * 1024) /* a longer one fails the attempt */
 
 struct rk_service_attempt {
     struct rk_loop *loop;
@@ -25,8 +25,8 @@
     struct rk_buf body;
     struct rk_timer inactivity_timer;
     int64_t inactivity_timeout_ms;
-    int64_t retry_after_ms; /* from the answer; -1: unreadable; 0: none */
-    bool is_mismatched;     /* the answer has the request id of another request */
+    int64_t retry_after_ms; /* from the response; -1: unreadable; 0: none */
+    bool is_mismatched;     /* the response has the id of another request */
 };
 
 static void free_attempt(struct rk_service_attempt *a)
--- a/services/attempt.h
+++ b/services/attempt.h
@@ -1,6 +1,6 @@
 /* One attempt of a call at a plain service over HTTP. It ends either with a
- * complete answer, or with what is known about whether the request may have reached
- * the upstream. All functions are called on the loop's thread. */
+ * complete response, or with what is known about whether the request may have
+ * reached the upstream. All functions are called on the loop's thread. */
 #ifndef RK_SERVICES_ATTEMPT_H
 #define RK_SERVICES_ATTEMPT_H
 
--- a/services/upstream.c
+++ b/services/upstream.c
@@ -25,8 +25,8 @@
     int64_t idle_since_ms;
     int64_t keep_alive_ms; /* how long it can be used after it became idle */
     bool has_served;       /* has served an earlier call */
-    bool reusable;         /* the answers so far allow keep-alive */
-    bool skipping_answer;  /* discards an answer to another request */
+    bool reusable;         /* the responses so far allow keep-alive */
+    bool skipping_answer;  /* discards a response to another request */
     bool is_closed_by_vm;
     bool released; /* aborted; freed in the loop's next iteration */
     struct rk_timer timer;
@@ -128,7 +128,7 @@
     return ms - KEEP_ALIVE_MARGIN_MS;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static bool on_head(void *ctx, const struct rk_head *head)
 {
@@ -159,7 +159,8 @@
 static const struct rk_http1_ops reader_ops = {
     .on_head = on_head, .on_body = on_body, .on_end = on_end};
 
-/* Ends a call whose answer is complete. has_surplus: bytes followed the answer. */
+/* Ends a call whose response is complete. has_surplus: bytes followed the
+ * response. */
 static void complete_call(struct pooled_conn *c, bool has_surplus)
 {
     struct rk_upstream_call *call = c->call;
@@ -180,7 +181,7 @@
     ops->on_end(ctx);
 }
 
-/* Parses answers until the call's own is complete. */
+/* Parses responses until the call's own is complete. */
 static void feed(struct pooled_conn *c, const char *data, size_t len)
 {
     while (len && c->call && !c->released) {
--- a/services/upstream.h
+++ b/services/upstream.h
@@ -1,6 +1,6 @@
 /* HTTP/1.1 client for calls to upstream VMs. It sends requests byte for byte as
  * given, and keeps idle connections to each VM for reuse. It never retries: it
- * reports whether a byte of the request may have been sent and whether the answer
+ * reports whether a byte of the request may have been sent and whether the response
  * is complete, and leaves the decision to its user. All functions are called on the
  * loop's thread. */
 #ifndef RK_SERVICES_UPSTREAM_H
@@ -15,7 +15,7 @@
 struct rk_upstreams;
 struct rk_upstream_call;
 
-/* What to do with an answer, decided by its head. */
+/* What to do with a response, decided by its head. */
 enum rk_head_fate {
     RK_HEAD_TAKE, /* it answers the call */
     RK_HEAD_SKIP, /* it answers another request: discard it and read the next one */
@@ -46,7 +46,7 @@
     size_t head_len;
     const char *body;
     size_t body_len;
-    bool no_body;        /* the answer has no body whatever its head says (HEAD) */
+    bool no_body; /* the response has no body whatever its head says (HEAD) */
     int64_t max_idle_ms; /* connections that were idle for this long are not used */
     int64_t connect_ms;  /* time-out of connecting */
     int max_conns;       /* limit of open connections to this address of the VM */
