--- a/serve/attempts.c
+++ b/serve/attempts.c
@@ -58,9 +58,9 @@
         x->unannounced_losses >= UNANNOUNCED_LOSSES_MAX ||
         !rk_verdict_allows_retry(v, x->policy.repeatable))
         return false;
-    /* After the loss of a VM a retry is free, because its work has to run
-     * somewhere. After a refusal or a time-out it costs budget, because it adds
-     * load to an overloaded service. */
+    /* A retry after the loss of a VM is free, because the work has to run
+     * somewhere. It costs budget if the failure may be due to an overload, to which
+     * it would add. */
     if (!overload || rk_budget_spend(&x->t->budget))
         return true;
     rk_count(RK_C_RETRY_DENIED, 1);
@@ -81,6 +81,9 @@
     snprintf(x->detail, sizeof(x->detail), "%s", detail);
     x->verdict = rk_verdict_join(x->verdict, v);
     bool leaving = rk_router_vm_leaving(x->t->router, x->job.vm);
+    /* Refusals, and failures before the first token at a VM that is not leaving,
+     * because they may be time-outs. A stream that breaks off after its answer's
+     * head was received counts, too. */
     bool overload =
         end->http_status || (end->handed && !leaving && !x->stream.next);
     bool refused = end->http_status >= FIRST_ERROR_STATUS;
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -254,7 +254,10 @@
 }
 
 /* Asks the owner of the key's shard for the claim by forwarding the call to it. The
- * claim is made here if this node is the owner or the owner cannot be reached. */
+ * claim is made here if this node is the owner, the owner cannot be reached, or the
+ * call may not be forwarded any more. A call that was forwarded here as to the
+ * owner is forwarded again only once, and only to an owner in another failure
+ * domain. */
 static void claim_or_forward(struct rk_exchange *x)
 {
     const struct rk_view *v = rk_traffic_view(x->t);
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -38,9 +38,9 @@
  * the call no longer waits for one. r stays the caller's. */
 void rk_exchange_claim_decided(struct rk_exchange *x,
                                const struct rk_claim_reply *r);
-/* Applies a new view to all calls of the thread: moves streams away from VMs that
- * will be reclaimed before they end, and reroutes queued calls whose service has no
- * live VM left. */
+/* Applies a new view to all calls of the thread: moves repeatable engine calls away
+ * from VMs that will be reclaimed before they end, and reroutes queued calls whose
+ * service has no live VM left that has not failed them. */
 void rk_exchange_view_changed(struct rk_traffic *t);
 /* Ends all repeatable streams with an outcome that lets the caller resume them at
  * another node. */
@@ -55,9 +55,9 @@
 /* ---- used by forward.c ---- */
 /* Delivers a part of the answer that a peer sent for a forwarded call. */
 void rk_exchange_on_peer_part(struct rk_exchange *x, const struct rk_part *part);
-/* Ends a forwarded call, or queues it here again. lost: the link to the peer
- * broke; the verdict of the outcome then says whether the call may have reached the
- * peer. */
+/* Ends a forwarded call, or claims or queues it here. lost: the link to the peer
+ * broke or the peer did not acknowledge the call; the verdict of the outcome then
+ * says whether the call may have reached the peer. */
 void rk_exchange_on_peer_end(struct rk_exchange *x,
                              const struct rk_outcome *outcome, bool lost);
 
--- a/serve/exchange_impl.h
+++ b/serve/exchange_impl.h
@@ -45,7 +45,8 @@
     bool claim_wanted; /* the call must not run before it is claimed */
     struct rk_claim_key key;
     uint32_t shard;
-    int attempts, spills; /* spills: forwards to other failure domains */
+    /* spills: forwards to other failure domains, failed ones included */
+    int attempts, spills;
     /* attempts that broke off at a VM that had not announced its end */
     int unannounced_losses;
     bool owner_unreachable;  /* no answer from the shard's owner: claim here */
@@ -55,7 +56,7 @@
     bool sink_has_data; /* a part was delivered */
     /* VM that still has the stream's KV cache; "": none */
     char kv_source_addr[RK_ADDR_MAX];
-    bool kv_imported;           /* at the VM that gets the current attempt */
+    bool kv_imported;           /* the current attempt's VM has fetched it */
     int64_t kv_source_until_ms; /* monotonic time at which that VM is reclaimed */
     struct rk_engine_attempt *engine;
     struct rk_service_attempt *service;
@@ -107,7 +108,8 @@
  * reached). Otherwise the call ends now instead of waiting for its deadline. */
 void rk_exchange_reroute(struct rk_exchange *x, bool reached);
 
-/* placement.c: forwards the call to a peer. Returns false if nothing was sent. */
+/* placement.c: forwards the call to a peer. to_owner: the peer is the owner of the
+ * key's shard and is to claim the key. Returns false if nothing was sent. */
 bool rk_exchange_forward(struct rk_exchange *x, const struct rk_member *peer,
                          bool to_owner);
 
--- a/serve/forward.c
+++ b/serve/forward.c
@@ -10,7 +10,8 @@
 #include "serve/exchange.h"
 #include "serve/traffic.h"
 
-/* A peer that does not acknowledge a call within this time counts as lost. */
+/* A peer that does not acknowledge a call within this time counts as lost for that
+ * call. */
 #define ACK_TIMEOUT_MS 500
 
 /* A forwarded call that has not ended. */
@@ -35,7 +36,8 @@
 struct inbound {
     uint64_t id;
     struct conn *conn;
-    uint64_t exchange; /* id of the exchange, which may already have ended */
+    /* id of the exchange, which a shutdown may have aborted without an outcome */
+    uint64_t exchange;
     struct inbound *next;
 };
 
@@ -75,7 +77,8 @@
     return true;
 }
 
-/* Ends a forwarded call whose outcome never arrived from the peer. */
+/* Handles a forwarded call whose outcome never arrived from the peer: it ends, or
+ * goes on here. */
 static void fail_call(struct rk_forwards *f, uint64_t id, bool may_have_left,
                       const char *detail)
 {
--- a/serve/placement.c
+++ b/serve/placement.c
@@ -9,7 +9,9 @@
 #include "serve/forward.h"
 #include "serve/view.h"
 
-#define MAX_SPILLS 2 /* forwards of a call to other failure domains */
+/* A call that was forwarded to other failure domains this often, failed tries
+ * included, is not forwarded there again. */
+#define MAX_SPILLS 2
 
 /* ---- peers ---- */
 
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -326,8 +326,9 @@
     rk_place_set_nodes(r->place, p->nodes_total);
     for (size_t i = 0; i < p->uses_len; i++)
         rk_quota_add(&r->quota, p->uses[i].org, p->uses[i].units, now_ms);
-    /* Usage from a peer's history is added only once. If it were added with every
-     * message, the same usage could be counted in two slices of the window. */
+    /* Usage from a peer's history is added once after a restart, and once after a
+     * gap in the digests. If it were added with every message, the same usage
+     * could be counted in two slices of the window. */
     bool complete = p->remembers_ms >= r->quota.window_ms;
     bool apply_history = p->catch_up || (complete && r->quota.forgot_ms);
     for (size_t i = 0; apply_history && i < p->known_len; i++)
--- a/serve/relay.h
+++ b/serve/relay.h
@@ -37,7 +37,9 @@
 /* Demand for a service and its calls in flight, as seen by one node. */
 struct rk_service_use {
     char service[RK_ID_MAX];
-    /* uncached prompt tokens requested since the start, each call counted once */
+    /* Uncached prompt tokens requested since the start. Each call counts once, or
+     * not at all if its caller resumes a stream. A call that no VM can take counts
+     * with its whole prompt. */
     double read_tokens;
     uint32_t running;
     uint32_t begun;                   /* running calls whose answers have begun */
@@ -53,7 +55,9 @@
 struct rk_relay_report {
     struct rk_vm_load *loads; /* load of VMs caused by this node's calls */
     size_t loads_len;
-    struct rk_org_use *uses; /* quota usage of this node's calls */
+    /* by organisation: units and demand of this node's calls, and what this node
+     * knows of the usage of all nodes */
+    struct rk_org_use *uses;
     size_t uses_len;
     struct rk_usage_row *usage; /* request counts of recent usage windows */
     size_t usage_len;
@@ -72,7 +76,9 @@
     bool knows_all;  /* uses[].kept includes all usage within the quota window */
     int64_t version; /* of the routes in force; 0: none received yet */
     bool vms_known;  /* a list of VMs has been received */
-    size_t in_hand;  /* calls, and connections with unsent answers */
+    /* Calls in flight plus connections with a request, a part of one, or unsent
+     * answer bytes. A call whose caller waits counts in both; 0 means idle. */
+    size_t in_hand;
 };
 /* Frees a report and its arrays. */
 void rk_relay_report_free(struct rk_relay_report *r);
@@ -84,10 +90,10 @@
     struct rk_org_use *uses; /* quota units used by peers since the last message */
     size_t uses_len;
     /* quota usage of all nodes by organisation, as known to the peer with the
-     * longest history */
+     * longest history or, if catch_up is set, to the new source of digests */
     struct rk_org_use *known;
     size_t known_len;
-    struct rk_tally asking;          /* quota units/s requested from peers */
+    struct rk_tally asking; /* quota units/s that callers request at peers */
     struct rk_service_use *services; /* only the engine estimates are set */
     size_t services_len;
     int64_t remembers_ms; /* length of that peer's history */
@@ -108,7 +114,7 @@
     char domain[RK_ID_MAX];
     uint64_t node; /* hash of this node's id and incarnation */
     uint64_t seed;
-    int max_clients; /* open connections of callers */
+    int max_clients; /* limit of open connections of callers */
     struct rk_relay_bounds bounds;
     /* Called on the relay's thread. The callee owns the report. */
     void (*on_report)(void *ctx, struct rk_relay_report *report);
@@ -131,8 +137,9 @@
 /* ---- messages to the relay ----
  *
  * The functions up to rk_relay_set_signals() may be called from any thread. They
- * take ownership of pointer arguments other than bounds. They return false if the
- * relay's message queue is full; the arguments are then freed. */
+ * take ownership of pointer arguments other than r and bounds. They return false if
+ * the relay's message queue is full or the relay was stopped; the arguments are
+ * then freed. */
 
 /* Replaces the routes. */
 bool rk_relay_set_routes(struct rk_relay *r, struct rk_routes *routes);
@@ -163,7 +170,8 @@
 bool rk_relay_set_engines(struct rk_relay *r, struct rk_service_use *services,
                           size_t len);
 
-/* Merges suspected requests reported by peers or read from the store. */
+/* Merges suspected requests reported by peers or read from the store, and cancels
+ * calls that wait at engines and are quarantined now. */
 bool rk_relay_set_suspects(struct rk_relay *r, struct rk_quarantine_row *rows,
                            size_t len);
 
@@ -173,12 +181,14 @@
                           size_t len);
 
 /* Any thread: begins a planned stop that ends in ends_in_ms. Each connection is
- * closed after its next answer. Calls that might outlast the stop are refused. */
+ * closed after its next answer. Calls that might outlast the stop are refused,
+ * except in the first 2.7 s, in which the balancer learns of the stop. */
 void rk_relay_close(struct rk_relay *r, int64_t ends_in_ms);
 /* Any thread: closes idle client connections. */
 void rk_relay_close_idle(struct rk_relay *r);
-/* Any thread: stops the relay if no call is in flight. The check runs on the
- * relay's thread, so no call can start between the check and the stop. */
+/* Any thread: stops the relay if no call is in flight and no connection has a
+ * request, a part of one, or unsent answer bytes. The check runs on the relay's
+ * thread, so no call can start between the check and the stop. */
 void rk_relay_stop_idle(struct rk_relay *r);
 /* Any thread: makes rk_relay_run() return. */
 void rk_relay_stop(struct rk_relay *r);
--- a/serve/relay_answer.c
+++ b/serve/relay_answer.c
@@ -30,9 +30,10 @@
 }
 
 /* Counts the request in its organisation's usage. A request counts once, however
- * often it is sent: a stream at its first token or its failure, any other call when
- * it first runs. When each run was counted, a service whose VMs failed a third of
- * its calls for 4 s made a usage window wrong by 8%. */
+ * often it is sent: a stream at its first token, or at an answer with an error
+ * status, and any other call at its first answer that does not prove that it did
+ * not run, in the window in which it was sent. When each run was counted, a service
+ * whose VMs failed a third of its calls for 4 s made a usage window wrong by 8%. */
 static void count_usage(struct rk_relay_call *x, int64_t wall_ms)
 {
     if (x->usage_counted)
--- a/serve/relay_call.c
+++ b/serve/relay_call.c
@@ -24,7 +24,8 @@
 /* Time without an answer after which another VM is tried, if the call is
  * repeatable. */
 #define PLAIN_SILENCE_MS 150
-/* How many VMs are tried for one attempt if no connection can be opened. */
+/* How many VMs are tried for one attempt if their connection limits are reached or
+ * connecting fails at once. */
 #define MAX_CONNECT_TRIES 4
 #define MAX_CONNS_DEFAULT 64 /* per VM */
 #define URGENT_RANK       0  /* the most urgent rank */
@@ -261,7 +262,7 @@
 
 /* Returns true if a header of the caller's request is passed on to the VM. Headers
  * that Connection lists concern only the caller's connection and are dropped,
- * except those that identify the call to the VM. */
+ * except the dialect's headers that are meant for the VM. */
 static bool is_passed_on(const struct rk_relay_call *x, const char *connection,
                          const char *name)
 {
@@ -533,9 +534,9 @@
     start_silence_timer(x);
 }
 
-/* The call is cancelled only if another VM can take it, because a slow VM may still
- * answer. Without this, 73 of 300 concurrent calls failed while they were running,
- * after the retries were used up under load. */
+/* Cancels the attempt only if a retry is left and another VM can take the call,
+ * because a slow VM may still answer. Without this, 73 of 300 concurrent calls
+ * failed while they were running, after the retries were used up under load. */
 void rk_call_on_silence(void *ctx)
 {
     struct rk_relay_call *x = ctx;
--- a/serve/relay_call.h
+++ b/serve/relay_call.h
@@ -23,8 +23,8 @@
 struct rk_relay_service {
     char name[RK_ID_MAX];
     struct rk_budget budget; /* retry budget */
-    /* uncached prompt tokens requested of engines since the start, refused calls
-     * included */
+    /* uncached prompt tokens requested of engines since the entry was added,
+     * refused calls included; see struct rk_service_use */
     double read_tokens;
 };
 
@@ -58,8 +58,8 @@
 /* Starts a call for the complete request of a client, or refuses it. */
 void rk_relay_call_start(struct rk_relay *r, struct rk_client *client);
 
-/* Handles the loss of the call's client. A non-repeatable call that is at a VM
- * keeps running. */
+/* Handles the loss of the call's client. A call of the kind RK_CALL_ONCE that is at
+ * a VM keeps running; any other call, also a stream, is cancelled and freed. */
 void rk_relay_call_caller_gone(struct rk_relay_call *call);
 
 /* Ends the call and its connections because the relay shuts down. */
--- a/serve/relay_call_impl.h
+++ b/serve/relay_call_impl.h
@@ -9,7 +9,9 @@
 #include "services/upstream.h"
 
 #define REQUEST_ID_MAX 96 /* including the terminating NUL */
-/* Longest silence of a VM within a stream, after which another VM is tried. */
+/* Longest silence of a VM within a stream, after which another VM is tried if the
+ * stream is resumable. The route's target for the first byte is added until the
+ * head has arrived. */
 #define STREAM_SILENCE_MS 1500
 /* Default Retry-After of a refusal. */
 #define RETRY_AFTER_MS 300
@@ -35,7 +37,9 @@
     ANSWER_PENDING, /* its head has not arrived */
     ANSWER_PASS,    /* passed to the caller */
     ANSWER_NOT_RUN, /* proves that the call did not run */
-    ANSWER_RETRY,   /* a failure; the call may be retried */
+    /* a failure, or a success that is not proved to be of this VM and call; the
+     * call may be retried */
+    ANSWER_RETRY,
 };
 
 struct rk_relay_call {
@@ -51,7 +55,7 @@
     struct rk_place_query query;
     double units; /* cost in the organisation's quota */
     int64_t started_ms, deadline_ms;
-    /* fires at the call's deadline or the route's timeout */
+    /* fires at the call's deadline or the route's time-out, whichever is earlier */
     struct rk_timer deadline_timer;
     /* fires when the VM sends nothing for too long */
     struct rk_timer silence_timer;
@@ -65,7 +69,8 @@
     int64_t vm_head_ms, vm_first_ms;
     enum answer_class answer_class;
     int64_t sent_wall_ms; /* wall-clock time at which it was sent */
-    bool usage_counted;   /* the request is counted in its organisation's usage */
+    /* The request is counted in its organisation's usage, once in all attempts. */
+    bool usage_counted;
     /* ---- all attempts ---- */
     int attempts;
     bool may_have_run;
@@ -87,7 +92,8 @@
 
 /* ---- relay_call.c: ends ----
  *
- * rk_call_give_up() and rk_call_finish() free the call. */
+ * rk_call_give_up() and rk_call_finish() free the call, and so may every function
+ * that can end it. */
 /* Answers a client with an error and a problem document (RFC 9457). why goes into
  * its detail member as it stands, so it must need no JSON escapes. */
 void rk_call_answer_problem(struct rk_client *client, int status,
@@ -124,8 +130,8 @@
 /* Cancels the current attempt's upstream call, then ends the attempt. */
 void rk_call_cancel_attempt(struct rk_relay_call *x, enum rk_place_end end);
 /* Handles an attempt that ended without a final answer: the call is retried,
- * resumed or ended. sent: a byte of the request may have reached the VM. what:
- * reason for the log. */
+ * resumed or ended. Its upstream call must have ended or been cancelled. sent: a
+ * byte of the request may have reached the VM. what: reason for the log. */
 void rk_call_attempt_failed(struct rk_relay_call *x, bool sent,
                             enum rk_place_end end, const char *what);
 /* Handles an attempt whose VM proved that the call did not run there. */
@@ -133,11 +139,13 @@
 
 /* Takes a retry from the service's budget. Returns false if there is none. */
 bool rk_call_take_retry(struct rk_relay_call *x);
-/* Resumes a stream at the VM that has received a copy of its KV cache. Falls back
- * to rk_call_attempt_failed() if that VM is gone. */
+/* Resumes a stream at the VM that has received a copy of its KV cache, or at its
+ * own VM, which still has it. Falls back to rk_call_attempt_failed() if the VM
+ * cannot take the call. */
 void rk_call_resume_moved(struct rk_relay_call *x, const char *vm_id,
                           const char *from_addr, const char *handle);
-/* Returns this node's share of the connections that the service allows per VM. */
+/* Returns this node's share of the connections that the service allows per VM, or a
+ * default if the service states no limit or the share is below one. */
 int rk_call_max_conns(const struct rk_relay_call *x);
 
 /* ---- relay_move.c ---- */
@@ -159,9 +167,11 @@
 bool rk_call_is_quarantined(struct rk_relay_call *x);
 /* Called when the VM's connection broke off after the call was sent, before the
  * attempt is ended: starts a check whether the VM has ended, with this call as a
- * suspect. */
+ * suspect. If the VM had been answering the call for long, the request is cleared
+ * of suspicion instead. */
 void rk_call_suspect(struct rk_relay_call *x);
-/* Records that a VM ran the request to its end, which clears it of suspicion. */
+/* Records that a VM ran the request to its end, or for so long that it cannot be
+ * the cause of the VM's end. This clears it of suspicion. */
 void rk_call_clear_suspicion(struct rk_relay_call *x);
 
 /* ---- relay_signals.c ---- */
--- a/serve/relay_move.c
+++ b/serve/relay_move.c
@@ -22,7 +22,8 @@
 #define MOVE_DELAY_MS      1300
 #define CONNECT_TIMEOUT_MS 150
 /* Time-out of the order's answer. Copies queue behind each other; after this time
- * the prompt is computed again instead. */
+ * the move is given up, and the prompt is computed again when the call resumes
+ * elsewhere. */
 #define ORDER_TIMEOUT_MS 800
 /* Longest time from the order's answer until the stopped stream has ended. */
 #define STREAM_END_TIMEOUT_MS 300
--- a/serve/relay_suspect.c
+++ b/serve/relay_suspect.c
@@ -1,6 +1,7 @@
 /* Finds requests that crash VMs. When calls to a VM break off, this node connects
- * to the VM. If the connection is refused the VM has ended, and the calls that it
- * had just begun are recorded as suspects. */
+ * to the VM. If the connection is refused the VM has ended, and its calls are
+ * recorded as suspects, except those that it had run for long. Calls that it had
+ * just begun count most. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -202,9 +203,9 @@
     return k;
 }
 
-/* An engine starts its answer when it has begun the call, some with only the head
- * while the call is queued. A plain service begins at once and answers at its
- * end. */
+/* An engine sends the first byte of the body when it has begun the call; some
+ * engines send the head earlier, while the call is queued. A plain service begins
+ * the call at once and answers at its end. */
 static enum rk_suspicion suspicion_of(const struct rk_relay_call *x)
 {
     int64_t begun_ms = x->vm_first_ms ? x->vm_first_ms : x->vm_head_ms;
--- a/serve/traffic.c
+++ b/serve/traffic.c
@@ -121,8 +121,8 @@
     rk_loop_post(t->loop, on_view_changed, t);
 }
 
-/* Releases a granted claim whose call has ended: the key was not run and may be
- * claimed again. */
+/* Releases a claim that was granted but cannot be used by its call: the key was not
+ * run and may be claimed again. */
 static void release_claim(struct rk_traffic *t, const struct rk_claim_reply *r)
 {
     if (r->decision == RK_CLAIM_GRANTED)
--- a/serve/traffic.h
+++ b/serve/traffic.h
@@ -29,8 +29,9 @@
 struct rk_claim_port {
     void *ctx;
     /* Requests the claim of a key. The decision arrives by
-     * rk_traffic_claim_decided() with the same ticket. Returns false if control's
-     * queue is full; no decision follows. */
+     * rk_traffic_claim_decided() with the same ticket. local: the claim may be
+     * granted from memory if the platform does not answer. Returns false if
+     * control's queue is full; no decision follows. */
     bool (*ask)(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard,
                 struct rk_claim_key key, bool local);
     /* Withdraws a request whose decision has not arrived. */
