--- a/core/choice.c
+++ b/core/choice.c
@@ -5,8 +5,8 @@
 #include "core/router_impl.h"
 #include "core/shards.h"
 
-/* Age at which the reported calls of other nodes no longer count. Their weight
- * falls linearly until then. */
+/* Age at which the reported calls of others no longer count. Their weight falls
+ * linearly until then. */
 #define LOAD_MAX_AGE_MS 20000
 /* Prefixes are placed on a VM until it has prefilled this multiple of the mean over
  * all candidates. */
@@ -68,7 +68,8 @@
 
 /* Returns the VM for a prefix that none holds, or for one more copy; -1 if there
  * is none. Uses rendezvous hashing with bounded loads, so that nodes agree
- * without knowing of each other. */
+ * without knowing of each other. If all VMs with room are above the bound, it is
+ * the least loaded of them. */
 static int choose_copy_target(const struct rk_router *r, const struct rk_job *job,
                               int64_t now_ms)
 {
--- a/core/engine.c
+++ b/core/engine.c
@@ -5,8 +5,8 @@
 
 #define KTOKEN 1000.0
 
-/* Prior until anything is known: in between the measured engines, which read 20 to
- * 90 tokens/ms as seen by callers. It weighs as much as one call. */
+/* Prior until anything is known: within the range of the measured engines, which
+ * read 20 to 90 tokens/ms as seen by callers. It weighs as much as one call. */
 #define PRIOR_FIXED_MS   50.0
 #define PRIOR_KTOKEN_MS  20.0
 #define PRIOR_RUNNING_MS 0.4
@@ -37,10 +37,12 @@
 #define UNLOADED_WEIGHT_DOWN 0.1
 /* It takes some hundred calls until a slower engine shows. */
 #define UNLOADED_WEIGHT_UP 0.005
-#define WARMUP_CALLS       30  /* calls to average before the smoothing */
-#define UNREAD_SHARE       0.5 /* of a prompt being read, on average */
-#define VALUE_MAX          1e6 /* ms or samples; larger values are invalid */
-#define KTOKEN_MIN_MS      0.5 /* no engine reads more than 2,000 tokens/ms */
+#define WARMUP_CALLS       30 /* calls to average before the smoothing */
+/* Part of other calls' waiting tokens that a call waits for: of a prompt that is
+ * being read, half is left at a random moment. */
+#define UNREAD_SHARE  0.5
+#define VALUE_MAX     1e6 /* ms or samples; larger values are invalid */
+#define KTOKEN_MIN_MS 0.5 /* no engine reads more than 2,000 tokens/ms */
 
 static void terms_of(const struct rk_engine_load *load, double x[RK_ENGINE_TERMS])
 {
--- a/core/following.h
+++ b/core/following.h
@@ -31,9 +31,9 @@
     bool listed;      /* knows which other nodes exist */
     bool ready;       /* has settings and the list of VMs */
     bool waits;       /* restarts, and other nodes read the store before it */
-    int before;     /* nodes with precedence over it; below 0: it always watches */
+    int before;     /* nodes that start to watch sooner; below 0: always watches */
     bool follows;   /* watches the store now */
-    bool served;    /* one of those watches the store and gets answers */
+    bool served;    /* one of the nodes before it watches and gets answers */
     int64_t age_ms; /* time since its knowledge was confirmed; below 0: never */
 };
 
--- a/core/members.c
+++ b/core/members.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Load changes of up to load / LOAD_STEP_DIVISOR are not passed on. */
+/* Load changes of up to load / LOAD_STEP_DIVISOR count as none. */
 #define LOAD_STEP_DIVISOR 4
 /* Time after which an unchanged load is passed on again. */
 #define LOAD_RESEND_MS       12000
@@ -16,7 +16,7 @@
     size_t members_len;
     struct rk_vm *vms;
     size_t vms_len;
-    uint64_t seq;
+    uint64_t seq;           /* last change number */
     uint16_t *member_index; /* open addressing: row index plus one; 0: free */
     uint16_t *vm_index;     /* the same for VMs, by id_hash */
 };
@@ -247,7 +247,7 @@
 void rk_members_set_spare(struct rk_members *m, uint32_t spare)
 {
     struct rk_member *self = &m->members[0];
-    /* A change of less than a quarter is not worth a message. */
+    /* A change of at most a quarter is not worth a message. */
     uint32_t step = self->spare / 4 + 1;
     if (spare + step > self->spare && spare < self->spare + step)
         return;
--- a/core/members.h
+++ b/core/members.h
@@ -108,14 +108,14 @@
 #define RK_BRIDGES 2
 bool rk_member_is_bridge(const struct rk_members *m, const struct rk_member *row);
 
-/* Records a load poll by this node. A change of at most a quarter of the load is
- * not passed on, as it costs more than it is worth. An unchanged load is passed on
- * now and then, so that peers know it is still valid. */
+/* Records a load poll by this node. A change of at most a quarter of the recorded
+ * load counts as none, as passing it on costs more than it is worth. An unchanged
+ * load is passed on now and then, so that peers know it is still valid. */
 void rk_members_polled(struct rk_members *m, uint32_t id_hash, uint64_t load_seq,
                        uint32_t running, uint32_t queued, int64_t now_ms);
 
 /* Set this node's own attributes. head must not decrease. A spare value that
- * differs by less than a quarter from the last one is ignored, which saves
+ * differs by at most a quarter from the last one is ignored, which saves
  * messages. */
 void rk_members_set_head(struct rk_members *m, int64_t head);
 void rk_members_set_spare(struct rk_members *m, uint32_t spare);
@@ -134,9 +134,9 @@
 void rk_members_forget(struct rk_members *m, int64_t keep_ms, int64_t now_ms);
 
 /* Rows to send to a peer: those that changed after `mark` and that this peer
- * (index; -1: any) did not report itself. next_mark is the mark for the next call.
- * Loads are included only while they are recent; older ones have reached the peer
- * by other nodes. */
+ * (index; -1: include all) did not report itself. next_mark is the mark for the
+ * next call. Loads are included only while they are recent; older ones have reached
+ * the peer by other nodes. */
 struct rk_delta {
     uint64_t next_mark;
     size_t members_len, vms_len, loads_len;
@@ -147,8 +147,9 @@
 void rk_members_delta(const struct rk_members *m, uint64_t mark, int peer,
                       int64_t now_ms, struct rk_delta *out);
 
-/* Digests of the rows that matter (not dead or gone): equal tables have equal
- * digests. */
+/* Digests of the rows that matter (not dead or gone), without attributes and loads:
+ * of members the incarnation and whether they are leaving, of VMs the incarnation
+ * and the state. Equal tables have equal digests. */
 struct rk_digest {
     uint64_t members, vms;
 };
--- a/core/place.c
+++ b/core/place.c
@@ -32,11 +32,13 @@
 /* Calls that share fewer prompt tokens than this are spread over all VMs. */
 #define SHARED_MIN_TOKENS 1000
 /* Cost of a VM that is not preferred, in multiples of the fixed part of the time to
- * the first token. A smaller advantage does not count, because the loads that peers
- * reported are old and all nodes act on the same reports. */
+ * the first token. A VM that is better than the preferred ones by less than this is
+ * not used, because the loads that peers reported are old and all nodes act on the
+ * same reports. */
 #define NON_PREFERRED_FACTOR 3.0
 /* Weight of the call's own uncached prompt tokens when VMs are compared: while the
- * engine reads them, all other calls there are held up. */
+ * engine reads them, all other calls there are held up. This weight and the next
+ * were found by measurements on two sites. */
 #define UNREAD_WEIGHT 1.5
 /* Weight of the prompt tokens of other calls that wait at the VM. All of them
  * count, because the reported figure is old. */
@@ -383,8 +385,8 @@
     return h->shared && at >= 0 ? cached_shares[at] : 0;
 }
 
-/* Returns the costs that are due to the VM's failures, refusals, pause, full slots
- * and limit. */
+/* Returns the costs that are due to the VM's failures, refusals, pause and full
+ * slots, less the bonus for a limit that may have been lifted. */
 static double health_penalty_ms(const struct rk_place_vm *v,
                                 const struct rk_pace *health, int64_t now_ms)
 {
--- a/core/place.h
+++ b/core/place.h
@@ -1,7 +1,8 @@
 /* Placement: chooses the upstream VM for each call. It keeps the list of VMs, the
  * calls that this node and its peers have in flight at each, the VMs' health and
  * signals, and rollouts. A call goes to the VM with the lowest cost, which is the
- * predicted time to the first byte plus penalties.
+ * predicted time to the first byte plus penalties; for engines, the prediction that
+ * is compared weighs waiting and uncached prompt tokens more.
  *
  * Not thread-safe: one thread owns a struct rk_place. Deterministic for a given
  * seed. Times are in ms of the caller's clock, which is passed in as now_ms. */
@@ -34,7 +35,9 @@
     /* For a leaving VM: time until it leaves; -1: unknown. */
     int64_t leaves_in_ms;
     char version[RK_VERSION_TEXT]; /* version of its software */
-    int64_t cold_ms; /* how long it stays slow after its start; 0: not stated */
+    /* How much longer it stays slow after its start, as of when it is first listed;
+     * 0: not stated. */
+    int64_t cold_ms;
     /* Gets no calls: nobody ordered its version, as far as known. */
     bool barred;
 };
@@ -59,14 +62,16 @@
     uint32_t service_hash;
     struct rk_vm_signal *signal; /* what the VM advertises; NULL: nothing so far */
     bool listed;                 /* on the platform's list */
-    bool over; /* the VM was restarted; kept only for calls still in flight */
-    int calls; /* calls of this node in flight; the record is kept until 0 */
-    int running;
+    bool over;   /* the VM was restarted; kept only for calls still in flight */
+    int calls;   /* calls of this node in flight; the record is kept until 0 */
+    int running; /* the same number as calls */
     int awaiting_first_byte; /* calls in running that have no first byte yet */
     double waiting_tokens;   /* unread prompt tokens of this node's calls */
     uint32_t peers_running;  /* calls of the peers in flight */
     double peers_waiting_tokens;
-    int failures; /* failures in a row */
+    /* Times in a row that it was unreachable or unresponsive, or broke off. Calls
+     * that it answered with an error don't count. */
+    int failures;
     int64_t paused_until_ms;
     struct rk_speed *speed; /* speed of its service; not owned */
     /* Health as seen by calls of this node, and as reported by peers. */
@@ -81,9 +86,9 @@
 
 /* A rollout as this node applies it, and statistics of its calls. */
 struct rk_place_rollout {
-    struct rk_rollout_rule rule; /* unused if it has no service */
-    /* Announced recently; otherwise no call uses a version that is limited to a
-     * share of the calls. */
+    struct rk_rollout_rule rule; /* no service: this entry is free */
+    /* Announced recently; otherwise no call uses a version that is still limited to
+     * a share of the calls or to one VM. */
     bool is_fresh;
     struct rk_trial_rows seen;
 };
@@ -140,8 +145,8 @@
 /* Returns an array of RK_ROLLOUTS entries, some unused. It belongs to p. */
 const struct rk_place_rollout *rk_place_rollouts(const struct rk_place *p);
 
-/* Returns true if the VM runs a new version that only a limited share of the calls
- * uses so far. */
+/* Returns true if the VM runs a new version that only a share of the calls or one
+ * VM uses so far. */
 bool rk_place_is_trial(const struct rk_place_vm *vm);
 
 /* Returns the number of calls, of all nodes, in flight at VMs that the rollout
@@ -197,14 +202,16 @@
                        const struct rk_place_vm *vm, int64_t now_ms);
 
 /* Returns another VM that probably has the query's prefix cached, so that vm can
- * copy what it lacks. Returns NULL if there is none, or too little to copy. */
+ * copy what it lacks. Returns NULL if there is none, or if the prefix is too short
+ * to be worth a copy. */
 const struct rk_place_vm *rk_place_source(const struct rk_place *p,
                                           const struct rk_place_query *q,
                                           const struct rk_place_vm *vm,
                                           int64_t now_ms);
 
-/* Returns the VM's index among the preferred VMs of the query's prefix, or -1 if
- * it is none of them. */
+/* Returns the VM's index among the preferred VMs of the query's prefix, or of the
+ * request if its shared prefix is short. Returns -1 if it is none of them, and for
+ * plain services. */
 int rk_place_home(const struct rk_place *p, const struct rk_place_query *q,
                   const struct rk_place_vm *vm);
 
@@ -242,8 +249,8 @@
     RK_PLACE_CALLED_OFF,
 };
 
-/* Records that the VM of a job is unresponsive while the job waits on. The VM is
- * paused for other calls. */
+/* Records a failure of a VM that is unresponsive, and pauses it for other calls.
+ * The job itself goes on waiting. */
 void rk_place_silent(struct rk_place_vm *vm, const struct rk_place_job *job,
                      int64_t now_ms);
 
@@ -261,7 +268,7 @@
  * changed, as bits RK_VM_..._CHANGED. */
 unsigned rk_place_hear(struct rk_place *p, struct rk_place_vm *vm,
                        const struct rk_vm_said *said, int64_t now_ms);
-/* Merges the signals that the control thread knows, and this node's share of
+/* Merges the signals that the control thread knows, and sets this node's share of
  * each limit. */
 void rk_place_set_signals(struct rk_place *p, const struct rk_vm_signal *rows,
                           size_t len, int64_t now_ms);
@@ -281,8 +288,8 @@
                          int64_t now_ms);
 /* Returns the number of VMs that are in a cooldown for this node. */
 size_t rk_place_resting(const struct rk_place *p, int64_t now_ms);
-/* Drops signals that were not received for 120 s. Limits and leaving signals of
- * listed VMs are kept. */
+/* Drops the signals of VMs from which no answer, and about which no report, was
+ * received for 120 s. Limits and leaving signals of listed VMs are kept. */
 void rk_place_forget_signals(struct rk_place *p, int64_t now_ms);
 
 /* Returns the linked list (by next) of all VMs. It belongs to p. */
--- a/core/place_jobs.c
+++ b/core/place_jobs.c
@@ -1,7 +1,8 @@
 /* Start and end of calls at VMs, and what the placement learns from them. */
 #include "core/place_impl.h"
 
-/* Pause after a first failure. It doubles with each further failure in a row. */
+/* Pause after a VM was unreachable or unresponsive once. It doubles each further
+ * time in a row. */
 #define PAUSE_FIRST_MS 250
 #define PAUSE_MAX_MS   2000
 /* Pause after a refusal: the VM is full for a moment. */
--- a/core/place_loads.c
+++ b/core/place_loads.c
@@ -1,12 +1,14 @@
 /* Calls in flight at the VMs, from this node and from its peers, and the health
  * of the VMs that these calls show. The cost of each function grows with the
- * number of active VMs. */
+ * number of active VMs, for the means also with that of services, but not with that
+ * of all VMs. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/place_impl.h"
 
-/* Health records that hold fewer calls than this, after decay, are not reported. */
+/* A VM without calls in flight is reported, and kept active, only while its health
+ * record holds at least this many calls, after decay. */
 #define MIN_REPORTED_CALLS 0.05
 
 /* ---- active VMs ---- */
--- a/core/place_versions.c
+++ b/core/place_versions.c
@@ -14,9 +14,9 @@
     return NULL;
 }
 
-/* Returns how many VMs of the rollout's new version rank before this one by
- * rendezvous hashing. All nodes agree by this on the VMs that get calls, and each
- * new turn number selects other VMs. */
+/* Returns how many VMs of the rollout's new version that aren't leaving rank before
+ * this one by rendezvous hashing. All nodes agree by this on the VMs that get
+ * calls, and each new turn number selects other VMs. */
 static size_t count_ranked_before(const struct rk_place *p,
                                   const struct rk_place_vm *v)
 {
--- a/core/quota.c
+++ b/core/quota.c
@@ -15,7 +15,9 @@
 #define REPORT_LAG_MS     250   /* assumed age of reports until it is measured */
 #define PEERS_RATE_TAU_MS 400.0 /* decay time constant of the peers' rate */
 #define PEERS_SLOT_MS     250   /* slot length for detecting a rising rate */
-#define REPORT_MAX_AGE_MS 600   /* maximum assumed age of the peers' last report */
+/* Peers that reported anything within this time, but no usage of an organisation,
+ * have stopped using its quota. */
+#define REPORT_MAX_AGE_MS 600
 /* The peers' rate is extrapolated for at most this long without reports. */
 #define EXTRAPOLATE_MAX_MS 1500
 /* Number of buckets whose content counts as this node's recent admissions. */
@@ -139,8 +141,8 @@
     o->peers_slot = slot;
 }
 
-/* Returns the peers' usage in units/ms: the decaying average, or the rate of the
- * newest slots if that is higher. */
+/* Returns the peers' usage in units/ms: the decaying average as of their last
+ * report, or the rate of the newest slots if that is higher. */
 static double peers_rate(const struct rk_quota_org *o, int64_t now_ms)
 {
     int64_t slot = now_ms / PEERS_SLOT_MS;
--- a/core/quota.h
+++ b/core/quota.h
@@ -1,9 +1,9 @@
 /* Organisation quotas across all nodes. Tracks what each organisation used within a
  * sliding window, from this node's own admissions and from peers' reports, and
  * decides whether a call is admitted. A node that can reach only some of its peers
- * uses only their share of each quota, so that all sides of a network partition
- * together stay within it. Pure: no I/O, no clock; the caller passes the time. Not
- * thread-safe. */
+ * uses only the reachable nodes' share of each quota, so that all sides of a
+ * network partition together stay within it. Pure: no I/O, no clock; the caller
+ * passes the time. Not thread-safe. */
 #ifndef RK_CORE_QUOTA_H
 #define RK_CORE_QUOTA_H
 
@@ -27,9 +27,10 @@
     double used[RK_QUOTA_BUCKETS]; /* units used by all nodes, per bucket */
     double own[RK_QUOTA_BUCKETS];  /* units admitted by this node, part of used */
     int64_t bucket;                /* number of the newest bucket */
-    double own_total;              /* units admitted by this node since its start */
-    double peers_recent;           /* peers' units, decaying exponentially */
-    int64_t peers_reported_ms;     /* time of the peers' last report of usage */
+    /* Units admitted by this node since its start, less refunds. */
+    double own_total;
+    double peers_recent;       /* peers' units, decaying exponentially */
+    int64_t peers_reported_ms; /* time of the peers' last report of usage */
     double peers_slots[2]; /* peers' units in the current and the previous slot */
     int64_t peers_slot;    /* number of the current slot */
     double demand;         /* units requested here, decaying exponentially */
@@ -38,9 +39,8 @@
     double quota;          /* units per window, as last set */
     double old_quota;      /* higher quota still in force after a reduction */
     int64_t old_quota_until_ms;
-    double
-        /* Units used by all nodes before a restart. */
-        restored[RK_QUOTA_BUCKETS];
+    /* Units used by all nodes before a restart. */
+    double restored[RK_QUOTA_BUCKETS];
     double restored_asking; /* units/s requested at all nodes before it */
 };
 
@@ -56,11 +56,13 @@
     int64_t reachable_bucket; /* number of the newest bucket of reachable */
     int64_t rejoined_ms;      /* when a partition last ended; 0: never */
     double slack;             /* units that may be used beyond a quota */
-    double overrun;    /* share of a quota that may be exceeded; 0 by default */
+    /* Share of a quota by which it may be exceeded while some nodes are
+     * unreachable; 0 by default. */
+    double overrun;
     int64_t lag_ms;    /* age of peers' reports when they arrive */
     int64_t word_ms;   /* when a peer's report last arrived; 0: never */
     int64_t since_ms;  /* start of this node's own usage data; 0: complete */
-    int64_t forgot_ms; /* like since_ms; 0 once a peer has sent older data */
+    int64_t forgot_ms; /* like since_ms; 0 once a peer has sent a whole window */
     bool read;         /* persisted usage was read, or there is none */
     bool restored;     /* persisted usage is recent enough to be used */
     /* Draws which calls are admitted. Its state differs between nodes; the owner
@@ -79,7 +81,8 @@
 
 /* Figures behind an admission decision. */
 struct rk_quota_answer {
-    /* Units: usage counted, usage assumed before a restart, and the limit. */
+    /* In units: usage known and estimated within the window, usage assumed before a
+     * restart, and the limit for both. */
     double used, before, limit;
     double share;           /* share of calls admitted while little is free */
     int64_t retry_after_ms; /* when units are expected to be free again */
--- a/core/router.c
+++ b/core/router.c
@@ -20,7 +20,8 @@
 /* Share of a service's slots that deferrable calls may fill. */
 #define DEFERRABLE_MAX_SHARE 0.75
 #define MIN_RETRY_AFTER_MS   100
-/* Share of the expected time that a call is assumed to take at least. */
+/* Share of the expected time that a call is assumed to take at least, when it is
+ * judged whether it can still meet its deadline. */
 #define MIN_TIME_SHARE 0.8
 /* Time that a call occupies a slot, until calls of the service were measured. */
 #define INITIAL_MEAN_MS 50.0
@@ -126,7 +127,7 @@
     r->prefilled_tokens[i] = 0;
 }
 
-/* The row counts the calls of all nodes; those of this node are subtracted. */
+/* The row counts the calls of all nodes; those of this router are subtracted. */
 static void apply_load(struct vm *v, const struct rk_vm *row)
 {
     if (row->load_seq <= v->load_seq)
@@ -356,9 +357,9 @@
         struct rk_service *svc = &r->services[n];
         if (!rk_admit_len(svc->queue))
             continue;
-        bool defer =
+        bool allow_deferrable =
             r->policy != RK_ROUTE_ADAPTIVE || has_room_for_deferrable(r, svc);
-        struct rk_waiter *w = rk_admit_peek(svc->queue, defer, now_ms);
+        struct rk_waiter *w = rk_admit_peek(svc->queue, allow_deferrable, now_ms);
         if (!w)
             continue;
         struct rk_job *job = job_of_waiter(w);
@@ -476,8 +477,8 @@
     release_vm(r, job, true, now_ms);
     job->is_retry = true;
     fill_waiter(job);
-    /* It has waited in the queue once: it is sent at once, also if it is
-     * deferrable. */
+    /* It has waited in the queue once, so that it is not deferred again, even if it
+     * is deferrable. */
     job->waiter.deferrable = false;
     rk_admit_push(job->svc->queue, &job->waiter);
     job->state = RK_JOB_QUEUED;
--- a/core/router.h
+++ b/core/router.h
@@ -1,6 +1,6 @@
 /* Admits calls, queues them, and chooses the upstream VM that each call is sent to.
  * A job is submitted, dispatched when a VM has room, and ended. The router learns
- * the speed of VMs from this node's own calls.
+ * the speed of VMs from its own jobs.
  *
  * Not thread-safe: each traffic thread has a router of its own, which gets its rows
  * from the control thread. Does no I/O and reads no clock: times are passed in as
@@ -29,7 +29,8 @@
 /* How the router chooses a VM. */
 enum rk_route_policy {
     RK_ROUTE_ADAPTIVE,
-    /* Baselines to measure against: without admission and limits. */
+    /* Baselines to measure against: no refusal for the expected wait, and no limits
+     * per VM. */
     RK_ROUTE_ROUND_ROBIN,
     RK_ROUTE_LEAST_LOADED,
     RK_ROUTE_STICKY,
@@ -55,7 +56,7 @@
     int rank; /* priority class; 0 goes first */
     bool deferrable;
     /* Time before the deadline at which a deferrable job is promoted, and the
-     * longest time in the queue. */
+     * longest expected wait with which a job is admitted. */
     int64_t promote_ms, queue_ms;
     int64_t deadline_ms;           /* by the monotonic clock */
     struct rk_prompt *prompt;      /* NULL for plain services */
@@ -94,8 +95,8 @@
                       int64_t now_ms);
 
 /* Sets the number of entry nodes that serve in the failure domain, this one
- * included (initially 1). The calls of a prefix are assumed to be spread evenly
- * over them. */
+ * included (initially 1). A balancer in front of them is assumed to spread the
+ * calls of a prefix evenly over them. */
 void rk_router_set_nodes(struct rk_router *r, int nodes);
 
 /* Admits and queues a job. Unless it was queued, *retry_after_ms is the time after
@@ -120,7 +121,7 @@
 void rk_router_rest(struct rk_router *r, const struct rk_job *job, int64_t rest_ms,
                     int64_t now_ms);
 
-/* Queues a sent job again and excludes its VM. */
+/* Queues a sent job again, excludes its VM and counts a failure of the VM. */
 void rk_router_retry(struct rk_router *r, struct rk_job *job, int64_t now_ms);
 
 /* Properties of a VM by its handle. They are valid while a job is sent there;
@@ -129,7 +130,7 @@
 const char *rk_router_vm_id(const struct rk_router *r, int vm);
 bool rk_router_vm_leaving(const struct rk_router *r, int vm);
 
-/* Returns true if the job's service has a live VM that has not failed this job. */
+/* Returns true if the job's service has a live VM that the job doesn't exclude. */
 bool rk_router_can_serve(const struct rk_router *r, const struct rk_job *job);
 
 /* Returns the number of free slots, as reported to peers: that of the service
--- a/core/router_impl.h
+++ b/core/router_impl.h
@@ -19,10 +19,11 @@
     bool present; /* listed in the newest rows */
     bool live;
     int in_flight;
-    int peer_calls;        /* calls of other nodes, by the VM's load row */
+    /* Calls of other nodes and of other threads of this node, by its load row. */
+    int peer_calls;
     int64_t peer_calls_ms; /* time of that load row */
     uint64_t load_seq;
-    double limit;         /* most calls that this node keeps there; adapts */
+    double limit;         /* calls are sent while rk_router_load() is below it */
     int64_t limit_cut_ms; /* when limit was last reduced */
     int failures;         /* failures in a row */
     int64_t paused_until_ms;
@@ -83,8 +84,8 @@
  * prompts. In choice.c. */
 int rk_router_choose(struct rk_router *r, struct rk_job *job, int64_t now_ms);
 
-/* Returns the calls at a VM: those of this node and, discounted by their age,
- * those of the others. In choice.c. */
+/* Returns the calls at a VM: those of this router and, discounted by the age of the
+ * load row, all others. In choice.c. */
 double rk_router_load(const struct vm *v, int64_t now_ms);
 
 /* Returns true if the job excludes the VM. In choice.c. */
--- a/core/send_budget.h
+++ b/core/send_budget.h
@@ -12,7 +12,7 @@
 /* State of the limiter. Zeroed: nothing was sent yet. */
 struct rk_send_budget {
     size_t round_bytes;    /* bytes that a round may take */
-    size_t sent_bytes;     /* bytes sent in the last round */
+    size_t sent_bytes;     /* bytes sent since the last round began */
     size_t waiting_before; /* bytes that waited when that round began */
     bool narrow;           /* a round was too much for the link at least once */
 };
--- a/core/speeds.c
+++ b/core/speeds.c
@@ -144,25 +144,25 @@
 }
 
 /* Returns the logarithm of actual over expected time, within MAX_LOG_RATIO. */
-static double log_ratio(double seen_ms, double expected_ms)
+static double log_ratio(double took_ms, double expected_ms)
 {
-    double ratio = fmax(seen_ms, RATIO_MIN_MS) / fmax(expected_ms, RATIO_MIN_MS);
+    double ratio = fmax(took_ms, RATIO_MIN_MS) / fmax(expected_ms, RATIO_MIN_MS);
     return fmax(-MAX_LOG_RATIO, fmin(MAX_LOG_RATIO, log(ratio)));
 }
 
-void rk_vm_health_note_time(struct rk_pace *p, double seen_ms, double expected_ms,
+void rk_vm_health_note_time(struct rk_pace *p, double took_ms, double expected_ms,
                             int64_t now_ms)
 {
     *p = rk_pace_at(p, now_ms);
-    p->log_sum += log_ratio(seen_ms, expected_ms);
+    p->log_sum += log_ratio(took_ms, expected_ms);
     p->calls += 1;
 }
 
-void rk_pace_fail(struct rk_pace *p, double seen_ms, double expected_ms,
+void rk_pace_fail(struct rk_pace *p, double took_ms, double expected_ms,
                   int64_t now_ms)
 {
     *p = rk_pace_at(p, now_ms);
-    p->log_sum += fmax(0, log_ratio(seen_ms, expected_ms));
+    p->log_sum += fmax(0, log_ratio(took_ms, expected_ms));
     p->failed += 1;
     p->calls += 1;
 }
--- a/core/speeds.h
+++ b/core/speeds.h
@@ -20,7 +20,8 @@
     struct rk_engine engine;
     /* Smoothed time of a plain call that waits for nothing. */
     double plain_ms;
-    /* Mean over all its VMs of the log ratio of actual to expected time. */
+    /* Mean log ratio of actual to expected time, over the recent calls to all its
+     * VMs. */
     double mean_log_ratio;
 };
 
@@ -54,12 +55,12 @@
     int64_t at_ms;  /* time up to which the sums are decayed */
 };
 
-/* Records a call that took seen_ms when expected_ms was predicted. */
-void rk_vm_health_note_time(struct rk_pace *p, double seen_ms, double expected_ms,
+/* Records a call that took took_ms when expected_ms was predicted. */
+void rk_vm_health_note_time(struct rk_pace *p, double took_ms, double expected_ms,
                             int64_t now_ms);
-/* Records a call that failed after seen_ms. If that is later than predicted, it
+/* Records a call that failed after took_ms. If that is later than predicted, it
  * also counts as slow. */
-void rk_pace_fail(struct rk_pace *p, double seen_ms, double expected_ms,
+void rk_pace_fail(struct rk_pace *p, double took_ms, double expected_ms,
                   int64_t now_ms);
 
 /* Records a call that the VM refused. */
@@ -82,9 +83,11 @@
  * VM that is like the others or was not used for long. If all VMs became slow,
  * none counts as slow: the cause is load. */
 double rk_pace_factor(const struct rk_pace *p, double mean);
-/* Returns the share of its calls that fail; 0 while hardly any calls are known. */
+/* Returns the share of its calls that fail; 0 while no calls are known, and lower
+ * than the actual share while few are. */
 double rk_vm_health_failure_share(const struct rk_pace *p);
-/* Returns the share of its calls that the VM refuses. */
+/* Returns the share of its calls that the VM refuses. What decay leaves of a single
+ * refusal counts little. */
 double rk_vm_health_refusal_share(const struct rk_pace *p);
 /* Returns the number of calls in the sums, after decay. */
 double rk_vm_health_weight(const struct rk_pace *p);
--- a/core/usage.c
+++ b/core/usage.c
@@ -99,7 +99,7 @@
 
 void rk_usage_sums(const struct rk_usage *u, int64_t window, struct rk_tally *sums)
 {
-    struct rk_tally since = {0}; /* calls of nodes that started after the record */
+    struct rk_tally later = {0}; /* calls of nodes that started after the record */
     for (size_t i = 0; i < u->len; i++) {
         const struct rk_usage_row *row = &u->rows[i];
         if (row->window != window || is_persisted(row))
@@ -107,17 +107,17 @@
         const struct rk_usage_row *record = persisted_row(u, window, row->org);
         *rk_tally_at(sums, row->org) += (double)row->count;
         if (record && row->since_ms > record->since_ms)
-            *rk_tally_at(&since, row->org) += (double)row->count;
+            *rk_tally_at(&later, row->org) += (double)row->count;
     }
     for (size_t i = 0; i < u->len; i++) {
         const struct rk_usage_row *row = &u->rows[i];
         if (row->window != window || !is_persisted(row))
             continue;
-        double all = (double)row->count + rk_tally_total(&since, row->org);
+        double all = (double)row->count + rk_tally_total(&later, row->org);
         double *reported = rk_tally_at(sums, row->org);
         *reported = all > *reported ? all : *reported;
     }
-    rk_tally_free(&since);
+    rk_tally_free(&later);
 }
 
 uint64_t rk_usage_sum(const struct rk_usage *u, int64_t window, const char *org)
--- a/core/usage.h
+++ b/core/usage.h
@@ -35,8 +35,8 @@
 void rk_usage_count(struct rk_usage *u, uint64_t node, int64_t window,
                     const char *org);
 
-/* Merges a reported count: the higher count of a node wins; of persisted records,
- * the later one. */
+/* Merges a reported count: the higher count of a node wins. A later persisted
+ * record also replaces one with a higher count. */
 void rk_usage_merge(struct rk_usage *u, const struct rk_usage_row *row);
 
 /* Returns the sum over all nodes. A persisted record covers the nodes that had
--- a/core/vm_signals.c
+++ b/core/vm_signals.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 #define INITIAL_ROWS 16
-/* How long a record is kept after the last signal of the VM. */
+/* How long a record is kept after the last answer of the VM or report about it. */
 #define RETENTION_MS (120 * RK_MS_PER_S)
 /* Requests per second to a VM with a lower limit. Some are sent all the same,
  * because only an answer shows that the limit was raised. */
--- a/core/vm_signals.h
+++ b/core/vm_signals.h
@@ -31,10 +31,13 @@
 struct rk_vm_signal {
     uint64_t life; /* hash of the VM's id and incarnation */
     char domain[RK_ID_MAX];
-    int64_t last_received_ms; /* last signal received, here or by a peer */
+    /* Time of the last answer of the VM, or report of a peer about it. */
+    int64_t last_received_ms;
     bool limited;
     double limit_per_s;
-    int64_t limit_ms; /* time of the answer that set the limit; 0: there was none */
+    /* Time of the last answer that stated the limit, changed or not, or that there
+     * is none; 0: no answer yet. */
+    int64_t limit_ms;
     bool leaving;
     int64_t rest_until_ms; /* end of the cooldown of this node; 0: there was none */
     /* The members below are of this node's copy only. */
@@ -73,9 +76,9 @@
 /* Returns the number of nodes that share the VM's limit, or 0 if this node is
  * not one of them. own is the hash of this node's id, others the hashes of the
  * other nodes that may be chosen. Nodes that know the same set agree on the
- * result. There are a few more senders than requests per second, each of which
- * sends at an even interval, so that all together exceed the limit by at most
- * one request each. */
+ * result. There are a few more senders than requests per second, or all nodes if
+ * these are fewer, each of which sends at an even interval, so that all together
+ * exceed the limit by at most one request each. */
 int rk_vm_limit_part(const struct rk_vm_signal *v, uint64_t own,
                      const uint64_t *others, size_t len);
 /* Sets the number of nodes that share the limit, this one included; 0: this one
@@ -96,15 +99,15 @@
 
 /* Merges what a peer, or another thread of this node, knows of the incarnation.
  * Its times are by this node's clock. The later answer decides on the limit.
- * Returns RK_VM_..._CHANGED bits. */
+ * Cooldowns are not merged. Returns RK_VM_..._CHANGED bits. */
 unsigned rk_vm_signal_merge(struct rk_vm_signal *v,
                             const struct rk_vm_signal *reported, int64_t now_ms);
 /* Applies the signals of an answer that has just arrived. Returns
  * RK_VM_..._CHANGED bits. */
 unsigned rk_vm_signal_hear(struct rk_vm_signal *v,
                            const struct rk_vm_said *advertised, int64_t now_ms);
-/* Removes records for which no signal was received for 120 s and whose cooldown has
- * ended. */
+/* Removes records of VMs from which no answer, and about which no report, was
+ * received for 120 s and whose cooldown has ended. */
 void rk_vm_signals_forget(struct rk_vm_signals *s, int64_t now_ms);
 /* Returns the number of records. */
 size_t rk_vm_signals_len(const struct rk_vm_signals *s);
