--- a/common/addr.h
+++ b/common/addr.h
@@ -7,8 +7,9 @@
 
 struct sockaddr_in;
 
-/* Parses s, a numeric IPv4 address, a colon and a port from 0 to 65535. Returns
- * false if s is anything else; *out is then not to be used. */
+/* Parses s, a numeric IPv4 address, a colon and a port from 0 to 65535. The port is
+ * read as strtol() does; an empty one counts as 0. Returns false if s is anything
+ * else; *out is then not to be used. */
 bool rk_addr_parse(const char *s, struct sockaddr_in *out);
 
 /* Returns whether a socket can be bound to the address; if not, rk_last_error()
--- a/common/conn.h
+++ b/common/conn.h
@@ -20,7 +20,8 @@
     void (*on_data)(void *ctx, const char *data, size_t len);
     void (*on_eof)(void *ctx);              /* the peer closed in order */
     void (*on_error)(void *ctx, int error); /* errno: reset, refused or timed out */
-    void (*on_drained)(void *ctx); /* queued bytes were all sent; may be NULL */
+    void (*on_drained)(void *ctx); /* all queued bytes have been passed to the
+                                    kernel; may be NULL */
 };
 
 /* Starts connecting to addr, "ip:port". Returns NULL if addr is malformed or the
@@ -49,7 +50,9 @@
  * established, written bytes stay in the queue. */
 bool rk_conn_has_sent(const struct rk_conn *c);
 
-/* Stops (true) or resumes reading. The peer's close is noticed in either case. */
+/* Stops (true) or resumes reading. The peer's close is noticed in either case:
+ * while reading is stopped, on_eof is called even if received bytes have not been
+ * read, and on_data is not called for them any more. */
 void rk_conn_pause(struct rk_conn *c, bool paused);
 
 /* Closes the connection in order and frees c: sends the queued bytes and lets the
--- a/common/eventlog.h
+++ b/common/eventlog.h
@@ -25,12 +25,14 @@
 /* Initialises the log; events below level min are dropped. Call it once, before any
  * thread starts. process and domain are copied. */
 void rk_log_init(const char *process, const char *domain, enum rk_log_level min);
-/* Flushes and frees the log. Later events are dropped. */
+/* Writes the buffered lines as rk_log_flush() does, so that some may be lost, and
+ * frees the log. Later events are dropped. */
 void rk_log_shutdown(void);
 
 /* Writes as many buffered lines as standard output takes without blocking. Any
  * thread. */
 void rk_log_flush(void);
+/* Sets the level below which events are dropped. */
 void rk_log_set_level(enum rk_log_level min);
 
 /* Logs an event. Any thread. A field that takes more than 1000 bytes, or for
--- a/common/http.h
+++ b/common/http.h
@@ -47,8 +47,8 @@
     size_t body_len;
     long connect_timeout_ms; /* 0: libcurl's default */
     long timeout_ms;         /* of the whole request; 0: none */
-    /* Time-outs of the wait for the response's first byte, and of any pause after
-     * it. 0: none. */
+    /* Time-outs of the wait for the response's first byte, which includes the
+     * connect, and of any pause after it. 0: none. */
     long first_byte_ms, stall_ms;
     bool no_resend; /* libcurl must not send the request again by itself */
     bool once; /* implies no_resend; uses a new connection, which can't be stale,
--- a/common/http1.h
+++ b/common/http1.h
@@ -60,8 +60,9 @@
     bool ended;      /* the message is complete; rk_http1_next() begins another */
     bool failed;     /* the data is no valid message, or asks for an upgrade */
     bool too_large;  /* failed because the head exceeds its limits */
-    size_t head_max; /* bytes */
-    size_t head_len; /* bytes of the head read so far */
+    size_t head_max; /* limit of head_len */
+    /* Bytes of the head read so far. Of the start line, only the target counts. */
+    size_t head_len;
 };
 
 /* Initialises a reader of requests or, if requests is false, of responses. A head
--- a/common/loop.h
+++ b/common/loop.h
@@ -39,16 +39,17 @@
 /* Handles events until rk_loop_stop() is called. */
 void rk_loop_run(struct rk_loop *loop);
 
-/* Waits up to max_ms, at least 0, for events, and handles one batch of them and the
- * timers that are due. */
+/* Waits for events until the next timer is due, but at most max_ms, which must not
+ * be negative. Handles one batch of events and the timers that are due. */
 void rk_loop_step(struct rk_loop *loop, int max_ms);
 
 /* Makes rk_loop_run() return after its current batch, and rk_loop_post() refuse
  * further functions. Any thread; also safe in a signal handler. */
 void rk_loop_stop(struct rk_loop *loop);
 
-/* Sets functions to call before and after each batch of events, for instance to
- * enter and leave a read section of a shared snapshot. Either may be NULL. */
+/* Sets functions to call before and after each batch of events and due timers, for
+ * instance to enter and leave a read section of a shared snapshot. Either may be
+ * NULL. */
 void rk_loop_set_hooks(struct rk_loop *loop, rk_call_fn *before_batch,
                        rk_call_fn *after_batch, void *ctx);
 
--- a/common/status.h
+++ b/common/status.h
@@ -9,7 +9,8 @@
     RK_EINVAL,       /* malformed input; the message says what was expected */
     RK_ENOTFOUND,    /* the named object does not exist */
     RK_ECONFLICT,    /* the object was changed concurrently */
-    RK_EUNAVAILABLE, /* the peer can't be reached; the request had no effect */
+    RK_EUNAVAILABLE, /* the peer can't be reached, or refused the request for
+                        lack of capacity; the request had no effect */
     RK_EUNKNOWN,     /* the request was sent, but its outcome is unknown */
     RK_EFULL,        /* a bounded queue or table is full */
     RK_EPROTO,       /* the peer violated the protocol */
--- a/programs/ctl.c
+++ b/programs/ctl.c
@@ -17,7 +17,7 @@
 
 enum exit_code {
     EXIT_OK = 0,
-    EXIT_REFUSED = 1, /* invalid input; nothing was changed */
+    EXIT_REFUSED = 1, /* invalid input or another failure; nothing was changed */
     EXIT_USAGE = 2,
     EXIT_UNREACHABLE = 3, /* platform or node unreachable; nothing was changed */
     EXIT_CONFLICT = 4,    /* a concurrent change was first; nothing was changed */
--- a/programs/entry.c
+++ b/programs/entry.c
@@ -26,7 +26,7 @@
 
 #define IDLE_TIMEOUT_S    20
 #define UPLOAD_TIMEOUT_MS 20000
-#define MAX_UNREAD_BYTES  (1024 * 1024)
+#define MAX_PENDING_BYTES (1024 * 1024)
 #define DRAIN_POLL_MS     50
 /* A stopping node reports "leaving" at /health for at least this long, and waits
  * until no call has been in flight for this long, so that the external balancer
@@ -41,7 +41,8 @@
     struct rk_traffic *traffic;
     struct rk_callers *callers;
     char id_prefix[RK_ID_MAX];
-    /* Calls and answers in flight, as last counted by the traffic thread. */
+    /* Calls in flight and responses not yet written in full, as last counted by the
+     * traffic thread. A call may be counted twice. */
     _Atomic size_t in_flight;
 };
 
@@ -256,7 +257,7 @@
         .max_connections = (unsigned)n->file.max_connections,
         .idle_s = IDLE_TIMEOUT_S,
         .max_upload_ms = UPLOAD_TIMEOUT_MS,
-        .max_unread = MAX_UNREAD_BYTES,
+        .max_unread = MAX_PENDING_BYTES,
     };
     w->callers = rk_callers_create(w->traffic, &caller_opt);
     if (!w->callers)
--- a/programs/load.c
+++ b/programs/load.c
@@ -18,9 +18,10 @@
 #define URL_MAX         160
 #define HEADER_MAX      96
 #define CALL_TIMEOUT_MS 120000
-#define MAX_TENANTS     256   /* tenants whose prompt text is cached */
-#define UNIQUE_WORDS    4     /* words of a prompt that occur in no other */
-#define RUN_GRACE_MS    60000 /* for the last answers, in the run's time limit */
+#define MAX_TENANTS     256 /* tenants whose prompt text is cached */
+#define UNIQUE_WORDS    4   /* words of a prompt that occur in no other */
+/* Added to the run's time limit, beside the time-out of the last call. */
+#define RUN_GRACE_MS 60000
 
 /* The parameters of one call. */
 struct call_params {
@@ -217,7 +218,7 @@
     return true;
 }
 
-/* Counts a finished call. Without a transport error, an answer that is neither
+/* Counts a finished call. Without a transport error, a response that is neither
  * complete nor marked not-run counts as a call that may have run. A completion is
  * complete if its stream ended with [DONE]. */
 static void count_result(struct call *c, const struct rk_http_result *res)
@@ -253,9 +254,10 @@
         start_next_call();
 }
 
-/* Returns the tenant's prompt, which is built once and kept. Building it for each
- * call would delay the handling of other calls' answers on this thread, and the
- * delay would be measured as their latency. */
+/* Returns the tenant's prompt. It is cached and rebuilt only if its number of words
+ * changes: building it for each call would delay the handling of other calls'
+ * responses on this thread, and the delay would be measured as their latency.
+ * Tenants whose numbers are equal modulo MAX_TENANTS share an entry. */
 static const struct rk_buf *tenant_prompt(int tenant, int words)
 {
     static struct rk_buf prompts[MAX_TENANTS];
@@ -359,7 +361,7 @@
 }
 
 /* Open loop: starts the calls that are due by the rate, whether or not earlier
- * calls have been answered. */
+ * calls have finished. */
 static void on_arrival(void *ctx)
 {
     (void)ctx;
@@ -384,7 +386,7 @@
     return x < y ? -1 : x > y;
 }
 
-/* Returns the p-quantile of n values (0 if n is 0), and sorts v in place. */
+/* Returns the p-quantile of the n values in v (0 if n is 0), and sorts v. */
 static double percentile(double *v, size_t n, double p)
 {
     if (!n)
--- a/programs/replay.c
+++ b/programs/replay.c
@@ -11,8 +11,8 @@
  *                                   a notice that the VM is reclaimed in in_ms
  *   {"at_ms", "kill": ID}           the VM is gone without a notice
  *   {"at_ms", "fault": ID, "mode"}  a fault of the next attempt sent to the VM:
- *                                   "refuse" (503), "cut" (the answer breaks off
- *                                   halfway) or "silent" (no answer)
+ *                                   "refuse" (503), "cut" (the response breaks
+ *                                   off halfway) or "silent" (no response)
  *   {"at_ms", "call": N, "organisation", "class", "service", "tenant",
  *    "prompt_tokens", "max_tokens", "key", "deadline_ms"}
  *   {"expect": {NAME: {"min", "max"}}}
@@ -34,7 +34,7 @@
 #include "core/verdict.h"
 
 #define MAX_VMS          256
-#define MAX_CALLS        100000
+#define MAX_EVENTS       100000
 #define MAX_ATTEMPTS     8
 #define STEP_MS          25 /* resolution of simulated time */
 #define PLAIN_SERVICE_MS 8  /* time that a plain service takes for a call */
@@ -53,8 +53,8 @@
     int64_t deadline_ms;
     int64_t received_tokens; /* tokens that the caller has received */
     int64_t first_due_ms;    /* when the attempt's first token is due */
-    int64_t end_ms;          /* when the answer is due in full, or the call ended */
-    int64_t first_token_ms;  /* when the first token came; -1: not yet */
+    int64_t end_ms; /* when the response is due in full, or the call ended */
+    int64_t first_token_ms; /* when the first token came; -1: not yet */
     int attempts;
     int runs; /* attempts that ran at a VM */
     enum call_result result;
@@ -174,9 +174,10 @@
              c->verdict, false);
 }
 
-/* Retries the call at another VM, if its verdict, the limit of attempts and the
- * retry budget allow that, and ends it otherwise. A repeatable or not-run call that
- * has failed at all VMs may go to them again. */
+/* Retries the call at another VM, if the attempt's verdict and the limit of
+ * attempts allow that, and ends it otherwise. After a refusal, a retry also takes
+ * from the retry budget. If all VMs are excluded, a call that is repeatable or
+ * whose attempt was not run may go to them again. */
 static void handle_failed_attempt(struct call *c, struct rk_attempt_end end)
 {
     const struct rk_refusal_contract contract = {c->policy->refusal_not_run};
@@ -260,15 +261,17 @@
     return c->received_tokens + (generated < remaining ? generated : remaining);
 }
 
-/* Returns whether the rest of an answer must be resumed at another VM: less than
- * 500 ms would be left between its end and the announced reclaim of its VM. */
+/* Returns whether the rest of a response must be resumed at another VM: less than
+ * 500 ms would be left between its end and the announced reclaim of its VM. Only
+ * repeatable engine calls are moved. */
 static bool must_move(const struct call *c, const struct sim_vm *v)
 {
     return v->reclaim_ms >= 0 && c->policy->engine && c->policy->repeatable &&
            c->end_ms + 500 > v->reclaim_ms;
 }
 
-/* Advances a sent call to sim.now_ms. */
+/* Advances a sent call to sim.now_ms. The time-out of an unresponsive attempt
+ * counts from 20 ms before its first token was due. */
 static void step_call(struct call *c)
 {
     struct sim_vm *v = &sim.vms[c->vm];
@@ -490,7 +493,7 @@
 }
 
 /* Returns whether the call completed by its deadline and, unless it is deferrable,
- * its first token or answer came within the target. */
+ * its first token, or a plain service's response, came within the target. */
 static bool met_target(const struct call *c)
 {
     if (!c->policy || c->result != CALL_COMPLETED || c->end_ms > c->deadline_ms)
@@ -634,7 +637,7 @@
         sim.expect = json_object_get(v);
         return true;
     }
-    if (sim.events_len == MAX_CALLS)
+    if (sim.events_len == MAX_EVENTS)
         return false;
     sim.events[sim.events_len++] = json_object_get(o);
     sim.calls_len += has_member(o, "call");
@@ -650,7 +653,7 @@
     }
     static char line[MAX_LINE];
     bool ok = true;
-    sim.events = rk_alloc(MAX_CALLS, sizeof(struct json_object *));
+    sim.events = rk_alloc(MAX_EVENTS, sizeof(struct json_object *));
     for (int n = 1; ok && fgets(line, sizeof(line), f); n++) {
         if (line[0] == '#' || line[0] == '\n')
             continue;
--- a/programs/timeline.c
+++ b/programs/timeline.c
@@ -65,9 +65,9 @@
             return (int)i;
     if (tl.processes_len == MAX_PROCESSES)
         return -1;
-    struct process *pair = &tl.processes[tl.processes_len];
-    rk_strcpy(pair->name, sizeof(pair->name), name);
-    rk_strcpy(pair->domain, sizeof(pair->domain), domain);
+    struct process *added = &tl.processes[tl.processes_len];
+    rk_strcpy(added->name, sizeof(added->name), name);
+    rk_strcpy(added->domain, sizeof(added->domain), domain);
     return (int)tl.processes_len++;
 }
 
@@ -120,7 +120,8 @@
         *e = (struct event){
             .process = process,
             /* wall_ms has whole milliseconds. A fraction of mono_us, below 0.001
-             * ms, orders the events within one. */
+             * ms, orders the events within one, but coarsely: as a double, the
+             * time has steps of 0.00024 ms. */
             .at_ms = (double)rk_json_int(o, "wall_ms", 0) +
                      (double)(rk_json_int(o, "mono_us", 0) % 1000) / 1e6,
             .hops = rk_json_int(o, "hops", 0),
--- a/standins/engine.c
+++ b/standins/engine.c
@@ -1,9 +1,10 @@
 /* standin-engine: a stand-in for a model engine with the OpenAI completion paths.
  * It has a limited number of slots and a prefix cache of limited size, takes time
- * for the prefill of uncached tokens only, and supports resuming, cancelling (by
- * closing the connection), KV import, a load report and fenced orders. A token is
- * a function of the prompt and its index only, so an answer that was resumed at
- * another engine must equal an uninterrupted one byte for byte.
+ * for the prefill of uncached tokens only, besides a fixed part, and supports
+ * resuming, cancelling (by closing the connection), KV import, a load report and
+ * fenced orders. A token is a function of the prompt and its index only, so a
+ * response that was resumed at another engine must equal an uninterrupted one byte
+ * for byte.
  *
  *   POST /v1/completions, /v1/chat/completions   always streams
  *        X-Request-Id is echoed; X-Priority: lower runs first;
@@ -17,7 +18,7 @@
  *   POST /_fault      modes:
  *        cut-before   the connection is closed, nothing is run
  *        cut-mid      the connection is closed after `ms` tokens
- *        crossed      the answer has another request's id
+ *        crossed      the response has another request's id
  *        twice        a token is sent twice
  *        gap          a token is left out
  *        late         the first token is sent `ms` later
@@ -56,7 +57,7 @@
     int64_t prefill_tokens, hit_tokens, tokens, calls;
     /* Time of a prefill: a fixed part and a part for each uncached token. */
     double prefill_base_ms, prefill_token_ms;
-    double token_ms; /* time between tokens of an answer */
+    double token_ms; /* time between tokens of a response */
     bool checks_fences;
     struct si_fault fault;
     /* Ids of the last requests whose KV cache was imported; a ring. */
@@ -73,7 +74,7 @@
     .checks_fences = true,
 };
 
-/* The answer to one request. */
+/* The response to one request. */
 struct stream {
     char id[RK_ID_MAX];
     uint64_t prompt_hash;
@@ -82,7 +83,7 @@
     int priority;
     bool has_slot, done;
     struct si_fault fault;
-    int64_t sent;   /* tokens sent in this answer */
+    int64_t sent;   /* tokens sent in this response */
     int64_t due_us; /* when the last token was ready */
 };
 
@@ -250,7 +251,7 @@
     return false;
 }
 
-/* Answers a completion request. Waits for a slot and for the prefill. */
+/* Responds to a completion request. Waits for a slot and for the prefill. */
 static enum MHD_Result handle_completion(struct si_req *req)
 {
     struct si_fault fault = {0};
--- a/standins/httpd.h
+++ b/standins/httpd.h
@@ -24,7 +24,7 @@
     /* Called once the whole body has been received. Returns MHD_NO to close the
      * connection. */
     enum MHD_Result (*handle)(void *ctx, struct si_req *req);
-    /* Called when the answer has been sent (whole is true) or the connection has
+    /* Called when the response has been sent (whole is true) or the connection has
      * failed before. May be NULL. */
     void (*on_end)(void *ctx, struct si_req *req, bool whole);
     void *ctx;
@@ -35,12 +35,12 @@
  * with the exit code of the process. */
 int si_serve(const struct si_server *server, uint16_t port, const char *name);
 
-/* Sends an answer. The body is copied. headers: pairs of name and value, ended by
- * NULL; may be NULL. Returns what the handler returns. */
+/* Queues a response, of which the body is copied. headers: pairs of name and value,
+ * ended by NULL; may be NULL. The handler is to return the result. */
 enum MHD_Result si_reply(struct si_req *req, unsigned status, const char *body,
                          size_t len, const char *const *headers);
 
-/* Sends a JSON answer and frees the buffer's content. */
+/* Queues a JSON response and frees the buffer's content. */
 enum MHD_Result si_reply_json(struct si_req *req, unsigned status,
                               struct rk_buf *b);
 
@@ -65,7 +65,7 @@
 };
 
 /* Sets the fault from the request's body {"mode": ..., "count": n, "ms": n} and
- * answers the request. Without "count", the fault applies until it is changed. */
+ * responds with 200. Without "count", the fault applies until it is changed. */
 enum MHD_Result si_set_fault(struct si_req *req, struct si_fault *fault);
 
 /* Takes the fault for one request. Returns true with a copy in *taken if a fault is
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -23,9 +23,9 @@
  *   POST   /_fault         modes:
  *          down            503
  *          cut             the connection is closed
- *          slow            the answer is sent `ms` later
- *          lose-answer     a write takes effect, but the connection is closed
- *                          without an answer
+ *          slow            the request is handled `ms` later
+ *          lose-answer     a PUT takes effect, but the connection is closed
+ *                          without a response
  *          stale           reads give the previous version
  *          no-starts       503 for starts of VMs */
 #include <argp.h>
@@ -219,7 +219,7 @@
     return !if_match || (o && o->version == atoll(if_match));
 }
 
-/* Writes an object. drop_answer: closes the connection without an answer. */
+/* Writes an object. drop_answer: closes the connection without a response. */
 static enum MHD_Result put_object(struct si_req *req, const char *name,
                                   bool drop_answer)
 {
@@ -444,9 +444,9 @@
     if (req->path[1] == '_')
         return handle_test_control(req);
     struct si_fault fault = {0};
-    bool write = !strcmp(req->method, "PUT");
-    /* Reads neither get lose-answer nor use up its count. */
-    if (strcmp(plat.fault.mode, "lose-answer") != 0 || write)
+    bool is_put = !strcmp(req->method, "PUT");
+    /* Only PUTs get lose-answer and use up its count. */
+    if (strcmp(plat.fault.mode, "lose-answer") != 0 || is_put)
         si_take_fault(&plat.fault, &fault);
     if (!strcmp(fault.mode, "down"))
         return si_reply(req, 503, "down", 4, NULL);
@@ -460,8 +460,8 @@
         return list_objects(req, stale);
     if (!strncmp(req->path, "/objects/", 9)) {
         const char *name = req->path + 9;
-        return write ? put_object(req, name, drop_answer)
-                     : get_object(req, name, stale);
+        return is_put ? put_object(req, name, drop_answer)
+                      : get_object(req, name, stale);
     }
     if (!strcmp(req->path, "/vms"))
         return list_vms(req);
--- a/standins/service.c
+++ b/standins/service.c
@@ -9,11 +9,11 @@
  *        refuse      503, not run
  *        refuse-run  503 after the run
  *        cut-before  the connection is closed, not run
- *        cut-after   run, then the connection is closed without an answer
- *        late        run, the answer is sent `ms` later (other modes that run the
- *                    call wait for `ms`, too, except refuse-run)
- *        crossed     run, the answer has another request's id
- *        short       run, the connection is closed in the middle of the answer */
+ *        cut-after   run, then the connection is closed without a response
+ *        late        run, the response is sent `ms` later (other modes that run
+ *                    the call wait for `ms`, too, except refuse-run)
+ *        crossed     run, the response has another request's id
+ *        short       run, the connection is closed in the middle of the response */
 #include <argp.h>
 #include <pthread.h>
 #include <stdlib.h>
