--- a/node/digest.c
+++ b/node/digest.c
@@ -8,8 +8,8 @@
 
 #include "node/mesh_impl.h"
 
-/* Age up to which a digest is counted; for one of the fleet, while there is no
- * newer one. */
+/* Age up to which a digest is counted. The second one is for digests of the fleet,
+ * while there is no newer one. */
 #define SOURCE_MAX_AGE_MS 900
 #define FLEET_MAX_AGE_MS  2500
 
@@ -160,7 +160,7 @@
 
 /* ---- receiving ---- */
 
-/* The quota history comes only with some of the digests; until then the earlier one
+/* The quota history comes only with some of the digests. Between them the last one
  * is kept. */
 static void apply_uses(struct digest *to, const Rillknot__Digest *d)
 {
--- a/node/digest_tell.c
+++ b/node/digest_tell.c
@@ -10,8 +10,8 @@
 /* One of this many rounds has the member list. */
 #define MEMBERS_ROUNDS 4
 /* One of this many member lists for the nodes of this domain has all nodes of the
- * other domains. The rest of the lists have only the bridges there, as nodes need
- * know of the others only that they exist. */
+ * other domains. The rest of the lists have only the bridges there, as nodes only
+ * need to know that the others exist. */
 #define ALL_MEMBERS_LISTS 4
 /* The first rounds of a process all have the member list. After a kill of all nodes
  * reachability changes fast, and restarted nodes know no others. */
@@ -419,8 +419,8 @@
     size_t at = 0, sent = 0;
     if (!len || (!max_bytes && nodes[0]->takes_brief))
         return 0;
-    /* On a narrow link each node gets full digests only now and then, so that each
-     * of them has the member list. */
+    /* On a narrow link a node gets full digests only now and then. Each of them has
+     * the member list, so that the node gets that often enough. */
     if (m->full_digest_budget.narrow && members == NO_MEMBERS)
         members = SOME_MEMBERS;
     struct rk_packed_frame frame = pack_fleet(m, false, members);
--- a/node/duties.c
+++ b/node/duties.c
@@ -2,9 +2,10 @@
  * reports usage to the platform and orders VMs, with the lease's epoch as fencing
  * token.
  *
- * A window's counts are first written to the store, only if it has none, and then
- * reported exactly as the store has them. A new leader therefore repeats the
- * numbers of the previous one and never reports different ones. */
+ * A window's counts are first written to the store, unless it already has counts of
+ * that window, and then reported exactly as the store has them. A new leader
+ * therefore repeats the numbers of the previous one and never reports different
+ * ones. */
 #include <inttypes.h>
 #include <json-c/json.h>
 #include <stdio.h>
@@ -37,7 +38,7 @@
 #define REPORT_DELAY_MS             1500
 #define REPORT_DELAY_UNREACHABLE_MS 4000
 /* Time after which a new leader has the counts of all domains: bridges send them to
- * the leader alone, once a second, and learn within another second who it is.
+ * the leader alone, twice a second, and learn within a second who it is.
  * Without this, a window was reported with 36% of its calls. */
 #define COUNTS_COLLECTED_MS 2500
 /* A report is made this long before it would be late, with the counts received by
--- a/node/enrol.c
+++ b/node/enrol.c
@@ -17,7 +17,8 @@
  * register meanwhile, and the time between them. */
 #define LIST_READS       3
 #define LIST_INTERVAL_MS 1500
-/* Interval of the checks whether the list has to be read again. */
+/* Interval of the checks whether the list has to be read again, as members were
+ * removed. */
 #define LIST_CHECK_MS 8000
 /* Nodes that are started together have all started within this time. */
 #define JOINT_START_MS 350
@@ -46,7 +47,7 @@
 
 /* Adds a node of the list to the members. Once a member has been removed as
  * unresponsive, a node that the list adds may be the same one, still cut off: it
- * isn't counted until a message from it arrives. */
+ * isn't counted until it is known to be reachable. */
 static void add_listed_node(struct rk_mesh *m, const struct rk_store_object *o)
 {
     const char *addr = rk_json_str(o->spec, "addr");
--- a/node/loads.c
+++ b/node/loads.c
@@ -90,7 +90,8 @@
     }
 }
 
-/* Returns whether a member's own report is counted. */
+/* Returns whether a member's own report is counted for load and demand. For quota
+ * usage, see rk_report_counts(). */
 static bool is_report_counted(const struct member *k, int64_t now_ms)
 {
     return rk_mesh_is_heard(k, now_ms) && (k->m->direct || rk_mesh_is_near(k));
--- a/node/members.c
+++ b/node/members.c
@@ -1,6 +1,7 @@
 /* The known nodes, their reachability, and the election of each failure domain's
  * bridges. The nodes with the largest processor share are elected, and among equals
- * those with the lowest hash of their id. A slow node yields to equal ones. */
+ * those with the lowest hash of their id. A slow node counts with a quarter of
+ * its share. */
 #include <json-c/linkhash.h>
 #include <stdlib.h>
 #include <string.h>
@@ -14,7 +15,7 @@
 #define UNREACHABLE_MS 900 /* silence after which a node is unreachable */
 /* Age at which a bridge's report that it reaches a node expires: for a node of this
  * domain, and for one of another domain, as those are reported more seldom to nodes
- * that aren't bridges. */
+ * that aren't bridges. A bridge uses the first one for all. */
 #define NEAR_REPORT_MS 2500
 #define FAR_REPORT_MS  6500
 #define GRACE_MS       1500  /* time for which a newly added node counts as alive */
@@ -32,7 +33,8 @@
     return k->heard_ms && now_ms - k->heard_ms < UNREACHABLE_MS;
 }
 
-/* A bridge's report is used if it is more recent than this node's own observation.
+/* A bridge's report is used if it came after the member had become unreachable from
+ * here.
  * At a node that isn't a bridge its age is measured against the last member list,
  * so that it doesn't expire while no bridge sends one. */
 bool rk_mesh_is_alive(const struct member *k, int64_t now_ms)
--- a/node/mesh.c
+++ b/node/mesh.c
@@ -13,14 +13,13 @@
 #include "peers/link.h"
 
 #define REPORT_MS 250 /* between reports, and between ticks */
-#define BRIDGED_LAG_MS                                                             \
-    450 /* mean age of other nodes' data that comes by bridges                     \
-         */
+/* Mean age of the other nodes' data that comes by bridges. */
+#define BRIDGED_LAG_MS 450
 /* Delay of the relay's update after a peer's report, to combine reports that arrive
  * together. It is longer at a bridge, which gets a report every few ms. */
 #define RELAY_DELAY_MS        20
 #define BRIDGE_RELAY_DELAY_MS 100
-#define REPORT_DELAY_MS       5   /* after newer data came from the store */
+#define REPORT_DELAY_MS       5   /* before a report ahead of the regular one */
 #define RECONNECT_MS          500 /* between attempts to connect to a node */
 #define CONNECT_TIMEOUT_MS    1000
 #define IDLE_LINK_MS          5000 /* for which an unneeded link is kept */
@@ -467,9 +466,9 @@
     rk_mesh_expire_members(m, now_ms);
     rk_mesh_elect(m, now_ms);
     rk_mesh_dial(m, now_ms);
+    /* Usually the relay's reports trigger them often enough. */
     if (now_ms - m->report_sent_ms >= REPORT_MS)
-        send_report(
-            m); /* otherwise the relay's reports trigger them often enough */
+        send_report(m);
     rk_digest_send(m);
     rk_report_ask_known(m, now_ms);
     rk_usage_send_to_leader(m, now_ms);
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -61,7 +61,7 @@
     bool list_requested;     /* the whole VM list, not sent yet */
     bool list_sent;          /* the whole VM list, at least once */
     int64_t settings_sent;   /* version of the settings sent last; 0: none */
-    int64_t members_sent_ms; /* the member list, unrequested, last; 0: never */
+    int64_t members_sent_ms; /* by rk_digest_send_members(), last; 0: never */
     bool has_uses;           /* all rows of quota usage were sent */
     unsigned digest_round;   /* of the last full digest sent; 0: none */
 };
@@ -101,7 +101,7 @@
     bool knows;              /* its quota history was received */
     bool takes_changes;      /* it accepts reports of only the rows that changed */
     bool takes_brief;        /* it accepts digests that are only heartbeats */
-    int64_t uses_asked_ms;   /* all its rows were requested last */
+    int64_t uses_asked_ms;   /* when all its rows were requested last */
     struct rk_service_use *services; /* since its start */
     size_t services_len;
     struct rk_rollout_seen *canary_stats; /* since its start */
@@ -144,16 +144,18 @@
     struct rk_send_budget full_digest_budget; /* for digests with content */
     struct rk_usage_sent own_usage_sent, domain_usage_sent;
     struct rk_tally uses_told; /* own units by organisation, as reported last */
-    /* The next report has all rows of quota usage; and also the quota history. */
+    /* uses_wanted: the next report has all rows of quota usage; known_wanted: it
+     * also has the quota history. */
     bool uses_wanted, known_wanted;
-    int64_t known_asked_ms;       /* a node's quota history was requested last */
+    int64_t known_asked_ms; /* when a node's quota history was requested last */
     char usage_leader[RK_ID_MAX]; /* the leader that got the last counts */
     int64_t announcement_sent_ms; /* of rollouts, by this node as leader */
     int64_t canary_stats_sent_ms;
-    /* Quarantine rows and VMs' limits are repeated for as long as they hold. */
+    /* When quarantine rows, and VMs' limits, were repeated last, as is done for as
+     * long as they hold. */
     int64_t quarantine_sent_ms, limits_sent_ms;
-    size_t limits_offset; /* number of limits to skip in the next message */
-    int64_t enrol_ms;
+    size_t limits_offset;      /* number of limits to skip in the next message */
+    int64_t enrol_ms;          /* mean delay before the next retry */
     int lists_left;            /* further reads of the store's list of nodes */
     int64_t forgotten_ms;      /* when a member was removed last; 0: never */
     bool enrolled;             /* this node is in the store's list of nodes */
@@ -213,10 +215,12 @@
 struct member *rk_mesh_find(const struct rk_mesh *m, const char *id);
 struct member *rk_mesh_find_addr(const struct rk_mesh *m, const char *addr);
 /* Returns the member with an id or else with an address, adding it if it is new.
- * id: "" if only the address is known. The mesh owns the member. */
+ * id: "" if only the address is known. A new address of a known member is taken
+ * over, which closes its link. The mesh owns the member. */
 struct member *rk_mesh_learn(struct rk_mesh *m, const char *id, const char *addr);
-/* Returns whether a message from an incarnation is still valid. A message that a
- * node sent before its restart may arrive after one from its new incarnation. */
+/* Notes the incarnation of a message. Returns false if it is a past one: a message
+ * that a node sent before its restart may arrive after one from its new
+ * incarnation. */
 bool rk_mesh_hears_life(struct member *k, uint64_t incarnation);
 /* Adds the member to the contacts. */
 void rk_mesh_meet(struct member *k);
@@ -270,17 +274,17 @@
 /* To be called after a report was sent: notes which members could not take it, as
  * they need all rows next time. */
 void rk_report_note_uses(struct rk_mesh *m, const struct rk_report *p);
-/* first: it is the first report received from the member. */
+/* first: there is no earlier report of the member to count from. */
 void rk_report_take_uses(struct member *k, const Rillknot__NodeReport *r,
                          bool first);
-/* Returns whether all rows of a member are missing here and should be requested
- * now; the caller then requests them. */
+/* Returns whether rows of a member are missing here, so that all of them should be
+ * requested now. Notes the request, which the caller makes. */
 bool rk_report_lacks_uses(struct member *k, int64_t now_ms);
 /* At a bridge with a shorter quota history than a node of its domain: requests that
  * node's. */
 void rk_report_ask_known(struct rk_mesh *m, int64_t now_ms);
 /* Returns the demand in a received row, in units/s; 0 if the value is invalid. */
-double rk_report_asking(const Rillknot__OrgUse *told);
+double rk_report_asking(const Rillknot__OrgUse *in);
 /* Returns whether a member's own report is counted here. In a larger fleet only the
  * bridges of its domain count it; the other nodes count their digests. */
 bool rk_report_counts(const struct member *k);
@@ -341,7 +345,7 @@
 
 void rk_engines_put(Rillknot__EngineEstimate *out,
                     const struct rk_engine_estimate *e);
-struct rk_engine_estimate rk_engines_get(const Rillknot__EngineEstimate *told);
+struct rk_engine_estimate rk_engines_get(const Rillknot__EngineEstimate *in);
 /* Returns the mean estimate over the nodes of this domain or, if fleet, of the
  * whole fleet; this node is included. */
 struct rk_engine_estimate rk_engines_of(const struct rk_mesh *m,
--- a/node/node.c
+++ b/node/node.c
@@ -138,6 +138,7 @@
     free(m);
 }
 
+/* On the relay's thread. */
 static void on_report(void *ctx, struct rk_relay_report *report)
 {
     struct report_message *m = rk_alloc(1, sizeof(*m));
@@ -173,6 +174,7 @@
     finish_stop(ctx);
 }
 
+/* On the relay's thread. */
 static void on_stopped(void *ctx)
 {
     struct rk_node *n = ctx;
--- a/node/orders.c
+++ b/node/orders.c
@@ -308,8 +308,8 @@
     }
 }
 
-/* Returns whether no call has run for IDLE_MS. This time is counted from the node's
- * start at the earliest, as the node doesn't know at first what runs elsewhere. */
+/* Returns whether no call has run for IDLE_MS. This time is counted from when this
+ * node first saw the service, as it doesn't know at first what runs elsewhere. */
 static bool is_idle(struct service *s)
 {
     int64_t now_ms = rk_mono_ms();
--- a/node/quarantine_tell.c
+++ b/node/quarantine_tell.c
@@ -8,8 +8,8 @@
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-/* Time for which a changed row is sent with each round: four times, as a link may
- * be down. */
+/* Time for which a changed row is sent with each tick of the mesh: four times, as a
+ * link may be down. */
 #define CHANGED_FOR_MS     1100
 #define REPEAT_INTERVAL_MS 1000 /* for rows of requests stopped or close to it */
 /* Changed rows per message: under 6 KB, sent four times after the end of a VM. */
@@ -64,8 +64,8 @@
     p->msg.rows = p->row_ptrs;
     for (size_t i = q->len; i-- > 0;) {
         const struct rk_quarantine_row *row = &q->rows[i];
-        bool is_near = rk_quarantine_is_near(row);
-        if (is_near && repeat_left) {
+        bool is_near_limit = rk_quarantine_is_near(row);
+        if (is_near_limit && repeat_left) {
             repeat_left--;
             encode_row(p, row);
         } else if (is_changed(m, row, now_ms) && changed_left) {
--- a/node/remember.c
+++ b/node/remember.c
@@ -25,8 +25,8 @@
 #define ENGINES_KIND "rillknot-engines"
 #define OBJECT_NAME  "recent"
 /* Intervals of writes. After a restart, the use of quotas since the last write is
- * estimated. Engine estimates follow the calls of a busy node's last seconds, so
- * that a new one owes little to those of the previous write. */
+ * estimated. An engine estimate remembers the calls of some seconds at a busy
+ * node, so it depends little on calls before the previous write. */
 #define QUOTAS_INTERVAL_MS  300
 #define ENGINES_INTERVAL_MS 10000
 /* An organisation that used less than this share of its quota is left out. */
@@ -57,7 +57,7 @@
 struct rk_remember {
     struct rk_node *n;
     struct persisted_object quotas, engines;
-    bool is_read;   /* quotas has been read, or can't be */
+    bool is_read;   /* quotas was read, or can't be */
     bool is_leader; /* as of the current write */
     /* Counts of windows as the store's object had them last, and the wall time of
      * these counts; NULL: not known. */
--- a/node/report.c
+++ b/node/report.c
@@ -123,7 +123,7 @@
     *rk_tally_at(&m->fleet_reads, service) += increase;
 }
 
-/* first: the node has sent no report before, so there is nothing to count from. */
+/* first: there is no earlier report to count from. */
 static void receive_services(struct member *k, const Rillknot__NodeReport *r,
                              bool first)
 {
--- a/node/rollout_tell.c
+++ b/node/rollout_tell.c
@@ -9,7 +9,7 @@
 #include "peers/link.h"
 
 #define ANNOUNCE_INTERVAL_MS      250  /* while there are rules */
-#define ANNOUNCE_IDLE_INTERVAL_MS 1000 /* while there are none */
+#define ANNOUNCE_IDLE_INTERVAL_MS 1000 /* while there are none: known_at only */
 #define STATS_INTERVAL_MS         250
 #define STATS_MAX_AGE_MS          3000 /* of another domain's statistics */
 
@@ -154,7 +154,8 @@
     return len;
 }
 
-/* Returns whether a member's sum is the newest of its domain. Only that one counts,
+/* Returns whether a member's sum is recent and the newest of its domain. Only that
+ * one counts,
  * as the bridges of a domain send statistics of the same calls. */
 static bool is_newest(const struct member *k, int64_t now_ms)
 {
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -1,7 +1,8 @@
 /* Rollouts of service versions. The leader watches the operators' orders, judges
  * new versions by the calls of all nodes, records the state in the store and sends
  * rollout announcements; the other nodes apply these. VMs get no calls while their
- * version is neither ordered, nor known to be the platform's own replacement. */
+ * version neither serves already, nor was ordered, nor is known to be the
+ * platform's own replacement. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/node/rollouts_impl.h
+++ b/node/rollouts_impl.h
@@ -39,8 +39,8 @@
     struct rollout_run runs[RK_ROLLOUTS];
     struct rk_rollout_word announcement; /* the newest; number 0: none */
     bool was_fresh;                      /* as sent to the relay last */
-    bool any_blocked;        /* VMs are blocked until more orders are known */
-    bool relay_updated;      /* the relay has the announcement's rules */
+    bool any_blocked;   /* VMs are blocked; a later known_at may unblock them */
+    bool relay_updated; /* the relay has the announcement's rules */
     int64_t marked_revision; /* of the orders by which VMs were marked last */
     struct serving serving[RK_ROLLOUTS_MAX_SERVICES];
     size_t serving_len;
--- a/node/signal_tell.c
+++ b/node/signal_tell.c
@@ -10,8 +10,8 @@
 #include "node/mesh_impl.h"
 #include "peers/link.h"
 
-/* Time for which a changed signal is sent with each round: four times, as a link
- * may be down. */
+/* Time for which a changed signal is sent with each tick of the mesh: four times,
+ * as a link may be down. */
 #define CHANGED_FOR_MS     1100
 #define REPEAT_INTERVAL_MS 1000 /* for limits */
 #define ROWS_MAX           64   /* per message, of each kind */
--- a/node/state.h
+++ b/node/state.h
@@ -46,7 +46,7 @@
     struct rk_rollouts *rollouts;
     struct rk_quarantines *quarantines;
     struct rk_signals *signals;
-    struct rk_usage usage;          /* of all nodes */
+    struct rk_usage usage; /* counts of calls: own ones and those received */
     struct rk_relay_report *report; /* the relay's last one; NULL: none yet */
     struct rk_rng rng;
     struct rk_read_delay read_delay;
@@ -69,6 +69,7 @@
 bool rk_sync_ready(const struct rk_sync *s);
 /* Returns the version of the settings in use; 0: none. */
 int64_t rk_sync_version(const struct rk_sync *s);
+/* Returns the revision of the store up to which the VM list is known; 0: none. */
 int64_t rk_sync_list_revision(const struct rk_sync *s);
 /* Returns the routes in use, owned by s; NULL: none. */
 const struct rk_routes *rk_sync_routes(const struct rk_sync *s);
@@ -124,7 +125,8 @@
 /* Returns whether this node may run for the leader's lease, and write what all
  * nodes know to the store. */
 bool rk_mesh_stands(const struct rk_mesh *m);
-/* Sends the settings, which just became newer, to the peers that lack them. */
+/* To be called when newer settings are in use: sends them to the peers that
+ * requested them and, from the first bridge of a domain, to all nodes there. */
 void rk_mesh_tell_settings(struct rk_mesh *m);
 /* At a bridge: sends changes of the VM list to the other nodes of its domain and,
  * if they came from the store rather than from a peer, to all other bridges. */
@@ -188,12 +190,14 @@
 /* At the node that acts for a missing leader: persists the use of quotas and the
  * fleet's size if that is due. */
 void rk_remember_stand_in(struct rk_remember *m);
-/* Returns whether the persisted state was read, or can't be read. */
+/* Returns whether the persisted use of quotas and counts of calls were read, can't
+ * be read, or need not be, as this is the deployment's first start. */
 bool rk_remember_is_read(const struct rk_remember *m);
 
 /* ---- returning.c: the read delay of a restarted node ---- */
 
 struct json_object;
+/* Starts a read delay of limited length, until the fleet's size is known. */
 void rk_returning_start(struct rk_node *n);
 /* Sets the read delay by the fleet's size in the persisted state; spec NULL: there
  * is no such state. */
@@ -246,8 +250,9 @@
 void rk_rollouts_destroy(struct rk_rollouts *r);
 /* token: of the leader; NULL if this node isn't the leader. */
 void rk_rollouts_tick(struct rk_rollouts *r, const struct rk_duty_token *token);
-/* Marks the rows whose version nobody is known to have ordered. since[i]: the
- * store's revision at which row i was seen first. */
+/* Marks the rows that may get no calls: their version was rolled back, or nobody is
+ * known to have ordered it. since[i]: the store's revision at which row i was seen
+ * first. */
 void rk_rollouts_mark(struct rk_rollouts *r, struct rk_vm_row *rows,
                       const int64_t *since, size_t len);
 /* A rollout announcement of the leader: a rule for each ordered rollout. Those of a
@@ -260,7 +265,7 @@
     size_t len;
 };
 /* Applies an announcement received from a peer. Returns false if it isn't newer
- * than the current one. */
+ * than the current one, this node is the leader, or rollouts are disabled here. */
 bool rk_rollouts_take(struct rk_rollouts *r, const struct rk_rollout_word *word);
 /* Returns the newest announcement, owned by r; NULL: there is none. */
 const struct rk_rollout_word *rk_rollouts_word(const struct rk_rollouts *r);
@@ -283,7 +288,8 @@
 void rk_duty_keeper_destroy(struct rk_duty_keeper *k);
 void rk_duty_keeper_start(struct rk_duty_keeper *k);
 /* Gets this node's own lease, for its reports to peers. Returns false if this node
- * doesn't hold the lease now. value is valid until the next call. */
+ * doesn't hold the lease now. *value belongs to k and is valid until the next write
+ * of the lease. */
 bool rk_duty_keeper_lease(const struct rk_duty_keeper *k, int64_t *version,
                           const char **value);
 /* Notes a version of the lease that a peer reported. */
@@ -293,7 +299,8 @@
  * changed. */
 void rk_duty_keeper_look(struct rk_duty_keeper *k);
 /* Gets the newest version of the lease that is known here, whoever is the leader.
- * Returns false if none is known. */
+ * Returns false if none is known. *value belongs to k and is valid until a newer
+ * version is known. */
 bool rk_duty_keeper_newest(const struct rk_duty_keeper *k, int64_t *version,
                            const char **value);
 /* Gets the leader's node id by that version; "": not known. */
--- a/node/sync_impl.h
+++ b/node/sync_impl.h
@@ -19,9 +19,8 @@
     char *text;             /* JSON contents, for peers */
     int64_t revision;       /* in the store */
     int64_t first_revision; /* at which this incarnation of the VM was first seen */
-    int64_t
-        grace_until_ms; /* the entry expired, its VM is used until then; 0: no */
-    bool needs_publish; /* the relay lacks the current row */
+    int64_t grace_until_ms; /* if it expired: its VM is used until then; else 0 */
+    bool needs_publish;     /* the relay lacks the current row */
     struct rk_vm_row row;
 };
 
--- a/node/sync_list.c
+++ b/node/sync_list.c
@@ -11,8 +11,8 @@
 #include "common/zip.h"
 #include "node/sync_impl.h"
 
-/* Grace period after an outage of the store. VMs whose entries expired in it
- * register again within this time. */
+/* Grace period after an outage of the store. VMs whose entries expired
+ * during the outage register again within this time. */
 #define GRACE_MS 1900
 
 #define REMOVED_INITIAL_CAP 64
@@ -287,7 +287,7 @@
     return changed;
 }
 
-/* Sends peers the changes of the list after a revision. */
+/* Reports the new revision. A bridge also sends the changes after `since`. */
 static void push_list(struct rk_sync *s, int64_t since, const char *from)
 {
     const Rillknot__StoreWanted wanted = {.list = true, .list_since = since};
--- a/node/tell.c
+++ b/node/tell.c
@@ -10,8 +10,8 @@
 /* Bytes that may wait on all links together: 0.1 s of a link of 10 Mbit/s. */
 #define WAITING_MAX_BYTES (128 * 1024)
 #define PASS_INTERVAL_MS  5 /* between passes while some peers are left */
-/* Delay before the first request. Bridges, which get newer settings at once,
- * usually send them unrequested within this time. */
+/* Delay before the first request. Bridges, which request newer settings at
+ * once, usually send them unrequested within this time. */
 #define FIRST_REQUEST_MS 300
 #define REQUEST_RETRY_MS 1000
 /* Retry delay for the same peer: longer, so that another one is asked first. */
--- a/node/usage_tell.c
+++ b/node/usage_tell.c
@@ -9,7 +9,8 @@
 #include "peers/link.h"
 
 #define WINDOWS 4 /* number that are sent, the current one included */
-/* Intervals for windows that still fill, and for all. With 1,000 ms for all windows
+/* Intervals for windows that still fill, and for all. In a direct mesh, the
+ * former go with each report. With 1,000 ms for all windows
  * the leader's counts were 1.15 s old on average, and a kill of all 70 nodes lost
  * 304 of a window's 1,955 calls. The number of bytes is the same, as half as many
  * windows are sent twice as often. */
