--- a/callers/callers.c
+++ b/callers/callers.c
@@ -156,8 +156,8 @@
     resume_connection(k);
 }
 
-static const struct rk_sink answer_sink = {.part = on_answer_piece,
-                                           .end = on_answer_end};
+static const struct rk_sink answer_sink = {.on_answer_piece = on_answer_piece,
+                                           .on_answer_end = on_answer_end};
 
 /* ---- responses ---- */
 
@@ -285,7 +285,7 @@
     k->req.body = k->body.data;
     k->req.body_len = k->body.len;
     k->body = (struct rk_buf){0};
-    k->pending.max = c->opt.max_unread;
+    k->pending.max = c->opt.max_response_buffer;
     struct rk_request req = k->req;
     k->req.body = NULL;
     struct rk_exchange *x = rk_exchange_start(c->t, &req, &answer_sink, k);
@@ -396,8 +396,8 @@
                                      const struct rk_callers_options *opt)
 {
     struct sockaddr_in addr;
-    if (!rk_addr_parse(opt->listen, &addr)) {
-        rk_fail(RK_EINVAL, "%s: expected ip:port", opt->listen);
+    if (!rk_addr_parse(opt->listen_addr, &addr)) {
+        rk_fail(RK_EINVAL, "%s: expected ip:port", opt->listen_addr);
         return NULL;
     }
     struct rk_callers *c = rk_alloc(1, sizeof(*c));
@@ -409,11 +409,11 @@
         on_request_progress, c, MHD_OPTION_SOCK_ADDR, &addr,
         MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, c,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_CONNECTION_TIMEOUT,
-        opt->idle_s, MHD_OPTION_CONNECTION_LIMIT, opt->max_connections,
+        opt->idle_timeout_s, MHD_OPTION_CONNECTION_LIMIT, opt->max_connections,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES,
         MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U, MHD_OPTION_END);
     if (!c->daemon) {
-        rk_fail(RK_ESYSTEM, "%s: can't listen", opt->listen);
+        rk_fail(RK_ESYSTEM, "%s: can't listen", opt->listen_addr);
         free(c);
         return NULL;
     }
--- a/callers/callers.h
+++ b/callers/callers.h
@@ -24,14 +24,14 @@
 struct rk_traffic;
 
 struct rk_callers_options {
-    const char *listen;    /* "ip:port"; the kernel chooses the port if it is 0 */
-    const char *id_prefix; /* start of request ids; unique to this run and thread;
-                              must stay valid until destroy */
-    size_t max_body;       /* largest request body, bytes */
+    const char *listen_addr; /* "ip:port"; the kernel chooses the port if it is 0 */
+    const char *id_prefix;   /* start of request ids; unique to this run and thread;
+                                must stay valid until destroy */
+    size_t max_body;         /* largest request body, bytes */
     unsigned max_connections;
-    unsigned idle_s;       /* inactivity after which a connection is closed, s */
-    int64_t max_upload_ms; /* time limit for receiving a request body */
-    size_t max_unread;     /* most response bytes buffered for a caller */
+    unsigned idle_timeout_s; /* inactivity after which a connection is closed, s */
+    int64_t max_upload_ms;   /* time limit for receiving a request body */
+    size_t max_response_buffer; /* most response bytes buffered for a caller */
 };
 
 /* Starts to listen on opt->listen and serves requests on the loop of `t`, which
--- a/callers/parse.c
+++ b/callers/parse.c
@@ -108,7 +108,8 @@
         return fail_parse(
             "Rillknot-Organisation: expected the name of an organisation");
     if ((v = header(ctx, "Rillknot-Class")) &&
-        (!copy_printable(r->cls, sizeof(r->cls), v) || !is_name(r->cls)))
+        (!copy_printable(r->priority_class, sizeof(r->priority_class), v) ||
+         !is_name(r->priority_class)))
         return fail_parse("Rillknot-Class: expected the name of a priority class");
     if ((v = header(ctx, "Idempotency-Key")) &&
         (!*v || !copy_printable(r->key, sizeof(r->key), v)))
--- a/callers/server.c
+++ b/callers/server.c
@@ -360,7 +360,7 @@
     void *user = c->user;
     abort_client(c);
     if (in_flight)
-        s->ops->on_gone(s->ctx, user);
+        s->ops->on_disconnect(s->ctx, user);
 }
 
 static void on_eof(void *ctx)
--- a/callers/server.h
+++ b/callers/server.h
@@ -32,7 +32,7 @@
     void (*on_request)(void *ctx, struct rk_client *client);
     /* Called when the caller disconnects before its response has ended. `user` is
      * the value of rk_client_set_user(). The client must not be used any more. */
-    void (*on_gone)(void *ctx, void *user);
+    void (*on_disconnect)(void *ctx, void *user);
 };
 
 /* Listens on addr ("ip:port"; the kernel chooses the port if it is 0) and accepts
--- a/cloud/duties.h
+++ b/cloud/duties.h
@@ -15,7 +15,7 @@
 
 /* Identifies the leader and its term. */
 struct rk_duty_token {
-    const char *holder; /* node id of the leader; borrowed */
+    const char *leader; /* node id of the leader; borrowed */
     int64_t fence;      /* fencing token, rises with every change of leader */
 };
 
@@ -42,8 +42,9 @@
                          int64_t window, const char *counts, rk_duty_fn *fn,
                          void *ctx);
     /* Sets the number of VMs of one service and kind in one failure domain. */
-    void (*order_vms)(struct rk_duties *d, const struct rk_duty_token *token,
-                      const struct rk_vm_target *target, rk_duty_fn *fn, void *ctx);
+    void (*set_vm_count)(struct rk_duties *d, const struct rk_duty_token *token,
+                         const struct rk_vm_target *target, rk_duty_fn *fn,
+                         void *ctx);
     void (*destroy)(struct rk_duties *d);
 };
 
--- a/common/conn.c
+++ b/common/conn.c
@@ -144,8 +144,8 @@
     }
     c->connecting = false;
     rk_timer_stop(c->loop, &c->timer);
-    if (c->ops && c->ops->on_up)
-        c->ops->on_up(c->ctx);
+    if (c->ops && c->ops->on_connected)
+        c->ops->on_connected(c->ctx);
     if (!c->released)
         flush(c);
 }
--- a/common/conn.h
+++ b/common/conn.h
@@ -16,7 +16,7 @@
  * follows on_eof or on_error, but the owner must still end the connection, which
  * frees it. */
 struct rk_conn_ops {
-    void (*on_up)(void *ctx); /* a connect succeeded; may be NULL */
+    void (*on_connected)(void *ctx); /* a connect succeeded; may be NULL */
     void (*on_data)(void *ctx, const char *data, size_t len);
     void (*on_eof)(void *ctx);              /* the peer closed in order */
     void (*on_error)(void *ctx, int error); /* errno: reset, refused or timed out */
--- a/common/http.c
+++ b/common/http.c
@@ -55,7 +55,7 @@
 {
     struct rk_http_result res = {
         .curl_code = (int)code,
-        .handed = r->may_have_reached,
+        .may_have_reached = r->may_have_reached,
         .timed_out = code == CURLE_OPERATION_TIMEDOUT,
         .error = r->error[0] ? r->error : curl_easy_strerror(code),
     };
@@ -234,11 +234,11 @@
     http->reqs = r;
     r->handlers = spec->handlers;
     r->ctx = spec->ctx;
-    r->no_resend = spec->no_resend || spec->once;
-    r->stall_ms = spec->stall_ms;
+    r->no_resend = spec->no_resend || spec->dedicated_conn;
+    r->stall_ms = spec->stall_timeout_ms;
     r->inactivity = (struct rk_timer){.fn = on_inactivity, .ctx = r};
-    if (spec->first_byte_ms)
-        rk_timer_start(http->loop, &r->inactivity, spec->first_byte_ms);
+    if (spec->first_byte_timeout_ms)
+        rk_timer_start(http->loop, &r->inactivity, spec->first_byte_timeout_ms);
     CURL *e = r->easy = curl_easy_init();
     assert(e);
     for (size_t i = 0; spec->headers && spec->headers[i]; i++)
@@ -274,7 +274,7 @@
     if (!strcmp(spec->method, "HEAD"))
         curl_easy_setopt(e, CURLOPT_NOBODY, 1L);
     curl_easy_setopt(e, CURLOPT_CUSTOMREQUEST, spec->method);
-    if (spec->once) {
+    if (spec->dedicated_conn) {
         curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(e, CURLOPT_FORBID_REUSE, 1L);
     }
--- a/common/http.h
+++ b/common/http.h
@@ -20,7 +20,8 @@
 struct rk_http_result {
     int curl_code; /* a CURLcode; CURLE_OK if a whole response was received */
     long status;   /* HTTP status; 0 if no response head was received */
-    bool handed; /* the request may have been sent; false proves that it was not */
+    bool may_have_reached; /* the request may have been sent; false proves that it
+                              was not */
     bool timed_out;
     const char *error; /* text for logs; valid during the callback */
 };
@@ -49,10 +50,10 @@
     long timeout_ms;         /* of the whole request; 0: none */
     /* Time-outs of the wait for the response's first byte, which includes the
      * connect, and of any pause after it. 0: none. */
-    long first_byte_ms, stall_ms;
-    bool no_resend; /* libcurl must not send the request again by itself */
-    bool once; /* implies no_resend; uses a new connection, which can't be stale,
-                  and closes it afterwards */
+    long first_byte_timeout_ms, stall_timeout_ms;
+    bool no_resend;      /* libcurl must not send the request again by itself */
+    bool dedicated_conn; /* implies no_resend; uses a new connection, which can't be
+                  stale, and closes it afterwards */
     struct rk_http_handlers handlers;
     void *ctx; /* passed to the handlers */
 };
--- a/common/rest.c
+++ b/common/rest.c
@@ -38,7 +38,7 @@
 static enum rk_status status_from_result(const struct rk_http_result *res)
 {
     if (res->curl_code)
-        return res->handed ? RK_EUNKNOWN : RK_EUNAVAILABLE;
+        return res->may_have_reached ? RK_EUNKNOWN : RK_EUNAVAILABLE;
     if (res->status >= 200 && res->status < 300)
         return RK_OK;
     if (res->status == HTTP_NOT_FOUND)
@@ -67,8 +67,8 @@
     *op = (struct op){.fn = fn, .ctx = ctx, .body.max = BODY_MAX_BYTES};
     const char *headers[3] = {0};
     size_t n = 0;
-    if (call->match)
-        headers[n++] = call->match;
+    if (call->condition_header)
+        headers[n++] = call->condition_header;
     if (call->body)
         headers[n++] = "Content-Type: application/json";
     struct rk_http_spec spec = {
@@ -80,8 +80,8 @@
         .connect_timeout_ms = CONNECT_TIMEOUT_MS,
         /* A write that libcurl sent again would conflict with the first one. */
         .no_resend = strcmp(call->method, "GET") != 0,
-        .timeout_ms =
-            call->limit_ms ? call->limit_ms : CALL_TIMEOUT_MS + call->wait_ms,
+        .timeout_ms = call->call_timeout_ms ? call->call_timeout_ms
+                                            : CALL_TIMEOUT_MS + call->wait_ms,
         .handlers = {.on_header = on_header,
                      .on_data = on_data,
                      .on_done = on_done},
--- a/common/rest.h
+++ b/common/rest.h
@@ -29,10 +29,11 @@
 struct rk_rest_call {
     const char *method;
     const char *url;
-    const char *match; /* a conditional header line such as If-Match, or NULL */
-    const char *body;  /* JSON, or NULL */
-    int64_t wait_ms;   /* how long the peer may delay the response (a watch) */
-    int64_t limit_ms;  /* time-out of the whole call; 0: 2 s plus wait_ms */
+    const char
+        *condition_header; /* a conditional header line such as If-Match, or NULL */
+    const char *body;      /* JSON, or NULL */
+    int64_t wait_ms;       /* how long the peer may delay the response (a watch) */
+    int64_t call_timeout_ms; /* time-out of the whole call; 0: 2 s plus wait_ms */
 };
 
 /* Starts a call. fn is called exactly once, never before this returns. A response
--- a/control/claims_io.c
+++ b/control/claims_io.c
@@ -180,7 +180,7 @@
         .retention_ms = io->c->config->claim_retention_s * RK_MS_PER_S,
         .writes_per_s = (double)io->c->config->claim_writes_per_s /
                         (double)io->c->config->claim_shards,
-        .patience_ms = CLAIM_TIMEOUT_MS,
+        .claim_timeout_ms = CLAIM_TIMEOUT_MS,
         .answer_bytes = MAX_ANSWER_BYTES,
         .max_tickets = MAX_TICKETS,
         .seed = rk_rng_next(&io->c->rng),
@@ -311,7 +311,7 @@
 struct rk_claim_port rk_claims_io_port(struct rk_claims_io *io)
 {
     return (struct rk_claim_port){.ctx = io,
-                                  .ask = port_request,
+                                  .acquire = port_request,
                                   .cancel = port_cancel,
                                   .finish = port_finish};
 }
--- a/control/control.c
+++ b/control/control.c
@@ -68,7 +68,7 @@
 static void publish(void *ctx)
 {
     struct rk_control *c = ctx;
-    rk_view_publish(c->opt.views, build_view(c));
+    rk_view_publish(c->opt.view_cell, build_view(c));
     for (size_t i = 0; i < c->traffic_len; i++)
         rk_traffic_view_changed(c->traffic[i]);
 }
@@ -98,7 +98,7 @@
 {
     struct rk_control *c = rk_alloc(1, sizeof(*c));
     c->opt = *opt;
-    c->rng.state = opt->seed;
+    c->rng.state = opt->rng_seed;
     c->loop = rk_loop_create();
     c->http = rk_http_create(c->loop);
     c->objects = rk_objects_create(c->http, opt->platform);
--- a/control/control.h
+++ b/control/control.h
@@ -25,8 +25,8 @@
     char platform[RK_ADDR_MAX * 2];        /* "http://ip:port" */
     char seeds[RK_MAX_SEEDS][RK_ADDR_MAX]; /* nodes to join through */
     size_t seeds_len;
-    uint64_t seed;              /* seeds the random number generator */
-    struct rk_view_cell *views; /* borrowed; receives the snapshots */
+    uint64_t rng_seed;              /* seeds the random number generator */
+    struct rk_view_cell *view_cell; /* borrowed; receives the snapshots */
 };
 
 /* Creates the control thread's state. opt is copied. Returns NULL when the control
--- a/control/gossip.c
+++ b/control/gossip.c
@@ -100,7 +100,7 @@
     frame.body_case = RILLKNOT__FRAME__BODY_GOSSIP;
     frame.gossip = &rows.gossip;
     if (send_frame(link, &frame))
-        sent->high_water = g->delta.next_mark;
+        sent->high_water = g->delta.next_high_water;
     rk_rows_free(&rows);
 }
 
@@ -507,7 +507,8 @@
 {
     uint32_t spare = 0;
     for (size_t i = 0; i < c->traffic_len; i++)
-        spare += atomic_load_explicit(&c->traffic[i]->spare, memory_order_relaxed);
+        spare +=
+            atomic_load_explicit(&c->traffic[i]->spare_slots, memory_order_relaxed);
     return spare;
 }
 
--- a/core/call.h
+++ b/core/call.h
@@ -24,7 +24,8 @@
 struct rk_request {
     char id[RK_ID_MAX];
     char org[RK_ID_MAX];
-    char cls[RK_ID_MAX];     /* priority class; "": the organisation's default */
+    char priority_class[RK_ID_MAX]; /* priority class; "": the organisation's
+                                       default */
     char service[RK_ID_MAX]; /* "": to be looked up by the model in the body */
     char call[RK_ID_MAX];
     char method[12];
@@ -69,8 +70,8 @@
 /* Receiver of an answer: part() is called for each piece, in order, then end()
  * once. Neither is called after the call was cancelled. */
 struct rk_sink {
-    void (*part)(void *ctx, const struct rk_part *part);
-    void (*end)(void *ctx, const struct rk_outcome *outcome);
+    void (*on_answer_piece)(void *ctx, const struct rk_part *part);
+    void (*on_answer_end)(void *ctx, const struct rk_outcome *outcome);
 };
 
 /* Frees the body; the struct itself is the caller's. */
--- a/core/claims.c
+++ b/core/claims.c
@@ -518,7 +518,7 @@
 static void time_out_key(struct rk_claims *c, struct claim_entry *e, int64_t now_ms)
 {
     struct claim_ticket *t = e->tickets;
-    int64_t timeout_ms = c->cfg.patience_ms;
+    int64_t timeout_ms = c->cfg.claim_timeout_ms;
     if (c->platform_down)
         timeout_ms = timeout_ms * DOWN_TIMEOUT_PCT / 100;
     if (!t || e->state != ENTRY_PENDING || now_ms - t->since_ms < timeout_ms)
--- a/core/claims.h
+++ b/core/claims.h
@@ -95,13 +95,13 @@
 
 struct rk_claims_config {
     uint32_t shard;
-    const char *owner;    /* this node's id; copied */
-    int64_t retention_ms; /* time for which a key is remembered */
-    int64_t patience_ms;  /* longest time that a claim waits for the platform */
-    size_t answer_bytes;  /* most bytes of answers kept for replays */
-    size_t max_tickets;   /* most calls that may wait */
-    uint64_t seed;        /* must differ between incarnations of a node */
-    size_t slot_keys;     /* keys of a slot; 0: RK_CLAIM_SLOT_KEYS, the maximum */
+    const char *owner;        /* this node's id; copied */
+    int64_t retention_ms;     /* time for which a key is remembered */
+    int64_t claim_timeout_ms; /* longest time that a claim waits for the platform */
+    size_t answer_bytes;      /* most bytes of answers kept for replays */
+    size_t max_tickets;       /* most calls that may wait */
+    uint64_t seed;            /* must differ between incarnations of a node */
+    size_t slot_keys;    /* keys of a slot; 0: RK_CLAIM_SLOT_KEYS, the maximum */
     double writes_per_s; /* this shard's share of claim_writes_per_s; 0: no limit */
 };
 
--- a/core/dialect.c
+++ b/core/dialect.c
@@ -17,13 +17,13 @@
 {
     /* This node answers "Expect" itself: it reads the whole body before it sends a
      * byte to an upstream. */
-    const char *const reserved[] = {d->key,        d->deadline_ms, d->organisation,
-                                    d->vm_id,      d->rank,        d->fetch_from,
-                                    d->go_on_from, "Expect"};
+    const char *const reserved[] = {
+        d->api_key, d->deadline_ms, d->organisation,  d->vm_id,
+        d->rank,    d->kv_source,   d->kv_moved_from, "Expect"};
     const char *const callers[] = {d->request_id, d->model, d->tokens, d->prefix,
                                    d->resume_after};
     if (is_one_of(reserved, RK_ARRAY_LEN(reserved), name) ||
-        is_one_of(d->orders, d->orders_len, name))
+        is_one_of(d->reserved_headers, d->reserved_headers_len, name))
         return RK_HEADER_OURS;
     if (is_one_of(callers, RK_ARRAY_LEN(callers), name))
         return RK_HEADER_CALLERS;
--- a/core/engine.c
+++ b/core/engine.c
@@ -47,7 +47,7 @@
 static void terms_of(const struct rk_engine_load *load, double x[RK_ENGINE_TERMS])
 {
     x[0] = 1;
-    x[1] = (load->unread + load->waiting * UNREAD_SHARE) / KTOKEN;
+    x[1] = (load->uncached_tokens + load->waiting_tokens * UNREAD_SHARE) / KTOKEN;
     x[2] = load->running;
 }
 
@@ -103,16 +103,16 @@
     *e = (struct rk_engine){
         .prior = {PRIOR_FIXED_MS, PRIOR_KTOKEN_MS, PRIOR_RUNNING_MS},
         .prior_weight = 1,
-        .calm_ktoken_ms = PRIOR_KTOKEN_MS,
+        .unloaded_ktoken_ms = PRIOR_KTOKEN_MS,
         .error_ms = PRIOR_ERROR_MS};
     solve(e);
 }
 
 bool rk_engine_is_sound(const struct rk_engine_estimate *estimate)
 {
-    const double values[] = {estimate->fixed_ms,       estimate->ktoken_ms,
-                             estimate->calm_ktoken_ms, estimate->running_ms,
-                             estimate->error_ms,       estimate->samples};
+    const double values[] = {estimate->fixed_ms,           estimate->ktoken_ms,
+                             estimate->unloaded_ktoken_ms, estimate->running_ms,
+                             estimate->error_ms,           estimate->samples};
     for (size_t i = 0; i < sizeof(values) / sizeof(values[0]); i++)
         if (!isfinite(values[i]) || values[i] < 0 || values[i] > VALUE_MAX)
             return false;
@@ -130,7 +130,7 @@
     e->prior_weight = fmax(1, fmin(reported->samples, PEER_WEIGHT_MAX));
     if (e->samples < 1) {
         e->error_ms = fmax(reported->error_ms, ERROR_MIN_MS);
-        e->calm_ktoken_ms = fmax(reported->calm_ktoken_ms, KTOKEN_MIN_MS);
+        e->unloaded_ktoken_ms = fmax(reported->unloaded_ktoken_ms, KTOKEN_MIN_MS);
     }
     solve(e);
 }
@@ -153,11 +153,11 @@
 
 static void update_unloaded(struct rk_engine *e)
 {
-    double share =
-        e->coef[1] < e->calm_ktoken_ms ? UNLOADED_WEIGHT_DOWN : UNLOADED_WEIGHT_UP;
+    double share = e->coef[1] < e->unloaded_ktoken_ms ? UNLOADED_WEIGHT_DOWN
+                                                      : UNLOADED_WEIGHT_UP;
     if (e->total_calls < WARMUP_CALLS)
         share = fmax(share, 1 / (e->total_calls + 1)); /* plain mean at first */
-    e->calm_ktoken_ms += share * (e->coef[1] - e->calm_ktoken_ms);
+    e->unloaded_ktoken_ms += share * (e->coef[1] - e->unloaded_ktoken_ms);
 }
 
 void rk_engine_learn(struct rk_engine *e, const struct rk_engine_load *load,
@@ -202,7 +202,7 @@
         variance += x[i] * dot(e->cov[i], x);
     return (struct rk_engine_forecast){
         .ms = dot(e->coef, x),
-        .doubt_ms = e->error_ms * sqrt(fmax(variance, 0)),
+        .std_error_ms = e->error_ms * sqrt(fmax(variance, 0)),
     };
 }
 
@@ -210,7 +210,7 @@
 {
     return (struct rk_engine_estimate){.fixed_ms = e->coef[0],
                                        .ktoken_ms = e->coef[1],
-                                       .calm_ktoken_ms = e->calm_ktoken_ms,
+                                       .unloaded_ktoken_ms = e->unloaded_ktoken_ms,
                                        .running_ms = e->coef[2],
                                        .error_ms = e->error_ms,
                                        .samples = e->samples};
@@ -218,8 +218,9 @@
 
 double rk_engine_read_per_s(const struct rk_engine_estimate *estimate)
 {
-    double ktoken_ms =
-        estimate->calm_ktoken_ms > 0 ? estimate->calm_ktoken_ms : PRIOR_KTOKEN_MS;
+    double ktoken_ms = estimate->unloaded_ktoken_ms > 0
+                           ? estimate->unloaded_ktoken_ms
+                           : PRIOR_KTOKEN_MS;
     return KTOKEN * KTOKEN / fmax(ktoken_ms, KTOKEN_MIN_MS);
 }
 
@@ -232,7 +233,8 @@
     double share = more->samples / all;
     sum->fixed_ms += share * (more->fixed_ms - sum->fixed_ms);
     sum->ktoken_ms += share * (more->ktoken_ms - sum->ktoken_ms);
-    sum->calm_ktoken_ms += share * (more->calm_ktoken_ms - sum->calm_ktoken_ms);
+    sum->unloaded_ktoken_ms +=
+        share * (more->unloaded_ktoken_ms - sum->unloaded_ktoken_ms);
     sum->running_ms += share * (more->running_ms - sum->running_ms);
     sum->error_ms += share * (more->error_ms - sum->error_ms);
     sum->samples = all;
--- a/core/engine.h
+++ b/core/engine.h
@@ -16,9 +16,9 @@
 
 /* Load on the VM when a call was sent to it, as far as the node knew. */
 struct rk_engine_load {
-    double unread;  /* prompt tokens of the call that were not cached */
-    double waiting; /* prompt tokens of other calls, not read yet */
-    double running; /* calls in flight there */
+    double uncached_tokens; /* prompt tokens of the call that were not cached */
+    double waiting_tokens;  /* prompt tokens of other calls, not read yet */
+    double running;         /* calls in flight there */
 };
 
 /* An estimate, as nodes report it to each other. */
@@ -26,7 +26,7 @@
     double fixed_ms;  /* fixed part of every time to first token */
     double ktoken_ms; /* additional time per 1,000 tokens to be read */
     /* The same without load, which shows the reading capacity. */
-    double calm_ktoken_ms;
+    double unloaded_ktoken_ms;
     double running_ms; /* additional time per call in flight */
     double error_ms;   /* typical absolute error of the estimate */
     double samples;    /* calls that it is based on; 0: nothing is known */
@@ -42,19 +42,19 @@
     double cov[RK_ENGINE_TERMS][RK_ENGINE_TERMS];
     double coef[RK_ENGINE_TERMS];
     double prior[RK_ENGINE_TERMS];
-    double prior_weight;   /* in calls */
-    double samples;        /* effective number of calls, decaying */
-    double total_calls;    /* calls learned from in total */
-    double calm_ktoken_ms; /* follows coef fast downwards and slowly upwards */
-    double error_ms;       /* smoothed absolute error, with outliers clipped */
-    double drift;          /* smoothed error / error_ms; near 0 if the model fits */
+    double prior_weight;       /* in calls */
+    double samples;            /* effective number of calls, decaying */
+    double total_calls;        /* calls learned from in total */
+    double unloaded_ktoken_ms; /* follows coef fast downwards and slowly upwards */
+    double error_ms;           /* smoothed absolute error, with outliers clipped */
+    double drift;        /* smoothed error / error_ms; near 0 if the model fits */
     double error_growth; /* smoothed absolute error / error_ms; near 1 if it fits */
 };
 
 /* A prediction for one call. */
 struct rk_engine_forecast {
-    double ms;       /* expected time to first token */
-    double doubt_ms; /* standard error of ms, due to few samples */
+    double ms;           /* expected time to first token */
+    double std_error_ms; /* standard error of ms, due to few samples */
 };
 
 /* Resets the model to the built-in prior. */
--- a/core/events.c
+++ b/core/events.c
@@ -52,29 +52,29 @@
 {
     if (e->failed)
         return;
-    e->part.max = RK_EVENT_MAX;
-    if (!rk_buf_add(&e->part, data, len)) {
+    e->partial.max = RK_EVENT_MAX;
+    if (!rk_buf_add(&e->partial, data, len)) {
         e->failed = true;
         return;
     }
     size_t at = 0, n;
-    while ((n = event_length(e->part.data + at, e->part.len - at))) {
+    while ((n = event_length(e->partial.data + at, e->partial.len - at))) {
         char id[RK_EVENT_ID_MAX];
-        find_id(e->part.data + at, n, id);
+        find_id(e->partial.data + at, n, id);
         if (id[0])
             rk_strcpy(e->last_id, sizeof(e->last_id), id);
-        fn(ctx, e->part.data + at, n, id);
+        fn(ctx, e->partial.data + at, n, id);
         at += n;
     }
-    rk_buf_consume(&e->part, at);
+    rk_buf_consume(&e->partial, at);
 }
 
 void rk_events_restart(struct rk_events *e)
 {
-    e->part.len = 0;
+    e->partial.len = 0;
 }
 
 void rk_events_free(struct rk_events *e)
 {
-    rk_buf_free(&e->part);
+    rk_buf_free(&e->partial);
 }
--- a/core/events.h
+++ b/core/events.h
@@ -14,7 +14,7 @@
 
 /* A splitter; zeroed, it is ready for use. */
 struct rk_events {
-    struct rk_buf part;            /* bytes of an event that is not complete yet */
+    struct rk_buf partial;         /* bytes of an event that is not complete yet */
     char last_id[RK_EVENT_ID_MAX]; /* id of the last event that had one */
     bool failed;                   /* the buffer would have exceeded RK_EVENT_MAX */
 };
--- a/core/following.h
+++ b/core/following.h
@@ -26,14 +26,16 @@
 
 /* State of a node on which the decision is based. */
 struct rk_following {
-    bool first_start; /* first start of the deployment: nothing runs yet */
-    int64_t up_ms;    /* time since this node's start */
-    bool listed;      /* knows which other nodes exist */
-    bool ready;       /* has settings and the list of VMs */
-    bool waits;       /* restarts, and other nodes read the store before it */
-    int before;     /* nodes that start to watch sooner; below 0: always watches */
-    bool follows;   /* watches the store now */
-    bool served;    /* one of the nodes before it watches and gets answers */
+    bool first_start;    /* first start of the deployment: nothing runs yet */
+    int64_t up_ms;       /* time since this node's start */
+    bool listed;         /* knows which other nodes exist */
+    bool ready;          /* has settings and the list of VMs */
+    bool waits_for_slot; /* restarts, and other nodes read the store before it */
+    int nodes_before; /* nodes that start to watch sooner; below 0: always watches
+                       */
+    bool watches;     /* watches the store now */
+    bool has_preceding_watch; /* one of the nodes before it watches and gets answers
+                               */
     int64_t age_ms; /* time since its knowledge was confirmed; below 0: never */
 };
 
--- a/core/holding.c
+++ b/core/holding.c
@@ -51,7 +51,7 @@
                     const struct rk_holding_target *targets, size_t i)
 {
     int reclaimable = targets[i].reclaimable;
-    if (in->none)
+    if (in->all_exhausted)
         reclaimable = min(reclaimable, in->domains[i].reclaimable);
     return in->max_vms - targets[i].on_demand - reclaimable;
 }
@@ -61,7 +61,7 @@
 static bool is_exhausted(const struct rk_holding_input *in,
                          const struct rk_holding_target *targets, size_t i)
 {
-    return in->domains[i].closed &&
+    return in->domains[i].no_reclaimable &&
            targets[i].reclaimable >= in->domains[i].reclaimable;
 }
 
@@ -127,8 +127,8 @@
                            const struct rk_holding_target *targets, size_t i)
 {
     int minimum = min(RECLAIMABLE_MIN, free_vms(in, targets, i));
-    return in->domains[i].closed ? min(minimum, in->domains[i].reclaimable)
-                                 : minimum;
+    return in->domains[i].no_reclaimable ? min(minimum, in->domains[i].reclaimable)
+                                         : minimum;
 }
 
 /* While fewer reclaimable VMs are in service than planned, no domain stops any: VMs
@@ -159,16 +159,16 @@
         reclaimable += in->domains[i].reclaimable;
     }
     int held = on_demand > floor ? on_demand - floor : 0;
-    int remaining = in->none ? 0 : reclaimable;
-    int needed = (int)ceil(in->need_now * SUBSTITUTE_SHARE) - floor - remaining;
+    int remaining = in->all_exhausted ? 0 : reclaimable;
+    int needed = (int)ceil(in->need_fast * SUBSTITUTE_SHARE) - floor - remaining;
     if (needed < 0)
         needed = 0;
     if (needed >= held)
-        return in->none || !cheaper ? needed : held;
-    if (in->idle || (!in->none && reclaimable >= planned_reclaimable))
+        return in->all_exhausted || !cheaper ? needed : held;
+    if (in->idle || (!in->all_exhausted && reclaimable >= planned_reclaimable))
         return needed;
     int to_stop = (int)((held - needed) * STOP_SHARE);
-    return in->settled ? held - (to_stop > 1 ? to_stop : 1) : held;
+    return in->may_shrink ? held - (to_stop > 1 ? to_stop : 1) : held;
 }
 
 /* Raises the targets to what is held. The VMs were ordered for a demand that this
@@ -216,6 +216,6 @@
             break;
         targets[at].on_demand++;
     }
-    if (in->keep)
+    if (in->keep_all)
         keep_held(in, targets);
 }
--- a/core/holding.h
+++ b/core/holding.h
@@ -23,24 +23,24 @@
 /* State of one failure domain, by the platform's VM list and the orders. */
 struct rk_holding_domain {
     char name[RK_ID_MAX];
-    double price;    /* of an on-demand VM */
-    int on_demand;   /* on-demand VMs held, not leaving */
-    int booting;     /* on-demand VMs ordered and not listed yet */
-    int reclaimable; /* reclaimable VMs held, not leaving */
-    bool closed;     /* no more reclaimable VMs can be had there now */
+    double price;        /* of an on-demand VM */
+    int on_demand;       /* on-demand VMs held, not leaving */
+    int booting;         /* on-demand VMs ordered and not listed yet */
+    int reclaimable;     /* reclaimable VMs held, not leaving */
+    bool no_reclaimable; /* no more reclaimable VMs can be had there now */
 };
 
 struct rk_holding_input {
     struct rk_holding_domain domains[RK_HOLDING_DOMAINS];
     size_t domains_len;
     int min_vms, max_vms; /* per domain, both kinds together */
-    double spot_price; /* price of a reclaimable VM relative to an on-demand one */
-    double need;       /* VMs, from rk_holding_need(), decaying slowly */
-    double need_now;   /* the same, decaying fast; for on-demand substitutes */
-    bool none;         /* no domain has reclaimable VMs to give */
-    bool idle;         /* no calls run, so surplus VMs may be stopped all at once */
-    bool settled;      /* the last on-demand VM was stopped long enough ago */
-    bool keep;         /* stop no VM, as too little is known of the demand */
+    double spot_price;  /* price of a reclaimable VM relative to an on-demand one */
+    double need;        /* VMs, from rk_holding_need(), decaying slowly */
+    double need_fast;   /* the same, decaying fast; for on-demand substitutes */
+    bool all_exhausted; /* no domain has reclaimable VMs to give */
+    bool idle;       /* no calls run, so surplus VMs may be stopped all at once */
+    bool may_shrink; /* the last on-demand VM was stopped long enough ago */
+    bool keep_all;   /* stop no VM, as too little is known of the demand */
 };
 
 /* VMs to hold in one domain. */
--- a/core/lease.c
+++ b/core/lease.c
@@ -7,7 +7,7 @@
 
 static int64_t usable_ms(const struct rk_lease *l)
 {
-    return l->life_ms - l->life_ms * RK_LEASE_MARGIN_PCT / 100;
+    return l->ttl_ms - l->ttl_ms * RK_LEASE_MARGIN_PCT / 100;
 }
 
 void rk_lease_seen(struct rk_lease *l, int64_t version, const char *value,
@@ -47,9 +47,9 @@
 bool rk_lease_wants(struct rk_lease *l, int64_t now_ms,
                     char value[RK_LEASE_VALUE_MAX], int64_t *expect)
 {
-    bool renew = l->held && now_ms - l->renewed_ms >= l->life_ms / 3;
+    bool renew = l->held && now_ms - l->renewed_ms >= l->ttl_ms / 3;
     bool expired = l->seen_ms && (!l->version || held_by_past_incarnation(l) ||
-                                  now_ms - l->seen_ms > l->life_ms);
+                                  now_ms - l->seen_ms > l->ttl_ms);
     if (!renew && (l->held || !expired))
         return false;
     /* A holder that was suspended past its lease starts over, with a new epoch. */
--- a/core/lease.h
+++ b/core/lease.h
@@ -26,7 +26,7 @@
  * starts at zero. */
 struct rk_lease {
     char holder[RK_ID_MAX]; /* this process: "NAME/INCARNATION", or a name alone */
-    int64_t life_ms;        /* lease duration */
+    int64_t ttl_ms;         /* lease duration */
     /* Last known state of the object. */
     int64_t version; /* 0: absent */
     int64_t epoch;
--- a/core/members.c
+++ b/core/members.c
@@ -207,7 +207,7 @@
             /* After a refutation the run is the same, so its newer attributes stay
              * valid. */
             old->attr_seq = attr_seq;
-            old->head = keep.head;
+            old->applied_version = keep.applied_version;
             old->spare = keep.spare;
         }
         old->since_ms = now_ms;
@@ -217,7 +217,7 @@
     bool relevant = false;
     if (row->attr_seq > old->attr_seq) {
         old->attr_seq = row->attr_seq;
-        old->head = row->head;
+        old->applied_version = row->applied_version;
         old->spare = row->spare;
         mark_changed(m, old, source);
     }
@@ -236,10 +236,10 @@
 void rk_members_set_head(struct rk_members *m, int64_t head)
 {
     struct rk_member *self = &m->members[0];
-    assert(head >= self->head);
-    if (head == self->head)
+    assert(head >= self->applied_version);
+    if (head == self->applied_version)
         return;
-    self->head = head;
+    self->applied_version = head;
     self->attr_seq++;
     mark_changed(m, self, -1);
 }
@@ -403,7 +403,7 @@
                       int64_t now_ms, struct rk_delta *out)
 {
     out->members_len = out->vms_len = out->loads_len = 0;
-    out->next_mark = m->seq;
+    out->next_high_water = m->seq;
     for (size_t i = 0; i < m->members_len; i++) {
         const struct rk_member *row = &m->members[i];
         if (row->changed > mark && (peer < 0 || row->source != peer))
--- a/core/members.h
+++ b/core/members.h
@@ -34,8 +34,8 @@
     enum rk_member_state state;
     bool leaving;      /* planned stop; stays set for the incarnation */
     uint64_t attr_seq; /* incremented by the owner when head or spare changes */
-    int64_t head;      /* last settings change in force on that node */
-    uint32_t spare;    /* calls that it could take now */
+    int64_t applied_version; /* last settings change in force on that node */
+    uint32_t spare;          /* calls that it could take now */
     /* Local, never sent: */
     uint64_t changed; /* change number of the row */
     int64_t since_ms; /* when this node saw the current state begin */
@@ -138,7 +138,7 @@
  * next call. Loads are included only while they are recent; older ones have reached
  * the peer by other nodes. */
 struct rk_delta {
-    uint64_t next_mark;
+    uint64_t next_high_water;
     size_t members_len, vms_len, loads_len;
     uint16_t members[RK_MAX_MEMBERS];
     uint16_t vms[RK_MAX_VMS];
--- a/core/org_uses.c
+++ b/core/org_uses.c
@@ -22,13 +22,13 @@
     bool changed = use->units != rk_tally_total(told, use->org);
     if (changed)
         *rk_tally_at(told, use->org) = use->units;
-    return changed || use->asking >= DEMAND_MIN;
+    return changed || use->demand_per_s >= DEMAND_MIN;
 }
 
 void rk_org_uses_begin(struct rk_org_uses *u)
 {
     for (size_t i = 0; i < u->len; i++)
-        u->rows[i].asking = 0;
+        u->rows[i].demand_per_s = 0;
 }
 
 bool rk_org_uses_has(const struct rk_org_uses *u, const char *org)
--- a/core/org_uses.h
+++ b/core/org_uses.h
@@ -19,13 +19,13 @@
 struct rk_org_use {
     char org[RK_ID_MAX]; /* must be first: see core/names.h */
     double units;
-    double asking; /* units/s requested by callers, refused calls included */
+    double demand_per_s; /* units/s requested by callers, refused calls included */
     /* Units that all nodes used within the quota window, as far as the reporting
      * node knows, per window slice, newest first. */
-    double known[RK_QUOTA_PARTS];
+    double used_slices[RK_QUOTA_PARTS];
     /* Like known, plus persisted usage from before a restart; set only in reports
      * to the control thread. */
-    double kept[RK_QUOTA_PARTS];
+    double persisted_slices[RK_QUOTA_PARTS];
 };
 
 /* Returns the record of an organisation among len records, or NULL. */
--- a/core/place.c
+++ b/core/place.c
@@ -101,7 +101,7 @@
 {
     memset(p->index, 0, p->index_len * sizeof(struct rk_place_vm *));
     for (struct rk_place_vm *v = p->vms; v; v = v->next)
-        if (!v->over)
+        if (!v->superseded)
             index_insert(p, v);
 }
 
@@ -140,13 +140,15 @@
 
 bool rk_vm_is_reborn(const struct rk_vm_row *before, const struct rk_vm_row *now)
 {
-    return before->born_ms && now->born_ms > before->born_ms;
+    return before->started_ms && now->started_ms > before->started_ms;
 }
 
 uint64_t rk_vm_life(const struct rk_vm_row *row)
 {
     uint64_t hash = rk_hash_str(0, row->id);
-    return row->born_ms ? rk_hash(hash, &row->born_ms, sizeof(row->born_ms)) : hash;
+    return row->started_ms
+               ? rk_hash(hash, &row->started_ms, sizeof(row->started_ms))
+               : hash;
 }
 
 /* Replaces a VM by its new incarnation. Of the past incarnation only the calls
@@ -156,7 +158,7 @@
                                              const struct rk_vm_row *row,
                                              int64_t now_ms)
 {
-    before->over = true;
+    before->superseded = true;
     before->listed = false;
     before->row.leaving = true;
     index_rebuild(p);
@@ -196,8 +198,8 @@
     if (rk_vm_is_reborn(row, &v->row))
         return false; /* the row is of a past incarnation */
     bool leaving = v->row.leaving || row->leaving || rk_place_advertises_leaving(v);
-    if (leaving && !v->left_ms)
-        v->left_ms = now_ms;
+    if (leaving && !v->leaving_since_ms)
+        v->leaving_since_ms = now_ms;
     v->row = *row;
     v->row.leaving = leaving; /* leaving is final */
     return restarted;
@@ -315,9 +317,10 @@
 static bool matches_version(const struct rk_place_query *q,
                             const struct rk_place_vm *v)
 {
-    if (v->row.barred || !v->rollout)
-        return !v->row.barred;
-    return v->is_new ? q->tries && v->gets_rollout_calls : !q->tries;
+    if (v->row.blocked || !v->rollout)
+        return !v->row.blocked;
+    return v->is_new ? q->wants_new_version && v->gets_rollout_calls
+                     : !q->wants_new_version;
 }
 
 /* Returns true if the VM may get the call, apart from limits and cooldowns that end
@@ -362,7 +365,7 @@
                            uint32_t service_hash, struct preferred *h)
 {
     *h = (struct preferred){.shared = shared_prefix_tokens(q) >= SHARED_MIN_TOKENS};
-    uint64_t key = h->shared ? affinity_key(q) : q->request;
+    uint64_t key = h->shared ? affinity_key(q) : q->request_hash;
     if (!q->engine)
         return;
     for (const struct rk_place_vm *v = p->vms; v; v = v->next)
@@ -408,10 +411,10 @@
                                            const struct rk_place_vm *v,
                                            double share, int64_t now_ms)
 {
-    double unread = q->tokens_in - cached_tokens(p, q, v, share, now_ms);
+    double unread = q->prompt_tokens - cached_tokens(p, q, v, share, now_ms);
     return (struct rk_engine_load){
-        .unread = unread > 0 ? unread : 0,
-        .waiting = v->waiting_tokens + v->peers_waiting_tokens,
+        .uncached_tokens = unread > 0 ? unread : 0,
+        .waiting_tokens = v->waiting_tokens + v->peers_waiting_tokens,
         .running = v->running + (double)v->peers_running};
 }
 
@@ -424,7 +427,8 @@
                              const struct rk_engine_load *load)
 {
     const struct rk_engine_load weighted = {
-        .unread = load->unread * UNREAD_WEIGHT + load->waiting * WAITING_WEIGHT,
+        .uncached_tokens = load->uncached_tokens * UNREAD_WEIGHT +
+                           load->waiting_tokens * WAITING_WEIGHT,
         .running = load->running};
     return rk_engine_first_ms(&v->speed->engine, &weighted);
 }
@@ -444,7 +448,7 @@
                                          int64_t now_ms, double *cost_ms)
 {
     struct rk_pace health =
-        rk_vm_health_combined(&v->pace, &v->peers_health, now_ms);
+        rk_vm_health_combined(&v->health, &v->peers_health, now_ms);
     double slowdown = rk_pace_factor(&health, v->speed->mean_log_ratio);
     double penalty_ms = health_penalty_ms(v, &health, now_ms);
     struct rk_engine_forecast f = {0};
@@ -468,7 +472,8 @@
 {
     struct preferred preferred;
     find_preferred(p, q, vm->service_hash, &preferred);
-    return expected_load(p, q, vm, cached_share(&preferred, vm), now_ms).unread;
+    return expected_load(p, q, vm, cached_share(&preferred, vm), now_ms)
+        .uncached_tokens;
 }
 
 int rk_place_home(const struct rk_place *p, const struct rk_place_query *q,
@@ -555,7 +560,7 @@
         job->load = expected_load(p, q, vm, share, now_ms);
         job->expected_ms = rk_engine_first_ms(&vm->speed->engine, &job->load);
         cache_segments(p, vm, q, now_ms);
-        vm->waiting_tokens += job->load.unread;
+        vm->waiting_tokens += job->load.uncached_tokens;
     } else {
         job->in_flight_per_slot = in_flight_per_slot(vm);
         job->expected_ms = rk_speed_plain(vm->speed, job->in_flight_per_slot);
--- a/core/place.h
+++ b/core/place.h
@@ -25,7 +25,8 @@
 /* A VM as listed by the platform. */
 struct rk_vm_row {
     char id[RK_ID_MAX];
-    int64_t born_ms; /* start of this incarnation by the VM's clock; 0: unknown */
+    int64_t
+        started_ms; /* start of this incarnation by the VM's clock; 0: unknown */
     char addr[RK_ADDR_MAX];
     char service[RK_ID_MAX];
     char domain[RK_ID_MAX];
@@ -39,17 +40,17 @@
      * 0: not stated. */
     int64_t cold_ms;
     /* Gets no calls: nobody ordered its version, as far as known. */
-    bool barred;
+    bool blocked;
 };
 
 /* Calls that a node has in flight at a VM, and the VM's health as that node sees
  * it. */
 struct rk_vm_load {
     char id[RK_ID_MAX];
-    uint32_t life; /* hash of the incarnation; 0: unknown */
+    uint32_t incarnation; /* hash of the incarnation; 0: unknown */
     uint32_t running;
     double waiting_tokens; /* unread prompt tokens of calls without a first token */
-    struct rk_pace pace;   /* decayed to the time of the report */
+    struct rk_pace health; /* decayed to the time of the report */
 };
 
 /* State of a VM. Other files may read it; only the placement writes it. */
@@ -62,23 +63,24 @@
     uint32_t service_hash;
     struct rk_vm_signal *signal; /* what the VM advertises; NULL: nothing so far */
     bool listed;                 /* on the platform's list */
-    bool over;   /* the VM was restarted; kept only for calls still in flight */
-    int calls;   /* calls of this node in flight; the record is kept until 0 */
-    int running; /* the same number as calls */
+    bool superseded; /* the VM was restarted; kept only for calls still in flight */
+    int calls;       /* calls of this node in flight; the record is kept until 0 */
+    int running;     /* the same number as calls */
     int awaiting_first_byte; /* calls in running that have no first byte yet */
     double waiting_tokens;   /* unread prompt tokens of this node's calls */
     uint32_t peers_running;  /* calls of the peers in flight */
     double peers_waiting_tokens;
     /* Times in a row that it was unreachable or unresponsive, or broke off. Calls
      * that it answered with an error don't count. */
-    int failures;
+    int losses_in_row;
     int64_t paused_until_ms;
     struct rk_speed *speed; /* speed of its service; not owned */
     /* Health as seen by calls of this node, and as reported by peers. */
-    struct rk_pace pace, peers_health;
+    struct rk_pace health, peers_health;
     const struct rk_place_rollout *rollout; /* rollout of its service; NULL: none */
-    int64_t left_ms; /* when its leaving became known; 0: it isn't leaving */
-    bool is_new;     /* runs the rollout's new version */
+    int64_t
+        leaving_since_ms; /* when its leaving became known; 0: it isn't leaving */
+    bool is_new;          /* runs the rollout's new version */
     /* Among the new VMs that get calls of the rollout now. */
     bool gets_rollout_calls;
     int64_t cold_until_ms; /* its calls don't count in the rollout until then */
@@ -105,10 +107,11 @@
     bool engine; /* calls an engine, not a plain service */
     struct rk_place_segment segments[RK_PLACE_MAX_SEGMENTS];
     size_t segments_len;
-    double tokens_in;  /* tokens of the whole prompt */
-    uint64_t request;  /* hash of the request; spreads calls that share little */
+    double prompt_tokens; /* tokens of the whole prompt */
+    uint64_t
+        request_hash;  /* hash of the request; spreads calls that share little */
     const char *route; /* name of the route; must stay valid until the call ends */
-    bool tries;        /* uses the new version of a service in rollout */
+    bool wants_new_version; /* uses the new version of a service in rollout */
     /* Hashes of the VMs that failed the call. */
     uint64_t excluded[RK_PLACE_EXCLUDED];
     size_t excluded_len;
@@ -174,7 +177,8 @@
 /* Calls of this node in flight at all VMs of a service. */
 struct rk_place_in_hand {
     uint32_t running;
-    uint32_t begun; /* calls in running that have got their first byte */
+    uint32_t
+        first_byte_received; /* calls in running that have got their first byte */
 };
 struct rk_place_in_hand rk_place_in_hand(const struct rk_place *p,
                                          const char *service);
@@ -224,8 +228,8 @@
     double expected_ms;
     int64_t sent_ms;
     bool engine;
-    bool first; /* got its first byte, or ended without one */
-    bool odd;   /* resumes a stream: excluded from latency measurement */
+    bool got_first_byte; /* got its first byte, or ended without one */
+    bool resumes_stream; /* resumes a stream: excluded from latency measurement */
     /* Its route in the rollout's statistics; NULL: it isn't counted there. */
     const char *canary_route;
 };
--- a/core/place_jobs.c
+++ b/core/place_jobs.c
@@ -12,11 +12,11 @@
  * ended. */
 static void end_prompt_wait(struct rk_place_vm *vm, struct rk_place_job *job)
 {
-    if (job->first)
+    if (job->got_first_byte)
         return;
-    job->first = true;
+    job->got_first_byte = true;
     vm->awaiting_first_byte--;
-    vm->waiting_tokens -= job->load.unread;
+    vm->waiting_tokens -= job->load.uncached_tokens;
     if (vm->waiting_tokens < 0)
         vm->waiting_tokens = 0;
 }
@@ -25,12 +25,12 @@
                     int64_t now_ms)
 {
     double took_ms = (double)(now_ms - job->sent_ms);
-    if (job->first)
+    if (job->got_first_byte)
         return;
     end_prompt_wait(vm, job);
-    if (job->odd)
+    if (job->resumes_stream)
         return;
-    rk_vm_health_note_time(&vm->pace, took_ms, job->expected_ms, now_ms);
+    rk_vm_health_note_time(&vm->health, took_ms, job->expected_ms, now_ms);
     struct rk_trial_seen *canary =
         rk_place_canary_stats(vm, job->canary_route, now_ms);
     if (canary)
@@ -46,17 +46,17 @@
 static void note_failure(struct rk_place_vm *vm, const struct rk_place_job *job,
                          int64_t now_ms)
 {
-    bool timed = !job->first && !job->odd;
+    bool timed = !job->got_first_byte && !job->resumes_stream;
     double took_ms = timed ? (double)(now_ms - job->sent_ms) : 0;
-    rk_pace_fail(&vm->pace, took_ms, job->expected_ms, now_ms);
+    rk_pace_fail(&vm->health, took_ms, job->expected_ms, now_ms);
 }
 
 static void pause_vm(struct rk_place_vm *vm, int64_t now_ms)
 {
     int64_t ms = PAUSE_FIRST_MS;
-    for (int i = 0; i < vm->failures && ms < PAUSE_MAX_MS; i++)
+    for (int i = 0; i < vm->losses_in_row && ms < PAUSE_MAX_MS; i++)
         ms *= 2;
-    vm->failures++;
+    vm->losses_in_row++;
     vm->paused_until_ms = now_ms + (ms < PAUSE_MAX_MS ? ms : PAUSE_MAX_MS);
 }
 
@@ -85,12 +85,13 @@
         struct rk_trial_seen *canary =
             rk_place_canary_stats(vm, job->canary_route, now_ms);
         if (canary)
-            rk_trial_note_failure(canary, job->first && !job->odd);
+            rk_trial_note_failure(canary,
+                                  job->got_first_byte && !job->resumes_stream);
     }
     end_prompt_wait(vm, job);
     switch (end) {
     case RK_PLACE_DONE:
-        vm->failures = 0;
+        vm->losses_in_row = 0;
         vm->paused_until_ms = 0;
         break;
     case RK_PLACE_LOST:
@@ -98,7 +99,7 @@
         break;
     case RK_PLACE_REFUSED:
         if (!is_refusal_expected(vm, now_ms))
-            rk_vm_health_note_refusal(&vm->pace, now_ms);
+            rk_vm_health_note_refusal(&vm->health, now_ms);
         if (vm->paused_until_ms < now_ms + PAUSE_REFUSED_MS)
             vm->paused_until_ms = now_ms + PAUSE_REFUSED_MS;
         break;
--- a/core/place_loads.c
+++ b/core/place_loads.c
@@ -55,7 +55,7 @@
         v->peers_running = 0;
         v->peers_waiting_tokens = 0;
         v->peers_health = (struct rk_pace){.at_ms = now_ms};
-        struct rk_pace health = rk_pace_at(&v->pace, now_ms);
+        struct rk_pace health = rk_pace_at(&v->health, now_ms);
         if (!v->calls && rk_vm_health_weight(&health) < MIN_REPORTED_CALLS)
             remove_active(p, at);
         else
@@ -75,7 +75,7 @@
             if (v->speed != s)
                 continue;
             struct rk_pace all =
-                rk_vm_health_combined(&v->pace, &v->peers_health, now_ms);
+                rk_vm_health_combined(&v->health, &v->peers_health, now_ms);
             log_sum += all.log_sum;
             calls += all.calls;
         }
@@ -87,7 +87,7 @@
  * can't be told apart. */
 static uint32_t reported_incarnation(const struct rk_place_vm *v)
 {
-    return v->row.born_ms ? (uint32_t)v->hash : 0;
+    return v->row.started_ms ? (uint32_t)v->hash : 0;
 }
 
 void rk_place_set_loads(struct rk_place *p, const struct rk_vm_load *loads,
@@ -96,13 +96,14 @@
     clear_peer_loads(p, now_ms);
     for (size_t i = 0; i < len; i++) {
         struct rk_place_vm *v = rk_place_find(p, loads[i].id);
-        if (!v || (loads[i].life && loads[i].life != reported_incarnation(v)))
+        if (!v || (loads[i].incarnation &&
+                   loads[i].incarnation != reported_incarnation(v)))
             continue;
         rk_place_mark_active(p, v);
         v->peers_running += loads[i].running;
         v->peers_waiting_tokens += loads[i].waiting_tokens;
         v->peers_health.at_ms = now_ms;
-        rk_pace_sum(&v->peers_health, &loads[i].pace);
+        rk_pace_sum(&v->peers_health, &loads[i].health);
     }
     update_mean_log_ratios(p, now_ms);
 }
@@ -113,16 +114,16 @@
     size_t len = 0;
     *out = rk_alloc(p->active_len + 1, sizeof(**out));
     for (const struct rk_place_vm *v = p->active; v; v = v->next_active) {
-        struct rk_pace health = rk_pace_at(&v->pace, now_ms);
-        if (v->over ||
+        struct rk_pace health = rk_pace_at(&v->health, now_ms);
+        if (v->superseded ||
             (v->running <= 0 && rk_vm_health_weight(&health) < MIN_REPORTED_CALLS))
             continue;
         struct rk_vm_load *load = &(*out)[len++];
         rk_strcpy(load->id, sizeof(load->id), v->row.id);
-        load->life = reported_incarnation(v);
+        load->incarnation = reported_incarnation(v);
         load->running = (uint32_t)v->running;
         load->waiting_tokens = v->waiting_tokens;
-        load->pace = health;
+        load->health = health;
     }
     return len;
 }
@@ -135,7 +136,7 @@
         if (strcmp(v->row.service, service) != 0)
             continue;
         sum.running += (uint32_t)v->running;
-        sum.begun += (uint32_t)(v->running - v->awaiting_first_byte);
+        sum.first_byte_received += (uint32_t)(v->running - v->awaiting_first_byte);
     }
     return sum;
 }
--- a/core/place_signals.c
+++ b/core/place_signals.c
@@ -15,13 +15,13 @@
     if (!rk_place_advertises_leaving(v) || v->row.leaving)
         return;
     v->row.leaving = true;
-    v->left_ms = now_ms;
+    v->leaving_since_ms = now_ms;
 }
 
 unsigned rk_place_hear(struct rk_place *p, struct rk_place_vm *vm,
                        const struct rk_vm_said *said, int64_t now_ms)
 {
-    bool has_signals = said->limited || said->leaving || said->rest_ms > 0;
+    bool has_signals = said->limited || said->leaving || said->cooldown_ms > 0;
     if (!vm->signal && !has_signals)
         return 0;
     if (!vm->signal)
@@ -56,8 +56,8 @@
     size_t before = rk_vm_signals_len(&p->signals);
     unsigned changed = 0;
     for (size_t i = 0; i < len; i++) {
-        struct rk_vm_signal *v =
-            rk_vm_signals_at(&p->signals, rows[i].life, rows[i].domain, now_ms);
+        struct rk_vm_signal *v = rk_vm_signals_at(&p->signals, rows[i].incarnation,
+                                                  rows[i].domain, now_ms);
         if (!v)
             continue;
         changed |= rk_vm_signal_merge(v, &rows[i], now_ms);
@@ -73,9 +73,9 @@
     size_t len = 0;
     struct lh_entry *e;
     *out = rk_alloc(rk_vm_signals_len(&p->signals) + 1, sizeof(**out));
-    if (!p->signals.by_life)
+    if (!p->signals.by_incarnation)
         return 0;
-    lh_foreach (p->signals.by_life, e) {
+    lh_foreach (p->signals.by_incarnation, e) {
         const struct rk_vm_signal *v = lh_entry_v(e);
         if (v->limited || now_ms - v->changed_ms < CHANGE_REPORT_MS)
             (*out)[len++] = *v;
@@ -87,11 +87,11 @@
 {
     size_t len = 0;
     struct lh_entry *e;
-    if (!p->signals.by_life)
+    if (!p->signals.by_incarnation)
         return 0;
-    lh_foreach (p->signals.by_life, e) {
+    lh_foreach (p->signals.by_incarnation, e) {
         const struct rk_vm_signal *v = lh_entry_v(e);
-        len += v->rest_until_ms > now_ms;
+        len += v->cooldown_until_ms > now_ms;
     }
     return len;
 }
@@ -108,7 +108,7 @@
     if (!rk_vm_signals_len(&p->signals))
         return 0;
     for (const struct rk_place_vm *v = p->vms; v; v = v->next) {
-        if (!v->listed || v->row.leaving || v->row.barred ||
+        if (!v->listed || v->row.leaving || v->row.blocked ||
             strcmp(v->row.service, q->service) != 0)
             continue;
         int64_t ms = v->signal ? rk_vm_signal_wait_ms(v->signal, now_ms) : 0;
--- a/core/place_versions.c
+++ b/core/place_versions.c
@@ -20,7 +20,7 @@
 static size_t count_ranked_before(const struct rk_place *p,
                                   const struct rk_place_vm *v)
 {
-    uint64_t turn = v->rollout->rule.turn,
+    uint64_t turn = v->rollout->rule.rotation,
              own = rk_hash(turn, &v->hash, sizeof(v->hash));
     size_t count = 0;
     for (const struct rk_place_vm *o = p->vms; o; o = o->next)
@@ -123,7 +123,7 @@
     /* While only a few calls use the new version, a node without a fresh rollout
      * announcement sends it none. */
     return (r->is_fresh || !is_limited_phase(&r->rule)) &&
-           rk_rollout_tries(&r->rule, q->request);
+           rk_rollout_tries(&r->rule, q->request_hash);
 }
 
 struct rk_trial_seen *rk_place_canary_stats(const struct rk_place_vm *vm,
@@ -135,5 +135,5 @@
         return NULL;
     struct rk_trial_row *row =
         rk_trial_row_at(&r->seen, route, vm->row.domain, vm->is_new);
-    return row ? &row->seen : NULL;
+    return row ? &row->stats : NULL;
 }
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -252,7 +252,7 @@
 
 static void reset_row(struct rk_quarantine_row *row, uint32_t cleared)
 {
-    row->cleared = cleared;
+    row->generation = cleared;
     row->stopped = false;
     row->ends_len = 0;
 }
@@ -262,7 +262,7 @@
     struct rk_quarantine_row *row = rk_quarantine_find(q, request);
     if (!row || (!row->ends_len && !row->stopped))
         return;
-    reset_row(row, row->cleared + 1);
+    reset_row(row, row->generation + 1);
     row->changed_ms = now_ms;
     row->own = true;
 }
@@ -302,12 +302,12 @@
 {
     struct rk_quarantine_row *known = rk_quarantine_find(q, row->request);
     bool is_empty = !row->ends_len && !row->stopped;
-    if (known ? row->cleared < known->cleared : is_empty)
+    if (known ? row->generation < known->generation : is_empty)
         return false; /* older than the last reset, or empty */
     known = find_or_add(q, row, now_ms);
-    bool changed = row->cleared > known->cleared;
+    bool changed = row->generation > known->generation;
     if (changed) {
-        reset_row(known, row->cleared);
+        reset_row(known, row->generation);
         known->stored = false; /* the node that reset it updates the store */
     }
     changed = merge_evidence(known, row) || changed;
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -54,7 +54,7 @@
     char org[RK_ID_MAX], route[RK_ID_MAX];
     /* Generation: how often the row was reset, by a complete response or by an
      * operator. Evidence from lower generations is ignored. */
-    uint32_t cleared;
+    uint32_t generation;
     bool stopped;
     bool stored; /* saved in the platform's store */
     struct rk_vm_end ends[RK_QUARANTINE_ENDS];
--- a/core/quota.c
+++ b/core/quota.c
@@ -60,11 +60,11 @@
     memset(q, 0, sizeof(*q));
     q->window_ms = window_ms > 0 ? window_ms : RK_QUOTA_WINDOW_MS;
     q->slack = slack;
-    q->nodes_heard = 1;
+    q->nodes_reachable = 1;
     q->nodes_total = RK_UNKNOWN_NODES;
     q->lag_ms = REPORT_LAG_MS;
     q->since_ms = since_ms;
-    q->forgot_ms = since_ms;
+    q->unknown_before_ms = since_ms;
 }
 
 void rk_quota_free(struct rk_quota *q)
@@ -168,7 +168,7 @@
     /* No peer has reported usage yet. All nodes may have started to use the quota
      * at the same time. */
     if (total <= own)
-        return recent * (double)(q->nodes_heard - 1);
+        return recent * (double)(q->nodes_reachable - 1);
     double recent_span_ms = (double)(RECENT_BUCKETS * bucket_ms(q));
     double peers = recent * (total / own - 1) * (double)age_ms / recent_span_ms;
     double peers_max =
@@ -185,7 +185,7 @@
                                int64_t now_ms)
 {
     int64_t since_ms = now_ms - o->peers_reported_ms;
-    int64_t no_report_ms = q->word_ms ? now_ms - q->word_ms : 0;
+    int64_t no_report_ms = q->last_report_ms ? now_ms - q->last_report_ms : 0;
     bool inactive =
         no_report_ms <= REPORT_MAX_AGE_MS && since_ms > REPORT_MAX_AGE_MS;
     if (since_ms > EXTRAPOLATE_MAX_MS)
@@ -213,8 +213,8 @@
 static double demand_since_start(const struct rk_quota *q,
                                  const struct rk_quota_org *o, int64_t now_ms)
 {
-    double age_ms = (double)(now_ms - q->forgot_ms);
-    double seen = rk_quota_asking(o, now_ms) + o->peers_asking;
+    double age_ms = (double)(now_ms - q->unknown_before_ms);
+    double seen = rk_quota_asking(o, now_ms) + o->peers_demand;
     return fmax(seen / (1 - exp(-age_ms / DEMAND_TAU_MS)), o->restored_asking);
 }
 
@@ -229,8 +229,8 @@
                                    const struct rk_quota_org *o, double quota,
                                    double rate, int64_t now_ms)
 {
-    int64_t age_ms = now_ms - q->forgot_ms;
-    if (!q->forgot_ms || age_ms >= q->window_ms)
+    int64_t age_ms = now_ms - q->unknown_before_ms;
+    if (!q->unknown_before_ms || age_ms >= q->window_ms)
         return 0;
     double restored = sum(o->restored);
     if (q->restored)
@@ -254,7 +254,7 @@
 void rk_quota_remind(struct rk_quota *q, int64_t remembers_ms)
 {
     if (remembers_ms >= q->window_ms)
-        q->forgot_ms = 0;
+        q->unknown_before_ms = 0;
 }
 
 /* Returns the window slice of a bucket, by the bucket's age. */
@@ -277,7 +277,8 @@
 
 bool rk_quota_knows_all(const struct rk_quota *q, int64_t now_ms)
 {
-    return !q->forgot_ms || q->read || now_ms - q->forgot_ms >= q->window_ms;
+    return !q->unknown_before_ms || q->restore_read ||
+           now_ms - q->unknown_before_ms >= q->window_ms;
 }
 
 /* Adds unknown usage before a start at the latest possible time, which is just
@@ -285,7 +286,7 @@
 static void add_unknown_usage(const struct rk_quota *q, double before,
                               double slices[RK_QUOTA_PARTS], int64_t now_ms)
 {
-    int64_t slice = (now_ms - q->forgot_ms) * RK_QUOTA_PARTS / q->window_ms;
+    int64_t slice = (now_ms - q->unknown_before_ms) * RK_QUOTA_PARTS / q->window_ms;
     if (slice < RK_QUOTA_PARTS)
         slices[slice] += before;
 }
@@ -294,7 +295,7 @@
                    double rate, double slices[RK_QUOTA_PARTS], int64_t now_ms)
 {
     rk_quota_tell(q, o, slices, now_ms);
-    if (!q->forgot_ms)
+    if (!q->unknown_before_ms)
         return;
     if (!q->restored) {
         add_unknown_usage(q, usage_before_restart(q, o, quota, rate, now_ms),
@@ -337,7 +338,7 @@
                       int64_t age_ms, int64_t now_ms)
 {
     struct rk_quota_org *o = find_or_add(q, org);
-    if (!q->forgot_ms)
+    if (!q->unknown_before_ms)
         return; /* own or a peer's data is more complete */
     advance(q, o, now_ms);
     o->restored_asking = asking;
@@ -359,7 +360,7 @@
 
 void rk_quota_restored(struct rk_quota *q, int64_t age_ms)
 {
-    q->read = true;
+    q->restore_read = true;
     q->restored = age_ms <= RESTORED_MAX_MS;
 }
 
@@ -419,10 +420,10 @@
 /* Returns the share of each quota that the reachable nodes may use together. */
 static double reachable_share(const struct rk_quota *q, int64_t now_ms)
 {
-    if (q->nodes_total <= 0 || q->nodes_heard >= q->nodes_total ||
+    if (q->nodes_total <= 0 || q->nodes_reachable >= q->nodes_total ||
         in_restart_grace(q, now_ms))
         return 1;
-    return (double)q->nodes_heard / q->nodes_total;
+    return (double)q->nodes_reachable / q->nodes_total;
 }
 
 static void record_demand(struct rk_quota_org *o, double units, int64_t now_ms)
@@ -440,7 +441,7 @@
 static double admitted_share(const struct rk_quota *q, const struct rk_quota_org *o,
                              double free_units, int64_t now_ms)
 {
-    double peers_asking = o->peers_asking;
+    double peers_asking = o->peers_demand;
     if (in_restart_grace(q, now_ms) && o->restored_asking > peers_asking)
         peers_asking = o->restored_asking;
     double demand_per_ms =
@@ -484,7 +485,7 @@
                    int64_t now_ms)
 {
     double before = reachable_share(q, now_ms);
-    q->nodes_heard = nodes_heard;
+    q->nodes_reachable = nodes_heard;
     q->nodes_total = nodes_total;
     double share = reachable_share(q, now_ms);
     if (share > before * REJOIN_RATIO)
@@ -529,18 +530,18 @@
     double before = usage_before_restart(q, o, quota, rate, now_ms) * share;
     double excess = used + before + units - limit;
     answer->used = used;
-    answer->before = before;
+    answer->used_before_restart = before;
     answer->limit = limit;
     if (rate > 0 && excess > 0) {
         answer->retry_after_ms = ms_until_free(q, o, excess);
         return false;
     }
-    if (rate > 0 && (q->nodes_heard > 1 || in_restart_grace(q, now_ms)) &&
+    if (rate > 0 && (q->nodes_reachable > 1 || in_restart_grace(q, now_ms)) &&
         !draw_admission(q, admitted_share(q, o, units - excess, now_ms), answer))
         return false;
     o->used[o->bucket % RK_QUOTA_BUCKETS] += units;
     o->own[o->bucket % RK_QUOTA_BUCKETS] += units;
-    o->own_total += units;
+    o->own_net_units += units;
     return true;
 }
 
@@ -550,5 +551,5 @@
     struct rk_quota_org *o = find_or_add(q, org);
     advance(q, o, now_ms);
     o->used[o->bucket % RK_QUOTA_BUCKETS] -= units;
-    o->own_total -= units;
+    o->own_net_units -= units;
 }
--- a/core/quota.h
+++ b/core/quota.h
@@ -28,14 +28,14 @@
     double own[RK_QUOTA_BUCKETS];  /* units admitted by this node, part of used */
     int64_t bucket;                /* number of the newest bucket */
     /* Units admitted by this node since its start, less refunds. */
-    double own_total;
+    double own_net_units;
     double peers_recent;       /* peers' units, decaying exponentially */
     int64_t peers_reported_ms; /* time of the peers' last report of usage */
     double peers_slots[2]; /* peers' units in the current and the previous slot */
     int64_t peers_slot;    /* number of the current slot */
     double demand;         /* units requested here, decaying exponentially */
     int64_t demand_ms;     /* when demand was last updated */
-    double peers_asking;   /* units/s requested at the peers; set by the owner */
+    double peers_demand;   /* units/s requested at the peers; set by the owner */
     double quota;          /* units per window, as last set */
     double old_quota;      /* higher quota still in force after a reduction */
     int64_t old_quota_until_ms;
@@ -49,8 +49,8 @@
     int64_t window_ms;
     struct rk_quota_org *orgs;
     size_t orgs_len, orgs_cap;
-    struct rk_names names;        /* index of orgs */
-    int nodes_heard, nodes_total; /* both include this node */
+    struct rk_names names;            /* index of orgs */
+    int nodes_reachable, nodes_total; /* both include this node */
     /* Share of the nodes that was reachable, per bucket. */
     double reachable[RK_QUOTA_BUCKETS];
     int64_t reachable_bucket; /* number of the newest bucket of reachable */
@@ -59,12 +59,13 @@
     /* Share of a quota by which it may be exceeded while some nodes are
      * unreachable; 0 by default. */
     double overrun;
-    int64_t lag_ms;    /* age of peers' reports when they arrive */
-    int64_t word_ms;   /* when a peer's report last arrived; 0: never */
-    int64_t since_ms;  /* start of this node's own usage data; 0: complete */
-    int64_t forgot_ms; /* like since_ms; 0 once a peer has sent a whole window */
-    bool read;         /* persisted usage was read, or there is none */
-    bool restored;     /* persisted usage is recent enough to be used */
+    int64_t lag_ms;         /* age of peers' reports when they arrive */
+    int64_t last_report_ms; /* when a peer's report last arrived; 0: never */
+    int64_t since_ms;       /* start of this node's own usage data; 0: complete */
+    int64_t unknown_before_ms; /* like since_ms; 0 once a peer has sent a whole
+                                  window */
+    bool restore_read;         /* persisted usage was read, or there is none */
+    bool restored;             /* persisted usage is recent enough to be used */
     /* Draws which calls are admitted. Its state differs between nodes; the owner
      * seeds it. */
     struct rk_rng rng;
@@ -83,7 +84,7 @@
 struct rk_quota_answer {
     /* In units: usage known and estimated within the window, usage assumed before a
      * restart, and the limit for both. */
-    double used, before, limit;
+    double used, used_before_restart, limit;
     double share;           /* share of calls admitted while little is free */
     int64_t retry_after_ms; /* when units are expected to be free again */
 };
--- a/core/rollout.c
+++ b/core/rollout.c
@@ -70,11 +70,11 @@
     for (size_t i = 0; i < more->len; i++) {
         const struct rk_trial_row *row = &more->rows[i];
         struct rk_trial_row *to =
-            rk_trial_is_sound(&row->seen)
-                ? rk_trial_row_at(sum, row->route, row->domain, row->tried)
+            rk_trial_is_sound(&row->stats)
+                ? rk_trial_row_at(sum, row->route, row->domain, row->of_new_version)
                 : NULL;
         if (to)
-            rk_trial_add(&to->seen, &row->seen);
+            rk_trial_add(&to->stats, &row->stats);
         skipped += !to;
     }
     return skipped;
@@ -87,7 +87,7 @@
     int64_t revision = r->rule.revision;
     *r = (struct rk_rollout){.order = *order,
                              .bounds = *bounds,
-                             .begun_ms = now_ms - elapsed_ms,
+                             .ordered_ms = now_ms - elapsed_ms,
                              .rotated_ms = now_ms,
                              .phase_ms = now_ms};
     rk_strcpy(r->rule.service, sizeof(r->rule.service), order->service);
@@ -110,7 +110,7 @@
 /* Returns the time since the order, in ms. */
 static double elapsed_ms(const struct rk_rollout *r, int64_t now_ms)
 {
-    return (double)(now_ms - r->begun_ms);
+    return (double)(now_ms - r->ordered_ms);
 }
 
 /* Returns the elapsed share of the ordered time; 1 if no time was ordered. */
@@ -134,8 +134,8 @@
 {
     *all = *canary = 0;
     for (size_t i = 0; i < t->len; i++) {
-        *all += t->rows[i].seen.calls;
-        *canary += t->rows[i].tried ? t->rows[i].seen.calls : 0;
+        *all += t->rows[i].stats.calls;
+        *canary += t->rows[i].of_new_version ? t->rows[i].stats.calls : 0;
     }
 }
 
@@ -145,7 +145,7 @@
                               const struct rk_rollout_view *v, double part)
 {
     double all, canary;
-    count_calls(v->seen, &all, &canary);
+    count_calls(v->canary_rows, &all, &canary);
     return part * (r->bounds.share * all + r->bounds.slack) - canary;
 }
 
@@ -166,8 +166,8 @@
                           const struct rk_rollout_view *v)
 {
     double all, canary;
-    count_calls(v->seen, &all, &canary);
-    double per_ms = all / fmax(1, (double)(v->now_ms - r->begun_ms));
+    count_calls(v->canary_rows, &all, &canary);
+    double per_ms = all / fmax(1, (double)(v->now_ms - r->ordered_ms));
     double share = fmin(LOAD_SHARE, LOAD_EXCESS / fmax(1, (double)v->old_vms));
     return remaining_calls(r, v, MAX_PART) > per_ms * LOAD_MS * share;
 }
@@ -197,7 +197,7 @@
                            const struct rk_rollout_view *v)
 {
     double all, canary;
-    count_calls(v->seen, &all, &canary);
+    count_calls(v->canary_rows, &all, &canary);
     double counted_ms = fmax(RATE_MIN_MS, (double)(v->now_ms - r->phase_ms));
     double per_ms = fmax(all / counted_ms, 1e-6);
     double remaining_ms =
@@ -224,7 +224,7 @@
     bool suspect = r->finding.verdict == RK_TRIAL_SUSPECT;
     if (since_rotation_ms < (suspect ? ROTATION_MS / 3 : ROTATION_MS))
         return;
-    r->rule.turn++;
+    r->rule.rotation++;
     r->rotated_ms = v->now_ms;
 }
 
@@ -235,7 +235,7 @@
     enter_phase(r, RK_ROLLOUT_LOAD, v->now_ms);
     r->load_tested = true;
     r->rule.vms = 1;
-    r->rule.turn++;
+    r->rule.rotation++;
     r->rule.share =
         to_rule_share(fmin(LOAD_SHARE, LOAD_EXCESS / fmax(1, (double)v->old_vms)));
 }
@@ -266,7 +266,7 @@
 static bool lacks_canary_calls(const struct rk_rollout_view *v)
 {
     double all, canary;
-    count_calls(v->seen, &all, &canary);
+    count_calls(v->canary_rows, &all, &canary);
     return all >= CANARY_CALLS_MIN && canary < CANARY_CALLS_MIN;
 }
 
@@ -311,7 +311,7 @@
                       const struct rk_rollout_rule *b)
 {
     return a->phase == b->phase && a->share == b->share && a->vms == b->vms &&
-           a->turn == b->turn;
+           a->rotation == b->rotation;
 }
 
 bool rk_rollout_step(struct rk_rollout *r, const struct rk_rollout_view *v)
@@ -319,7 +319,7 @@
     struct rk_rollout_rule before = r->rule;
     if (is_over(r))
         return false;
-    r->finding = rk_trial_judge(v->seen, v->new_domains);
+    r->finding = rk_trial_judge(v->canary_rows, v->new_domains);
     if (r->finding.verdict == RK_TRIAL_BAD)
         roll_back(r, v->now_ms);
     switch (r->rule.phase) {
--- a/core/rollout.h
+++ b/core/rollout.h
@@ -50,7 +50,7 @@
     double share; /* share of the service's calls that it may get */
     double slack; /* calls that it may get in addition */
     /* Time in ms from its 50th bad response until it must get no more calls. */
-    int64_t give_up_ms;
+    int64_t rollback_ms;
 };
 
 /* What all nodes apply to the calls of one service. */
@@ -58,10 +58,10 @@
     char service[RK_ID_MAX];
     char version[RK_VERSION_TEXT]; /* the new version */
     enum rk_rollout_phase phase;
-    uint32_t share;   /* of new calls, in units of 1 / RK_ROLLOUT_ALL */
-    uint32_t vms;     /* number of new VMs that get them; 0: all */
-    uint32_t turn;    /* selects which VMs; each number selects others */
-    int64_t revision; /* incremented with every change of the rule */
+    uint32_t share;    /* of new calls, in units of 1 / RK_ROLLOUT_ALL */
+    uint32_t vms;      /* number of new VMs that get them; 0: all */
+    uint32_t rotation; /* selects which VMs; each number selects others */
+    int64_t revision;  /* incremented with every change of the rule */
 };
 
 /* Results of calls to both versions, as nodes report them to each other. */
@@ -78,7 +78,7 @@
     size_t old_vms, new_vms; /* VMs that accept calls */
     size_t new_domains;      /* failure domains with new VMs */
     double old_running;      /* calls in flight on old VMs */
-    const struct rk_trial_rows *seen;
+    const struct rk_trial_rows *canary_rows;
 };
 
 /* A rollout at the leader. */
@@ -86,7 +86,7 @@
     struct rk_rollout_order order;
     struct rk_rollout_bounds bounds;
     struct rk_rollout_rule rule;
-    int64_t begun_ms;   /* when it was ordered, as far as known */
+    int64_t ordered_ms; /* when it was ordered, as far as known */
     int64_t rotated_ms; /* when the canary VMs were last changed */
     int64_t phase_ms;   /* when the phase began */
     bool load_tested;   /* RK_ROLLOUT_LOAD was entered already */
--- a/core/routes.c
+++ b/core/routes.c
@@ -42,7 +42,7 @@
 struct rk_org_info *rk_routes_add_org(struct rk_routes *r)
 {
     r->orgs = append_row(r->orgs, &r->orgs_len, &r->orgs_cap, sizeof(*r->orgs));
-    r->keyed = true;
+    r->keys_required = true;
     return &r->orgs[r->orgs_len - 1];
 }
 
--- a/core/routes.h
+++ b/core/routes.h
@@ -41,10 +41,12 @@
     bool resumable;     /* a stream may be continued at another VM */
     bool anonymous;     /* calls need no API key */
     int64_t timeout_ms; /* longest time that a call may take */
-    int64_t target_ms;  /* target for the time to the first byte; 0: none */
-    int64_t gap_ms;     /* target for the longest pause between events; 0: none */
-    int rank;           /* 0 is the most urgent */
-    int max_attempts;   /* VMs that one request may be sent to */
+    int64_t
+        target_first_byte_ms; /* target for the time to the first byte; 0: none */
+    int64_t
+        target_gap_ms; /* target for the longest pause between events; 0: none */
+    int rank;          /* 0 is the most urgent */
+    int max_attempts;  /* VMs that one request may be sent to */
     struct rk_route_share shares[RK_ROUTE_SHARES];
     size_t shares_len;
 };
@@ -62,12 +64,12 @@
     bool engine;       /* its VMs are model engines */
     int64_t slots;     /* calls that an engine runs at once */
     int64_t kv_tokens; /* tokens that fit an engine's KV cache */
-    bool moves;  /* its engines copy each other's KV caches: of prompt segments
-                    and of streams that move */
-    bool scaled; /* this system orders its VMs */
+    bool can_move_kv; /* its engines copy each other's KV caches: of prompt segments
+                   and of streams that move */
+    bool autoscaled;  /* this system orders its VMs */
     int64_t min_vms, max_vms; /* per failure domain */
     int64_t boot_ms;          /* time that a VM takes to start */
-    double spot_price;        /* of a reclaimable VM, relative to an on-demand VM */
+    double spot_price_ratio;  /* of a reclaimable VM, relative to an on-demand VM */
     struct rk_domain_price prices[RK_DOMAIN_PRICES];
     size_t prices_len;
 };
@@ -79,7 +81,7 @@
     double rate;          /* quota in units/s; 0: no limit */
     double burst;         /* units above the rate */
     bool counts_tokens;   /* units are tokens; otherwise each request is one unit */
-    int64_t plain_units;  /* units of a request that doesn't state its tokens */
+    int64_t default_units; /* units of a request that doesn't state its tokens */
 };
 
 /* An API key of an organisation. */
@@ -111,8 +113,8 @@
     struct rk_names org_names; /* index of orgs; filled by rk_routes_finish() */
     struct rk_org_key *keys;   /* rk_routes_finish() sorts them by hash */
     size_t keys_len, keys_cap;
-    bool keyed; /* there are organisations: calls need an API key, unless their
-                   route is anonymous */
+    bool keys_required; /* there are organisations: calls need an API key, unless
+                   their route is anonymous */
 };
 
 /* Returns an empty table with one reference: the caller adds and fills rows, sets
--- a/core/send_budget.c
+++ b/core/send_budget.c
@@ -27,7 +27,7 @@
     size_t budget = (size_t)((double)carried * CARRIED_SHARE);
     if (carried < MIN_ROUND_BYTES)
         return; /* the link is stalled, which shows nothing of its width */
-    b->narrow = true;
+    b->is_link_narrow = true;
     if (budget < b->round_bytes)
         b->round_bytes = budget > MIN_ROUND_BYTES ? budget : MIN_ROUND_BYTES;
 }
@@ -38,8 +38,8 @@
 {
     if (b->sent_bytes < b->round_bytes / 2)
         return;
-    b->round_bytes =
-        (size_t)((double)b->round_bytes * (b->narrow ? SLOW_GROWTH : GROWTH));
+    b->round_bytes = (size_t)((double)b->round_bytes *
+                              (b->is_link_narrow ? SLOW_GROWTH : GROWTH));
     if (b->round_bytes > MAX_ROUND_BYTES)
         b->round_bytes = MAX_ROUND_BYTES;
 }
--- a/core/send_budget.h
+++ b/core/send_budget.h
@@ -14,7 +14,7 @@
     size_t round_bytes;    /* bytes that a round may take */
     size_t sent_bytes;     /* bytes sent since the last round began */
     size_t waiting_before; /* bytes that waited when that round began */
-    bool narrow;           /* a round was too much for the link at least once */
+    bool is_link_narrow;   /* a round was too much for the link at least once */
 };
 
 /* Begins a round. waiting_bytes: bytes of earlier rounds that still wait on this
--- a/core/trial.c
+++ b/core/trial.c
@@ -39,14 +39,14 @@
 {
     for (size_t i = 0; i < t->len; i++) {
         struct rk_trial_row *row = &t->rows[i];
-        if (row->tried == of_new_version && !strcmp(row->route, route) &&
+        if (row->of_new_version == of_new_version && !strcmp(row->route, route) &&
             !strcmp(row->domain, domain))
             return row;
     }
     if (t->len == RK_TRIAL_ROWS)
         return NULL;
     struct rk_trial_row *row = &t->rows[t->len++];
-    *row = (struct rk_trial_row){.tried = of_new_version};
+    *row = (struct rk_trial_row){.of_new_version = of_new_version};
     rk_strcpy(row->route, sizeof(row->route), route);
     rk_strcpy(row->domain, sizeof(row->domain), domain);
     return row;
@@ -131,11 +131,11 @@
     struct rk_trial_seen sum = {0};
     for (size_t i = 0; i < t->len; i++) {
         const struct rk_trial_row *row = &t->rows[i];
-        bool matches = row->tried == of_new_version &&
+        bool matches = row->of_new_version == of_new_version &&
                        (!route[0] || !strcmp(row->route, route)) &&
                        (!without[0] || strcmp(row->domain, without) != 0);
         if (matches)
-            rk_trial_add(&sum, &row->seen);
+            rk_trial_add(&sum, &row->stats);
     }
     return sum;
 }
@@ -162,8 +162,8 @@
     worst->evidence = value;
     worst->by_time = is_time;
     rk_strcpy(worst->route, sizeof(worst->route), route);
-    worst->tried = rk_trial_sum(t, route, true, "");
-    worst->serving = rk_trial_sum(t, route, false, "");
+    worst->new_stats = rk_trial_sum(t, route, true, "");
+    worst->old_stats = rk_trial_sum(t, route, false, "");
 }
 
 /* Returns whether the evidence holds without any single domain, or the failures are
@@ -171,12 +171,12 @@
 static bool confirmed_elsewhere(const struct rk_trial_rows *t,
                                 const struct rk_trial_finding *worst)
 {
-    if (worst->tried.failed >= FAILURES_CONCLUSIVE)
+    if (worst->new_stats.failed >= FAILURES_CONCLUSIVE)
         return true;
     for (size_t i = 0; i < t->len; i++) {
         const char *domain = t->rows[i].domain;
         struct rk_trial_seen others = rk_trial_sum(t, worst->route, true, domain);
-        if (!t->rows[i].tried)
+        if (!t->rows[i].of_new_version)
             continue;
         if (others.calls < OTHERS_CALLS_MIN ||
             evidence(t, worst->route, worst->by_time, domain) <
@@ -199,7 +199,7 @@
     for (int is_time = 0; is_time < 2; is_time++) {
         update_worst(t, "", is_time, &worst);
         for (size_t i = 0; i < t->len; i++)
-            if (t->rows[i].tried)
+            if (t->rows[i].of_new_version)
                 update_worst(t, t->rows[i].route, is_time, &worst);
     }
     if (worst.evidence >= BAD_THRESHOLD)
--- a/core/trial.h
+++ b/core/trial.h
@@ -31,8 +31,8 @@
 struct rk_trial_row {
     char route[RK_ID_MAX];
     char domain[RK_ID_MAX];
-    bool tried; /* VMs of the new version */
-    struct rk_trial_seen seen;
+    bool of_new_version; /* VMs of the new version */
+    struct rk_trial_seen stats;
 };
 
 /* Results of a rollout, per route, domain and version. All zero: empty. */
@@ -76,7 +76,7 @@
     double evidence;       /* ln of the likelihood ratio of bad to good */
     char route[RK_ID_MAX]; /* "": all routes */
     bool by_time;          /* evidence from latency; false: from failures */
-    struct rk_trial_seen tried, serving; /* results on that route */
+    struct rk_trial_seen new_stats, old_stats; /* results on that route */
 };
 
 /* Judges the new version. domains: number of failure domains with VMs of the new
--- a/core/verdict.c
+++ b/core/verdict.c
@@ -35,7 +35,7 @@
 enum rk_verdict rk_verdict_of(const struct rk_attempt_end *end,
                               const struct rk_refusal_contract *contract)
 {
-    if (!end->handed)
+    if (!end->may_have_reached)
         return RK_NOT_RUN;
     bool refusal =
         end->http_status == HTTP_TOO_MANY || end->http_status == HTTP_UNAVAILABLE;
--- a/core/verdict.h
+++ b/core/verdict.h
@@ -16,10 +16,10 @@
 
 /* How an attempt ended, as far as the transport can know. */
 struct rk_attempt_end {
-    bool handed;     /* a byte may have reached the upstream */
+    bool may_have_reached; /* a byte may have reached the upstream */
     bool answered;   /* a whole answer that belongs to the attempt was received */
     int http_status; /* 0: no answer head was received */
-    int64_t rest_ms; /* cooldown that the upstream requested; 0: none */
+    int64_t cooldown_ms; /* cooldown that the upstream requested; 0: none */
 };
 
 /* What the settings guarantee about the refusals of a service's upstreams. */
--- a/core/vm_signals.c
+++ b/core/vm_signals.c
@@ -32,8 +32,8 @@
                                         uint64_t life)
 {
     void *row = NULL;
-    if (s->by_life)
-        lh_table_lookup_ex(s->by_life, table_key(life), &row);
+    if (s->by_incarnation)
+        lh_table_lookup_ex(s->by_incarnation, table_key(life), &row);
     return row;
 }
 
@@ -52,13 +52,13 @@
         return v;
     if (!is_usable_key(life) || rk_vm_signals_len(s) >= RK_VM_SIGNALS_MAX)
         return NULL;
-    if (!s->by_life)
-        s->by_life = lh_kptr_table_new(INITIAL_ROWS, free_row);
+    if (!s->by_incarnation)
+        s->by_incarnation = lh_kptr_table_new(INITIAL_ROWS, free_row);
     v = rk_alloc(1, sizeof(*v));
-    v->life = life;
+    v->incarnation = life;
     v->last_received_ms = now_ms;
     rk_strcpy(v->domain, sizeof(v->domain), domain);
-    lh_table_insert(s->by_life, table_key(life), v);
+    lh_table_insert(s->by_incarnation, table_key(life), v);
     return v;
 }
 
@@ -73,7 +73,7 @@
 
 static uint64_t node_weight(const struct rk_vm_signal *v, uint64_t node)
 {
-    return rk_hash(v->life, &node, sizeof(node));
+    return rk_hash(v->incarnation, &node, sizeof(node));
 }
 
 /* Senders are the nodes of the highest weight, by rendezvous hashing. */
@@ -125,7 +125,7 @@
 
 int64_t rk_vm_signal_wait_ms(const struct rk_vm_signal *v, int64_t now_ms)
 {
-    int64_t cooldown_ms = v->rest_until_ms - now_ms;
+    int64_t cooldown_ms = v->cooldown_until_ms - now_ms;
     int64_t wait_ms = limit_wait_ms(v, now_ms);
     return cooldown_ms > wait_ms ? cooldown_ms : wait_ms;
 }
@@ -137,7 +137,7 @@
 
 bool rk_vm_signal_is_stale(const struct rk_vm_signal *v, int64_t now_ms)
 {
-    return v->limited && now_ms - v->limit_ms >= LIMIT_STALE_MS;
+    return v->limited && now_ms - v->limit_confirmed_ms >= LIMIT_STALE_MS;
 }
 
 /* This node's share of a newly advertised limit is not known yet. The send
@@ -145,7 +145,7 @@
 static bool set_limit(struct rk_vm_signal *v, bool limited, double limit_per_s,
                       int64_t answer_ms, int64_t now_ms)
 {
-    v->limit_ms = answer_ms;
+    v->limit_confirmed_ms = answer_ms;
     if (v->limited == limited && v->limit_per_s == limit_per_s)
         return false;
     if (limited && !v->limited) {
@@ -166,7 +166,7 @@
     if (v->leaving)
         return false;
     v->leaving = true;
-    v->own = v->own || own;
+    v->is_own = v->is_own || own;
     v->changed_ms = now_ms;
     return true;
 }
@@ -179,7 +179,7 @@
         return false;
     double limit_per_s = advertised->limited ? advertised->limit_per_s : 0;
     bool changed = set_limit(v, advertised->limited, limit_per_s, now_ms, now_ms);
-    v->own = v->own || changed;
+    v->is_own = v->is_own || changed;
     return changed;
 }
 
@@ -192,11 +192,11 @@
         changed |= RK_VM_LIMIT_CHANGED;
     if (advertised->leaving && set_leaving(v, true, now_ms))
         changed |= RK_VM_LEAVING_CHANGED;
-    if (advertised->rest_ms > 0) {
-        if (v->rest_until_ms <= now_ms)
+    if (advertised->cooldown_ms > 0) {
+        if (v->cooldown_until_ms <= now_ms)
             changed |= RK_VM_REST_CHANGED;
-        if (v->rest_until_ms < now_ms + advertised->rest_ms)
-            v->rest_until_ms = now_ms + advertised->rest_ms;
+        if (v->cooldown_until_ms < now_ms + advertised->cooldown_ms)
+            v->cooldown_until_ms = now_ms + advertised->cooldown_ms;
     }
     return changed;
 }
@@ -206,13 +206,13 @@
 {
     unsigned changed = 0;
     v->last_received_ms = now_ms;
-    if (reported->limit_ms > v->limit_ms &&
-        set_limit(v, reported->limited, reported->limit_per_s, reported->limit_ms,
-                  now_ms)) {
-        v->own = reported->own;
+    if (reported->limit_confirmed_ms > v->limit_confirmed_ms &&
+        set_limit(v, reported->limited, reported->limit_per_s,
+                  reported->limit_confirmed_ms, now_ms)) {
+        v->is_own = reported->is_own;
         changed |= RK_VM_LIMIT_CHANGED;
     }
-    if (reported->leaving && set_leaving(v, reported->own, now_ms))
+    if (reported->leaving && set_leaving(v, reported->is_own, now_ms))
         changed |= RK_VM_LEAVING_CHANGED;
     return changed;
 }
@@ -222,24 +222,24 @@
 void rk_vm_signals_forget(struct rk_vm_signals *s, int64_t now_ms)
 {
     struct lh_entry *e, *next;
-    if (!s->by_life)
+    if (!s->by_incarnation)
         return;
-    lh_foreach_safe (s->by_life, e, next) {
+    lh_foreach_safe (s->by_incarnation, e, next) {
         const struct rk_vm_signal *v = lh_entry_v(e);
         if (now_ms - v->last_received_ms > RETENTION_MS &&
-            now_ms >= v->rest_until_ms)
-            lh_table_delete_entry(s->by_life, e);
+            now_ms >= v->cooldown_until_ms)
+            lh_table_delete_entry(s->by_incarnation, e);
     }
 }
 
 size_t rk_vm_signals_len(const struct rk_vm_signals *s)
 {
-    return s->by_life ? (size_t)lh_table_length(s->by_life) : 0;
+    return s->by_incarnation ? (size_t)lh_table_length(s->by_incarnation) : 0;
 }
 
 void rk_vm_signals_free(struct rk_vm_signals *s)
 {
-    if (s->by_life)
-        lh_table_free(s->by_life);
-    s->by_life = NULL;
+    if (s->by_incarnation)
+        lh_table_free(s->by_incarnation);
+    s->by_incarnation = NULL;
 }
--- a/core/vm_signals.h
+++ b/core/vm_signals.h
@@ -24,12 +24,12 @@
     double limit_per_s; /* requests per second, 0 or more; valid if limited */
     bool unlimited;     /* the answer is the VM's own and names no limit */
     bool leaving;
-    int64_t rest_ms; /* requested cooldown; 0: none */
+    int64_t cooldown_ms; /* requested cooldown; 0: none */
 };
 
 /* All signals known of one incarnation of a VM. */
 struct rk_vm_signal {
-    uint64_t life; /* hash of the VM's id and incarnation */
+    uint64_t incarnation; /* hash of the VM's id and incarnation */
     char domain[RK_ID_MAX];
     /* Time of the last answer of the VM, or report of a peer about it. */
     int64_t last_received_ms;
@@ -37,11 +37,12 @@
     double limit_per_s;
     /* Time of the last answer that stated the limit, changed or not, or that there
      * is none; 0: no answer yet. */
-    int64_t limit_ms;
+    int64_t limit_confirmed_ms;
     bool leaving;
-    int64_t rest_until_ms; /* end of the cooldown of this node; 0: there was none */
+    int64_t
+        cooldown_until_ms; /* end of the cooldown of this node; 0: there was none */
     /* The members below are of this node's copy only. */
-    bool own; /* the last change came from the VM itself, not from a peer */
+    bool is_own; /* the last change came from the VM itself, not from a peer */
     int64_t changed_ms; /* when a signal last changed */
     /* Number of nodes that share the limit, this one included. 0: this node has
      * no share. RK_SENDERS_UNKNOWN: not assigned yet. */
@@ -55,7 +56,7 @@
 
 /* Table of signals; zeroed: empty. */
 struct rk_vm_signals {
-    struct lh_table *by_life; /* owned struct rk_vm_signal; NULL: empty */
+    struct lh_table *by_incarnation; /* owned struct rk_vm_signal; NULL: empty */
 };
 
 /* Bits that say which signals an answer or a merge changed. */
--- a/engines/attempt.c
+++ b/engines/attempt.c
@@ -92,11 +92,11 @@
     bool complete = !res->curl_code && res->status == HTTP_OK && a->complete &&
                     !a->wrong_request;
     struct rk_attempt_end e = {
-        .handed = res->handed,
+        .may_have_reached = res->may_have_reached,
         .answered = complete || (!res->curl_code && res->status != HTTP_OK &&
                                  !a->wrong_request),
         .http_status = (int)res->status,
-        .rest_ms = rk_attempt_rest_ms(res->status, a->cooldown_ms),
+        .cooldown_ms = rk_attempt_rest_ms(res->status, a->cooldown_ms),
     };
     const char *detail = a->wrong_request ? "an answer to another request"
                          : a->rejected    ? "a gap in the tokens"
@@ -107,7 +107,7 @@
 static void on_idle_timeout(void *ctx)
 {
     struct rk_engine_attempt *a = ctx;
-    struct rk_attempt_end e = {.handed = rk_http_cancel(a->req)};
+    struct rk_attempt_end e = {.may_have_reached = rk_http_cancel(a->req)};
     finish(a, &e, false, "silent for too long");
 }
 
@@ -120,7 +120,7 @@
     *a = (struct rk_engine_attempt){.loop = loop,
                                     .handlers = *h,
                                     .ctx = ctx,
-                                    .idle_timeout_ms = spec->silence_ms};
+                                    .idle_timeout_ms = spec->inactivity_timeout_ms};
     rk_strcpy(a->request_id, sizeof(a->request_id), spec->request_id);
     a->idle_timer = (struct rk_timer){.fn = on_idle_timeout, .ctx = a};
     char url[URL_MAX], id[HEADER_MAX], attempt[HEADER_MAX], priority[HEADER_MAX],
@@ -139,14 +139,14 @@
         .body = spec->body,
         .body_len = strlen(spec->body),
         .connect_timeout_ms = spec->connect_ms,
-        .once = spec->once,
+        .dedicated_conn = spec->once,
         .handlers = {.on_header = on_header,
                      .on_data = on_data,
                      .on_done = on_http_done},
         .ctx = a,
     };
     a->req = rk_http_start(http, &http_spec);
-    rk_timer_start(loop, &a->idle_timer, spec->silence_ms);
+    rk_timer_start(loop, &a->idle_timer, spec->inactivity_timeout_ms);
     return a;
 }
 
--- a/engines/attempt.h
+++ b/engines/attempt.h
@@ -21,12 +21,13 @@
     const char *addr; /* ip:port */
     const char *path; /* /v1/completions or /v1/chat/completions */
     const char *request_id;
-    int attempt;         /* number of this attempt, sent to the engine */
-    int priority;        /* 0 is the highest */
-    const char *body;    /* JSON with "stream": true */
-    int64_t resume_from; /* index of the first token to generate */
-    int64_t connect_ms;  /* connect time-out */
-    int64_t silence_ms;  /* longest time without a body byte, the first included */
+    int attempt;                   /* number of this attempt, sent to the engine */
+    int priority;                  /* 0 is the highest */
+    const char *body;              /* JSON with "stream": true */
+    int64_t resume_from;           /* index of the first token to generate */
+    int64_t connect_ms;            /* connect time-out */
+    int64_t inactivity_timeout_ms; /* longest time without a body byte, the first
+                                      included */
     bool once; /* send on a new connection, so that libcurl never resends */
 };
 
--- a/engines/side.c
+++ b/engines/side.c
@@ -61,7 +61,7 @@
     rk_buf_printf(&b, "{\"from\":\"%s\",\"request_id\":\"%s\",\"completion\":%s}",
                   from, request_id, body);
     const struct rk_rest_call call = {
-        .method = "POST", .url = url, .body = b.data, .limit_ms = wait_ms};
+        .method = "POST", .url = url, .body = b.data, .call_timeout_ms = wait_ms};
     rk_rest_start(http, &call, on_answer, op);
     rk_buf_free(&b);
 }
--- a/keeper/keeper.c
+++ b/keeper/keeper.c
@@ -201,7 +201,7 @@
         return;
     char value[RK_LEASE_VALUE_MAX];
     int64_t expect;
-    k->lease.life_ms = k->config ? k->config->lease_ms : k->lease.life_ms;
+    k->lease.ttl_ms = k->config ? k->config->lease_ms : k->lease.ttl_ms;
     k->lease_call_pending = true;
     if (rk_lease_wants(&k->lease, rk_mono_ms(), value, &expect))
         rk_objects_write(k->objects, k->lease_name, expect, value, on_lease_written,
@@ -552,7 +552,7 @@
     k->objects = rk_objects_create(k->http, procfile->platform);
     k->changelog = rk_changelog_create();
     k->sent_orders = rk_alloc(MAX_SENT_ORDERS, sizeof(*k->sent_orders));
-    k->lease.life_ms = 6000; /* until the settings are known */
+    k->lease.ttl_ms = 6000; /* until the settings are known */
     /* The name differs between runs, so that the lease of an earlier run is never
      * taken for this one's. */
     snprintf(k->lease.holder, sizeof(k->lease.holder), "%.28s-%08x", procfile->id,
--- a/node/digest.c
+++ b/node/digest.c
@@ -71,7 +71,7 @@
             d->uses.rows[i].units;
     for (size_t i = 0; i < d->services_len; i++)
         *rk_tally_at(&d->baseline_reads, d->services[i].service) =
-            d->services[i].read_tokens;
+            d->services[i].demand_tokens;
 }
 
 /* Moves the baselines of all sources of the same sum, as all of them are counted up
@@ -89,7 +89,7 @@
     const struct rk_relay_report *r = m->n->report;
     const struct rk_service_use *own =
         r ? rk_service_use_find(r->services, r->services_len, service) : NULL;
-    return own ? own->read_tokens : 0;
+    return own ? own->demand_tokens : 0;
 }
 
 /* Subtracts this node's own usage: a digest of the fleet includes it, and the relay
@@ -97,8 +97,8 @@
 static void subtract_own(struct rk_mesh *m, const struct digest *d)
 {
     const struct rk_relay_report *r = m->n->report;
-    for (size_t i = 0; r && i < r->uses_len; i++) {
-        const struct rk_org_use *own = &r->uses[i];
+    for (size_t i = 0; r && i < r->quota_usage_len; i++) {
+        const struct rk_org_use *own = &r->quota_usage[i];
         if (rk_org_uses_has(&d->uses, own->org))
             rk_mesh_add_news(
                 m, own->org,
@@ -124,7 +124,7 @@
     for (size_t i = 0; i < d->services_len; i++) {
         const struct rk_service_use *use = &d->services[i];
         double increase =
-            use->read_tokens - rk_tally_total(&d->baseline_reads, use->service);
+            use->demand_tokens - rk_tally_total(&d->baseline_reads, use->service);
         if (d->fleet)
             increase -= rk_tally_rise(&m->baseline_reads, use->service,
                                       own_read_tokens(m, use->service));
@@ -137,11 +137,12 @@
 static void set_own_baseline(struct rk_mesh *m)
 {
     const struct rk_relay_report *r = m->n->report;
-    for (size_t i = 0; r && i < r->uses_len; i++)
-        rk_tally_rise(&m->baseline_uses, r->uses[i].org, r->uses[i].units);
+    for (size_t i = 0; r && i < r->quota_usage_len; i++)
+        rk_tally_rise(&m->baseline_uses, r->quota_usage[i].org,
+                      r->quota_usage[i].units);
     for (size_t i = 0; r && i < r->services_len; i++)
         rk_tally_rise(&m->baseline_reads, r->services[i].service,
-                      r->services[i].read_tokens);
+                      r->services[i].demand_tokens);
 }
 
 static void count_digest(struct member *k)
@@ -169,9 +170,9 @@
         const Rillknot__OrgUse *from = d->uses[i];
         struct rk_org_use *row = rk_org_uses_at(&to->uses, from->org);
         row->units = from->units;
-        row->asking = rk_report_asking(from);
+        row->demand_per_s = rk_report_asking(from);
         for (size_t j = 0; j < from->n_known && j < RK_QUOTA_PARTS; j++)
-            row->known[j] = (double)from->known[j];
+            row->used_slices[j] = (double)from->known[j];
     }
 }
 
@@ -183,7 +184,7 @@
     for (size_t i = 0; i < d->n_services; i++) {
         const Rillknot__ServiceUse *use = d->services[i];
         to->services[i] =
-            (struct rk_service_use){.read_tokens = use->read_tokens,
+            (struct rk_service_use){.demand_tokens = use->read_tokens,
                                     .running = use->running,
                                     .begun = use->begun,
                                     .engine = rk_engines_get(use->engine)};
@@ -211,10 +212,10 @@
         if (row->capacity > 0) /* 0: the bridge doesn't know it either */
             k->capacity = row->capacity;
         k->reported_ms = rk_mono_ms();
-        k->unproven = false;
+        k->unconfirmed = false;
         k->leaving = row->leaving;
         k->slow = row->slow;
-        k->hears_store = row->hears_store;
+        k->store_reachable = row->hears_store;
     }
 }
 
@@ -226,10 +227,10 @@
     if (d->capacity > 0) /* 0: a node of an earlier version */
         k->capacity = d->capacity;
     k->slow = d->slow;
-    k->hears_store = d->hears_store;
-    k->takes_changes = d->takes_changes;
-    k->heard_ms = now_ms;
-    k->unproven = false;
+    k->store_reachable = d->hears_store;
+    k->accepts_changes = d->takes_changes;
+    k->last_received_ms = now_ms;
+    k->unconfirmed = false;
 }
 
 bool rk_digest_take(struct member *k, const Rillknot__Digest *d)
--- a/node/digest_tell.c
+++ b/node/digest_tell.c
@@ -61,7 +61,9 @@
 {
     const struct rk_vm_load *x = a, *y = b;
     int order = strcmp(x->id, y->id);
-    return order ? order : (x->life > y->life) - (x->life < y->life);
+    return order ? order
+                 : (x->incarnation > y->incarnation) -
+                       (x->incarnation < y->incarnation);
 }
 
 /* Merges the loads into one row for each incarnation of a VM. */
@@ -137,12 +139,13 @@
 {
     const struct rk_relay_report *r = m->n->report;
     const struct rk_org_use *own =
-        r ? rk_org_use_find(r->uses, r->uses_len, p->uses[row].org) : NULL;
+        r ? rk_org_use_find(r->quota_usage, r->quota_usage_len, p->uses[row].org)
+          : NULL;
     uint64_t *known = &p->known[row * RK_QUOTA_PARTS];
     if (!own)
         return;
     for (size_t j = 0; j < RK_QUOTA_PARTS; j++)
-        known[j] = (uint64_t)own->known[j];
+        known[j] = (uint64_t)own->used_slices[j];
     p->uses[row].known = known;
     p->uses[row].n_known = RK_QUOTA_PARTS;
 }
@@ -153,8 +156,9 @@
 {
     const struct rk_relay_report *r = m->n->report;
     rk_loads_add_demand(m, fleet, &p->demand, rk_mono_ms());
-    for (size_t i = 0; r && i < r->uses_len; i++)
-        *rk_tally_at(&p->demand, r->uses[i].org) += r->uses[i].asking;
+    for (size_t i = 0; r && i < r->quota_usage_len; i++)
+        *rk_tally_at(&p->demand, r->quota_usage[i].org) +=
+            r->quota_usage[i].demand_per_s;
 }
 
 static void fill_uses(struct digest_builder *p, const struct rk_mesh *m, bool fleet,
@@ -209,7 +213,7 @@
 {
     if (rk_mesh_is_near(k) && k->m->bridge)
         return rk_mesh_is_heard(k, now_ms);
-    return (k->reported_ms || k->heard_ms) && rk_mesh_is_alive(k, now_ms);
+    return (k->reported_ms || k->last_received_ms) && rk_mesh_is_alive(k, now_ms);
 }
 
 /* Which members a digest lists. Of other domains, SOME_MEMBERS has only bridges. */
@@ -254,7 +258,7 @@
         row->heard = is_reported_reachable(k, now_ms);
         row->leaving = k->leaving;
         row->slow = k->slow;
-        row->hears_store = k->hears_store;
+        row->hears_store = k->store_reachable;
         p->member_ptrs[p->digest.n_members++] = row;
     }
     p->digest.members = p->member_ptrs;
@@ -282,9 +286,9 @@
     p->digest.list_revision = rk_sync_list_revision(n->sync);
     p->digest.store_age_ms = rk_sync_age_ms(n->sync);
     p->digest.nodes_total = (uint32_t)rk_mesh_total(m);
-    p->digest.remembers_ms = n->report ? n->report->remembers_ms : 0;
+    p->digest.remembers_ms = n->report ? n->report->quota_history_ms : 0;
     const char *value;
-    if (rk_duty_keeper_newest(n->duty_keeper, &p->lease.version, &value)) {
+    if (rk_duty_keeper_newest(n->leader, &p->lease.version, &value)) {
         p->lease.value = (char *)value;
         p->digest.lease = &p->lease;
     }
@@ -325,16 +329,17 @@
 static void add_own(struct rk_mesh *m)
 {
     const struct rk_relay_report *r = m->n->report;
-    for (size_t i = 0; r && i < r->uses_len; i++) {
-        const char *org = r->uses[i].org;
-        double increase = rk_tally_rise(&m->included_uses, org, r->uses[i].units);
+    for (size_t i = 0; r && i < r->quota_usage_len; i++) {
+        const char *org = r->quota_usage[i].org;
+        double increase =
+            rk_tally_rise(&m->included_uses, org, r->quota_usage[i].units);
         *rk_tally_at(&m->domain_uses, org) += increase;
         *rk_tally_at(&m->fleet_uses, org) += increase;
     }
     for (size_t i = 0; r && i < r->services_len; i++) {
         const char *service = r->services[i].service;
-        double increase =
-            rk_tally_rise(&m->included_reads, service, r->services[i].read_tokens);
+        double increase = rk_tally_rise(&m->included_reads, service,
+                                        r->services[i].demand_tokens);
         *rk_tally_at(&m->domain_reads, service) += increase;
         *rk_tally_at(&m->fleet_reads, service) += increase;
     }
@@ -343,14 +348,15 @@
 void rk_digest_start_counting(struct rk_mesh *m)
 {
     const struct rk_relay_report *r = m->n->report;
-    for (size_t i = 0; r && i < r->uses_len; i++)
-        rk_tally_rise(&m->included_uses, r->uses[i].org, r->uses[i].units);
+    for (size_t i = 0; r && i < r->quota_usage_len; i++)
+        rk_tally_rise(&m->included_uses, r->quota_usage[i].org,
+                      r->quota_usage[i].units);
     for (size_t i = 0; r && i < r->services_len; i++)
         rk_tally_rise(&m->included_reads, r->services[i].service,
-                      r->services[i].read_tokens);
+                      r->services[i].demand_tokens);
     for (struct member *k = m->contacts; k; k = k->next_contact) {
         k->incarnation = 0; /* its next report becomes the baseline */
-        k->uses_based = false;
+        k->has_all_uses = false;
         k->digest.has_baseline = false;
     }
 }
@@ -393,10 +399,10 @@
 {
     const struct member *x = *(struct member *const *)a,
                         *y = *(struct member *const *)b;
-    if (x->takes_brief != y->takes_brief)
-        return x->takes_brief - y->takes_brief;
-    return (x->told.digest_round > y->told.digest_round) -
-           (x->told.digest_round < y->told.digest_round);
+    if (x->accepts_brief != y->accepts_brief)
+        return x->accepts_brief - y->accepts_brief;
+    return (x->link_state.digest_round > y->link_state.digest_round) -
+           (x->link_state.digest_round < y->link_state.digest_round);
 }
 
 /* Collects the nodes of this domain to which the digest of the fleet is sent. */
@@ -417,19 +423,19 @@
                         size_t max_bytes, enum members members)
 {
     size_t at = 0, sent = 0;
-    if (!len || (!max_bytes && nodes[0]->takes_brief))
+    if (!len || (!max_bytes && nodes[0]->accepts_brief))
         return 0;
     /* On a narrow link a node gets full digests only now and then. Each of them has
      * the member list, so that the node gets that often enough. */
-    if (m->full_digest_budget.narrow && members == NO_MEMBERS)
+    if (m->full_digest_budget.is_link_narrow && members == NO_MEMBERS)
         members = SOME_MEMBERS;
     struct rk_packed_frame frame = pack_fleet(m, false, members);
     for (; at < len; at++) {
         struct member *k = nodes[at];
-        if (k->takes_brief && sent + frame.len > max_bytes)
+        if (k->accepts_brief && sent + frame.len > max_bytes)
             break;
         rk_link_send_packed(k->link, &frame);
-        k->told.digest_round = m->digest_rounds;
+        k->link_state.digest_round = m->digest_rounds;
         sent += frame.len;
     }
     rk_send_budget_note(&m->full_digest_budget, sent);
--- a/node/duties.c
+++ b/node/duties.c
@@ -184,9 +184,9 @@
     char value[RK_LEASE_VALUE_MAX];
     int64_t expect;
     /* Only the decision to write depends on the longer waiting time. */
-    k->lease.life_ms = takeover_wait_ms(k);
+    k->lease.ttl_ms = takeover_wait_ms(k);
     bool must_write = rk_lease_wants(&k->lease, rk_mono_ms(), value, &expect);
-    k->lease.life_ms = (int64_t)k->n->file.lease_ms;
+    k->lease.ttl_ms = (int64_t)k->n->file.lease_ms;
     if (!must_write || (k->n->leaving && !k->was_held))
         return;
     k->lease_busy = true;
@@ -253,7 +253,7 @@
 
 static bool get_token(const struct rk_duty_keeper *k, struct rk_duty_token *out)
 {
-    out->holder = k->n->file.id;
+    out->leader = k->n->file.id;
     return rk_lease_valid(&k->lease, rk_mono_ms(), &out->fence);
 }
 
@@ -378,7 +378,7 @@
     struct rk_node *n = k->n;
     struct rk_duty_token t;
     if (!rk_sync_routes(n->sync) || !get_token(k, &t) ||
-        !rk_remember_is_read(n->remember))
+        !rk_remember_is_read(n->persist))
         return;
     int64_t size_ms = rk_s_to_ms(n->file.usage_window_s);
     int64_t wall_ms = rk_wall_ms(), now_ms = rk_mono_ms();
@@ -409,7 +409,7 @@
     rk_duty_keeper_holder(k, id);
     int64_t since_renewal_ms = rk_mono_ms() - k->lease.seen_ms;
     return rk_mesh_hears(k->n->mesh, id) &&
-           since_renewal_ms < k->lease.life_ms * 2 / 3;
+           since_renewal_ms < k->lease.ttl_ms * 2 / 3;
 }
 
 static void on_tick(void *ctx)
@@ -424,10 +424,10 @@
     rk_orders_tick(k->orders, held ? &t : NULL);
     rk_rollouts_tick(k->n->rollouts, held ? &t : NULL);
     if (held) {
-        rk_remember_tick(k->n->remember);
+        rk_remember_tick(k->n->persist);
         rk_quarantines_hold(k->n->quarantines);
     } else if (!has_reachable_leader(k) && rk_mesh_is_first(k->n->mesh)) {
-        rk_remember_stand_in(k->n->remember);
+        rk_remember_stand_in(k->n->persist);
     }
     int64_t window = rk_wall_ms() / rk_s_to_ms(k->n->file.usage_window_s);
     rk_usage_forget(&k->n->usage, window - RECENT_WINDOWS);
@@ -451,7 +451,7 @@
     snprintf(k->holder, sizeof(k->holder), "%.30s/%08x", n->file.id,
              (unsigned)n->incarnation);
     rk_strcpy(k->lease.holder, sizeof(k->lease.holder), k->holder);
-    k->lease.life_ms = (int64_t)n->file.lease_ms;
+    k->lease.ttl_ms = (int64_t)n->file.lease_ms;
     k->jitter_ms = rk_rng_below(&n->rng, LEASE_JITTER_MS);
     k->first_window =
         rk_wall_ms() / rk_s_to_ms(n->file.usage_window_s) - RECENT_WINDOWS;
--- a/node/engines.c
+++ b/node/engines.c
@@ -12,7 +12,7 @@
     rillknot__engine_estimate__init(out);
     out->fixed_ms = (float)e->fixed_ms;
     out->ktoken_ms = (float)e->ktoken_ms;
-    out->calm_ktoken_ms = (float)e->calm_ktoken_ms;
+    out->calm_ktoken_ms = (float)e->unloaded_ktoken_ms;
     out->running_ms = (float)e->running_ms;
     out->error_ms = (float)e->error_ms;
     out->samples = (float)e->samples;
@@ -25,7 +25,7 @@
         return e;
     e = (struct rk_engine_estimate){.fixed_ms = in->fixed_ms,
                                     .ktoken_ms = in->ktoken_ms,
-                                    .calm_ktoken_ms = in->calm_ktoken_ms,
+                                    .unloaded_ktoken_ms = in->calm_ktoken_ms,
                                     .running_ms = in->running_ms,
                                     .error_ms = in->error_ms,
                                     .samples = in->samples};
--- a/node/enrol.c
+++ b/node/enrol.c
@@ -39,10 +39,13 @@
 
 static void retry_registration(struct rk_mesh *m)
 {
-    uint32_t jitter = rk_rng_below(&m->n->rng, (uint32_t)m->enrol_ms + 1);
-    rk_timer_start(m->n->loop, &m->enrol, m->enrol_ms / 2 + jitter);
-    m->enrol_ms =
-        m->enrol_ms * 2 < REGISTER_MAX_MS ? m->enrol_ms * 2 : REGISTER_MAX_MS;
+    uint32_t jitter =
+        rk_rng_below(&m->n->rng, (uint32_t)m->registration_retry_ms + 1);
+    rk_timer_start(m->n->loop, &m->registration_timer,
+                   m->registration_retry_ms / 2 + jitter);
+    m->registration_retry_ms = m->registration_retry_ms * 2 < REGISTER_MAX_MS
+                                   ? m->registration_retry_ms * 2
+                                   : REGISTER_MAX_MS;
 }
 
 /* Adds a node of the list to the members. Once a member has been removed as
@@ -60,7 +63,7 @@
     if (!k->capacity)
         k->capacity = rk_json_int(o->spec, "capacity", 0);
     if (!known)
-        k->unproven = m->forgotten_ms != 0;
+        k->unconfirmed = m->member_removed_ms != 0;
 }
 
 static void schedule_list(struct rk_mesh *m)
@@ -68,7 +71,7 @@
     m->lists_left = rk_mesh_count(m) < RK_MESH_DIRECT ? m->lists_left - 1 : 0;
     int64_t wait_ms = m->lists_left > 0 ? LIST_INTERVAL_MS : LIST_CHECK_MS;
     int64_t jitter = rk_rng_below(&m->n->rng, LIST_INTERVAL_MS);
-    rk_timer_start(m->n->loop, &m->enrol, wait_ms + jitter);
+    rk_timer_start(m->n->loop, &m->registration_timer, wait_ms + jitter);
 }
 
 static void create_entry(struct rk_mesh *m);
@@ -93,13 +96,13 @@
         retry_registration(m);
         return;
     }
-    m->enrol_ms = REGISTER_MIN_MS;
-    m->enrolled = m->enrolled || has_own_entry(m, objects, len);
-    if (!m->enrolled) {
+    m->registration_retry_ms = REGISTER_MIN_MS;
+    m->registered = m->registered || has_own_entry(m, objects, len);
+    if (!m->registered) {
         create_entry(m); /* a new node, or the list is stale */
         return;
     }
-    m->listed = true;
+    m->has_node_list = true;
     for (size_t i = 0; i < len; i++)
         add_listed_node(m, &objects[i]);
     RK_EVENT("mesh.enrolled", RK_N("nodes", (int64_t)len));
@@ -123,7 +126,7 @@
         m->n->file.first_start && m->n->file.peers_len >= SEEDS_MIN;
     int64_t jitter = rk_rng_below(&m->n->rng, JOINT_START_MS);
     if (started_jointly)
-        rk_timer_start(m->n->loop, &m->enrol, JOINT_START_MS + jitter);
+        rk_timer_start(m->n->loop, &m->registration_timer, JOINT_START_MS + jitter);
     else
         list_nodes(m, false);
 }
@@ -133,22 +136,22 @@
 {
     struct rk_mesh *m = ctx;
     struct rk_store *store = m->n->store;
-    if (st == RK_ECONFLICT && object && !m->enrolled) {
+    if (st == RK_ECONFLICT && object && !m->registered) {
         /* The entry was written by an earlier incarnation of this node. */
         char spec[SPEC_MAX];
         build_spec(m, spec);
-        m->enrolled = true;
+        m->registered = true;
         if (strcmp(rk_json_str(object->spec, "addr"), rk_mesh_addr(m)) != 0) {
             store->ops->replace(store, NODES_KIND, m->n->file.id, object->revision,
                                 spec, on_registered, m);
             return;
         }
     } else if (st != RK_OK) {
-        m->enrolled = false;
+        m->registered = false;
         retry_registration(m);
         return;
     }
-    m->enrolled = true;
+    m->registered = true;
     read_first_list(m);
 }
 
@@ -164,13 +167,13 @@
  * cut off, and only by nodes that would connect to them. */
 static void check_list(struct rk_mesh *m)
 {
-    bool may_be_cut_off =
-        m->forgotten_ms && rk_mono_ms() - m->forgotten_ms < REMOVED_MEMBER_MS;
-    if (!m->listed || m->lists_left > 0 ||
+    bool may_be_cut_off = m->member_removed_ms &&
+                          rk_mono_ms() - m->member_removed_ms < REMOVED_MEMBER_MS;
+    if (!m->has_node_list || m->lists_left > 0 ||
         (may_be_cut_off && (m->direct || m->bridge)))
-        list_nodes(m, m->listed && !m->lists_left);
+        list_nodes(m, m->has_node_list && !m->lists_left);
     else
-        rk_timer_start(m->n->loop, &m->enrol, LIST_CHECK_MS);
+        rk_timer_start(m->n->loop, &m->registration_timer, LIST_CHECK_MS);
 }
 
 static void on_own_entry(void *ctx, enum rk_status st,
@@ -180,8 +183,8 @@
     bool own = st == RK_OK && object &&
                !strcmp(rk_json_str(object->spec, "addr"), rk_mesh_addr(m));
     if (own) {
-        m->enrolled = m->listed = true;
-        m->enrol_ms = REGISTER_MIN_MS;
+        m->registered = m->has_node_list = true;
+        m->registration_retry_ms = REGISTER_MIN_MS;
         RK_EVENT("mesh.told", RK_N("nodes", (int64_t)rk_mesh_count(m) + 1));
         schedule_list(m);
     } else if (st == RK_OK || st == RK_ENOTFOUND) {
@@ -207,7 +210,7 @@
     if (rk_returning_is_told(m->n))
         read_own_entry(m);
     else if (wait_ms > 0)
-        rk_timer_start(m->n->loop, &m->enrol,
+        rk_timer_start(m->n->loop, &m->registration_timer,
                        wait_ms < READ_DELAY_CHECK_MS ? wait_ms
                                                      : READ_DELAY_CHECK_MS);
     else
@@ -217,7 +220,7 @@
 static void on_registration_timer(void *ctx)
 {
     struct rk_mesh *m = ctx;
-    if (m->enrolled)
+    if (m->registered)
         check_list(m);
     else if (m->n->file.first_start)
         create_entry(m);
@@ -227,18 +230,19 @@
 
 void rk_mesh_turn(struct rk_mesh *m)
 {
-    if (!m->enrolled && m->enrol.slot)
-        rk_timer_start(m->n->loop, &m->enrol, 0);
+    if (!m->registered && m->registration_timer.slot)
+        rk_timer_start(m->n->loop, &m->registration_timer, 0);
 }
 
 void rk_enrol_init(struct rk_mesh *m)
 {
-    m->enrol_ms = REGISTER_MIN_MS;
+    m->registration_retry_ms = REGISTER_MIN_MS;
     m->lists_left = m->n->file.first_start ? LIST_READS : 1;
-    m->enrol = (struct rk_timer){.fn = on_registration_timer, .ctx = m};
+    m->registration_timer =
+        (struct rk_timer){.fn = on_registration_timer, .ctx = m};
 }
 
 void rk_enrol_start(struct rk_mesh *m)
 {
-    rk_timer_start(m->n->loop, &m->enrol, 0);
+    rk_timer_start(m->n->loop, &m->registration_timer, 0);
 }
--- a/node/follow.c
+++ b/node/follow.c
@@ -21,7 +21,7 @@
  * request. */
 static int64_t answer_time_ms(const struct rk_follow *f)
 {
-    int64_t first_byte_ms = f->n->store->began_ms;
+    int64_t first_byte_ms = f->n->store->first_byte_at_ms;
     return first_byte_ms && !f->listing ? first_byte_ms : f->call_started_ms;
 }
 
@@ -29,14 +29,14 @@
 {
     bool lost = st != RK_OK && st != RK_EGONE;
     if (!lost) {
-        f->heard_ms = answer_time_ms(f);
-        f->heard(f->ctx);
+        f->answered_ms = answer_time_ms(f);
+        f->on_answer(f->ctx);
     }
     if (lost == f->lost)
         return;
     f->lost = lost;
     RK_EVENT(lost ? "store.lost" : "store.back", RK_S("kind", f->kind),
-             RK_S("status", rk_status_str(st)), RK_N("at", f->at));
+             RK_S("status", rk_status_str(st)), RK_N("at", f->revision));
 }
 
 static void retry_later(struct rk_follow *f)
@@ -53,7 +53,7 @@
 static void list_next(struct rk_follow *f)
 {
     if (f->list_when_behind)
-        f->at = 0;
+        f->revision = 0;
 }
 
 static void on_answer(void *ctx, enum rk_status st,
@@ -63,27 +63,29 @@
     f->busy = false;
     note_answer(f, st);
     if (st == RK_EGONE) {
-        RK_EVENT("store.history_gone", RK_S("kind", f->kind), RK_N("at", f->at));
-        f->at = 0;
+        RK_EVENT("store.history_gone", RK_S("kind", f->kind),
+                 RK_N("at", f->revision));
+        f->revision = 0;
         call_store(f);
         return;
     }
     if (st != RK_OK) {
-        if (st == RK_EUNKNOWN && f->n->store->began_ms)
+        if (st == RK_EUNKNOWN && f->n->store->first_byte_at_ms)
             list_next(f); /* cut off midway: the answer is too long for the link */
         retry_later(f);
         return;
     }
     f->retry_ms = RETRY_FIRST_MS;
     /* Peers may have sent newer changes in the meantime. */
-    if (at >= f->at) {
+    if (at >= f->revision) {
         f->apply(f->ctx, objects, len, f->listing, at);
-        f->at = at;
+        f->revision = at;
     }
     bool burst = f->list_when_behind && !f->listing && len > 1;
     if (burst)
         list_next(f);
-    int64_t delay_ms = burst && f->pace_ms < BURST_MS ? BURST_MS : f->pace_ms;
+    int64_t delay_ms =
+        burst && f->min_interval_ms < BURST_MS ? BURST_MS : f->min_interval_ms;
     if (len && delay_ms)
         rk_timer_start(f->n->loop, &f->timer, delay_ms);
     else
@@ -98,17 +100,17 @@
 static void call_store(struct rk_follow *f)
 {
     struct rk_store *store = f->n->store;
-    if (f->busy || !f->on)
+    if (f->busy || !f->enabled)
         return;
     rk_timer_stop(f->n->loop, &f->timer);
     f->busy = true;
-    f->listing = !f->at;
+    f->listing = !f->revision;
     f->call_started_ms = rk_mono_ms();
     if (f->listing)
         store->ops->list(store, f->kind, false, on_answer, f);
     else
-        store->ops->watch(store, f->kind, f->at, watch_duration_ms(f), on_answer,
-                          f);
+        store->ops->watch(store, f->kind, f->revision, watch_duration_ms(f),
+                          on_answer, f);
 }
 
 static void on_timer(void *ctx)
@@ -124,9 +126,9 @@
 
 void rk_follow_set(struct rk_follow *f, bool on)
 {
-    if (f->on == on)
+    if (f->enabled == on)
         return;
-    f->on = on;
+    f->enabled = on;
     if (on)
         call_store(f);
     else
@@ -135,8 +137,8 @@
 
 void rk_follow_skip(struct rk_follow *f, int64_t at)
 {
-    if (at > f->at)
-        f->at = at;
+    if (at > f->revision)
+        f->revision = at;
 }
 
 void rk_follow_forget(struct rk_follow *f)
--- a/node/follow.h
+++ b/node/follow.h
@@ -17,17 +17,18 @@
      * whole list, else changes. at: the store's revision that they lead up to. */
     void (*apply)(void *ctx, const struct rk_store_object *objects, size_t len,
                   bool all, int64_t at);
-    void (*heard)(void *ctx); /* the store answered; called before apply */
+    void (*on_answer)(void *ctx); /* the store answered; called before apply */
     void *ctx;
     /* Few but large objects: listing the newest of each costs less than receiving
      * all their changes. */
     bool list_when_behind;
-    int64_t pace_ms; /* delay after changes arrived, to collect more; 0: none */
+    int64_t
+        min_interval_ms; /* delay after changes arrived, to collect more; 0: none */
     /* Read by the caller. */
-    int64_t at;       /* the store's revision that is known; 0: none yet */
-    int64_t heard_ms; /* the last answer was up to date then; 0: never */
-    bool lost;        /* the store's last answer was an error or a time-out */
-    bool on;          /* watching, by rk_follow_set() */
+    int64_t revision;    /* the store's revision that is known; 0: none yet */
+    int64_t answered_ms; /* the last answer was up to date then; 0: never */
+    bool lost;           /* the store's last answer was an error or a time-out */
+    bool enabled;        /* watching, by rk_follow_set() */
     /* Private. */
     bool busy, listing;      /* a call is in progress; it is a list */
     int64_t call_started_ms; /* when that call was made */
--- a/node/loads.c
+++ b/node/loads.c
@@ -13,11 +13,11 @@
     out->id = load->id;
     out->running = load->running;
     out->waiting_tokens = load->waiting_tokens;
-    out->pace_log_sum = (float)load->pace.log_sum;
-    out->pace_failed = (float)load->pace.failed;
-    out->pace_calls = (float)load->pace.calls;
-    out->pace_refused = (float)load->pace.refused;
-    out->life = load->life;
+    out->pace_log_sum = (float)load->health.log_sum;
+    out->pace_failed = (float)load->health.failed;
+    out->pace_calls = (float)load->health.calls;
+    out->pace_refused = (float)load->health.refused;
+    out->life = load->incarnation;
 }
 
 static struct rk_pace decode_health(const Rillknot__VmUse *from)
@@ -39,10 +39,10 @@
     *len = from_len;
     for (size_t i = 0; i < from_len; i++) {
         struct rk_vm_load *load = &(*loads)[i];
-        *load = (struct rk_vm_load){.life = from[i]->life,
+        *load = (struct rk_vm_load){.incarnation = from[i]->life,
                                     .running = from[i]->running,
                                     .waiting_tokens = from[i]->waiting_tokens,
-                                    .pace = decode_health(from[i])};
+                                    .health = decode_health(from[i])};
         rk_strcpy(load->id, sizeof(load->id), from[i]->id);
     }
 }
@@ -51,7 +51,7 @@
 {
     sum->running += more->running;
     sum->waiting_tokens += more->waiting_tokens;
-    rk_pace_sum(&sum->pace, &more->pace);
+    rk_pace_sum(&sum->health, &more->health);
 }
 
 static void append_loads(struct rk_relay_peers *p, const struct rk_vm_load *loads,
@@ -69,11 +69,11 @@
 {
     sum->running -= own->running < sum->running ? own->running : sum->running;
     sum->waiting_tokens = fmax(0, sum->waiting_tokens - own->waiting_tokens);
-    sum->pace.calls = fmax(0, sum->pace.calls - own->pace.calls);
-    sum->pace.failed = fmax(0, sum->pace.failed - own->pace.failed);
-    sum->pace.refused = fmax(0, sum->pace.refused - own->pace.refused);
-    sum->pace.log_sum =
-        sum->pace.calls > 0 ? sum->pace.log_sum - own->pace.log_sum : 0;
+    sum->health.calls = fmax(0, sum->health.calls - own->health.calls);
+    sum->health.failed = fmax(0, sum->health.failed - own->health.failed);
+    sum->health.refused = fmax(0, sum->health.refused - own->health.refused);
+    sum->health.log_sum =
+        sum->health.calls > 0 ? sum->health.log_sum - own->health.log_sum : 0;
 }
 
 static void subtract_own(const struct rk_mesh *m, struct rk_relay_peers *p)
@@ -163,8 +163,8 @@
                        size_t len, double sign)
 {
     for (size_t i = 0; i < len; i++)
-        if (uses[i].asking > 0)
-            *rk_tally_at(sum, uses[i].org) += sign * uses[i].asking;
+        if (uses[i].demand_per_s > 0)
+            *rk_tally_at(sum, uses[i].org) += sign * uses[i].demand_per_s;
 }
 
 void rk_loads_add_demand(const struct rk_mesh *m, bool fleet, struct rk_tally *sum,
@@ -189,7 +189,7 @@
     }
     add_demand(sum, source->digest.uses.rows, source->digest.uses.len, 1);
     if (r)
-        add_demand(sum, r->uses, r->uses_len, -1);
+        add_demand(sum, r->quota_usage, r->quota_usage_len, -1);
     for (size_t i = 0; i < sum->len; i++)
         if (sum->rows[i].total < 0)
             sum->rows[i].total = 0; /* own demand rose since that digest */
@@ -200,5 +200,5 @@
     const struct rk_relay_report *r = m->n->report;
     rk_loads_peers_asking(m, sum, rk_mono_ms());
     if (r)
-        add_demand(sum, r->uses, r->uses_len, 1);
+        add_demand(sum, r->quota_usage, r->quota_usage_len, 1);
 }
--- a/node/members.c
+++ b/node/members.c
@@ -30,7 +30,7 @@
 
 bool rk_mesh_is_heard(const struct member *k, int64_t now_ms)
 {
-    return k->heard_ms && now_ms - k->heard_ms < UNREACHABLE_MS;
+    return k->last_received_ms && now_ms - k->last_received_ms < UNREACHABLE_MS;
 }
 
 /* A bridge's report is used if it came after the member had become unreachable from
@@ -41,9 +41,9 @@
 {
     if (rk_mesh_is_heard(k, now_ms))
         return true;
-    if (!k->heard_ms && !k->reported_ms)
+    if (!k->last_received_ms && !k->reported_ms)
         return now_ms - k->added_ms < GRACE_MS;
-    if (k->reported_ms <= k->heard_ms + UNREACHABLE_MS)
+    if (k->reported_ms <= k->last_received_ms + UNREACHABLE_MS)
         return false;
     if (k->m->bridge)
         return k->reported_ms > now_ms - NEAR_REPORT_MS;
@@ -179,7 +179,7 @@
         rk_strcpy(k->addr, sizeof(k->addr), addr);
         rk_link_destroy(k->link);
         k->link = NULL;
-        k->told = (struct link_state){0};
+        k->link_state = (struct link_state){0};
     }
     return k;
 }
@@ -212,7 +212,8 @@
  * counts until it is unreachable. */
 static bool is_of_fleet(const struct member *k, int64_t now_ms)
 {
-    return k->id[0] && !k->unproven && (!k->leaving || rk_mesh_is_alive(k, now_ms));
+    return k->id[0] && !k->unconfirmed &&
+           (!k->leaving || rk_mesh_is_alive(k, now_ms));
 }
 
 static int count_total(const struct rk_mesh *m, int64_t now_ms)
@@ -233,7 +234,7 @@
 {
     struct rk_fleet_size size = {0};
     int64_t now_ms = rk_mono_ms();
-    if (!m->listed)
+    if (!m->has_node_list)
         return size;
     rk_fleet_size_add(&size, rk_mesh_capacity(m));
     for (const struct member *k = m->members; k; k = k->next)
@@ -245,7 +246,7 @@
 int rk_mesh_total(const struct rk_mesh *m)
 {
     int count = m->direct ? count_total(m, rk_mono_ms()) : m->total;
-    return m->listed || count > RK_UNKNOWN_NODES ? count : RK_UNKNOWN_NODES;
+    return m->has_node_list || count > RK_UNKNOWN_NODES ? count : RK_UNKNOWN_NODES;
 }
 
 /* Returns whether this node normally gets messages from the member itself. The
@@ -270,13 +271,13 @@
     for (struct member **at = &m->members; *at;) {
         struct member *k = *at;
         bool reachable =
-            (k->heard_ms || k->reported_ms) && rk_mesh_is_alive(k, now_ms);
+            (k->last_received_ms || k->reported_ms) && rk_mesh_is_alive(k, now_ms);
         if (reachable != k->was_reachable) {
             k->was_reachable = reachable;
             log_peer(k, reachable ? "peer.heard" : "peer.silent");
         }
-        int64_t last_ms =
-            k->heard_ms > k->reported_ms ? k->heard_ms : k->reported_ms;
+        int64_t last_ms = k->last_received_ms > k->reported_ms ? k->last_received_ms
+                                                               : k->reported_ms;
         if (k->added_ms > last_ms)
             last_ms = k->added_ms;
         if (now_ms - last_ms < REMOVE_MS) {
@@ -285,7 +286,7 @@
         }
         log_peer(k, "peer.forgotten");
         *at = k->next;
-        m->forgotten_ms = now_ms;
+        m->member_removed_ms = now_ms;
         free_member(k);
     }
 }
@@ -388,7 +389,7 @@
         if (!rk_mesh_is_near(k) || !precedes(c, self))
             continue;
         m->rank++;
-        m->has_store_watch = m->has_store_watch || k->hears_store;
+        m->has_store_watch = m->has_store_watch || k->store_reachable;
     }
     for (struct member *k = m->members; k; k = k->next) {
         b = may_bridge(k, now_ms) ? bridges_of(all, &len, k->domain) : NULL;
@@ -414,7 +415,7 @@
 
 bool rk_mesh_is_listed(const struct rk_mesh *m)
 {
-    return m->listed;
+    return m->has_node_list;
 }
 
 bool rk_mesh_is_direct(const struct rk_mesh *m)
@@ -435,7 +436,7 @@
 bool rk_mesh_hears(const struct rk_mesh *m, const char *id)
 {
     const struct member *k = id[0] ? rk_mesh_find(m, id) : NULL;
-    return k && (k->heard_ms || k->reported_ms) &&
+    return k && (k->last_received_ms || k->reported_ms) &&
            rk_mesh_is_alive(k, rk_mono_ms());
 }
 
--- a/node/mesh.c
+++ b/node/mesh.c
@@ -149,8 +149,8 @@
     if (request->settings)
         rk_transfer_on_settings_request(m, state);
     if (request->uses) {
-        m->uses_wanted = true;
-        m->known_wanted = m->known_wanted || request->known;
+        m->uses_requested = true;
+        m->history_requested = m->history_requested || request->known;
         rk_mesh_report(m);
     }
     if (request->list)
@@ -169,7 +169,7 @@
 static void receive_lease(struct rk_mesh *m, const Rillknot__LeaseRow *lease)
 {
     if (lease)
-        rk_duty_keeper_seen(m->n->duty_keeper, lease->version, lease->value);
+        rk_duty_keeper_seen(m->n->leader, lease->version, lease->value);
 }
 
 void rk_mesh_want_uses(struct rk_link *link, bool known)
@@ -271,7 +271,7 @@
                             const Rillknot__Frame *frame)
 {
     struct member *k = ctx;
-    receive_frame(k->m, link, &k->told, frame);
+    receive_frame(k->m, link, &k->link_state, frame);
 }
 
 static void on_member_down(void *ctx, struct rk_link *link)
@@ -279,7 +279,7 @@
     struct member *k = ctx;
     rk_link_destroy(link);
     k->link = NULL;
-    k->told = (struct link_state){0};
+    k->link_state = (struct link_state){0};
 }
 
 static void on_member_up(void *ctx, struct rk_link *link)
@@ -335,7 +335,7 @@
 {
     rk_link_destroy(k->link);
     k->link = NULL;
-    k->told = (struct link_state){0};
+    k->link_state = (struct link_state){0};
 }
 
 void rk_mesh_dial(struct rk_mesh *m, int64_t now_ms)
@@ -364,8 +364,9 @@
 {
     if (units == 0)
         return;
-    m->news = rk_realloc(m->news, (m->news_len + 1) * sizeof(*m->news));
-    struct rk_org_use *use = &m->news[m->news_len++];
+    m->peer_uses =
+        rk_realloc(m->peer_uses, (m->peer_uses_len + 1) * sizeof(*m->peer_uses));
+    struct rk_org_use *use = &m->peer_uses[m->peer_uses_len++];
     *use = (struct rk_org_use){.units = units};
     rk_strcpy(use->org, sizeof(use->org), org);
 }
@@ -374,7 +375,7 @@
                                           const char *service)
 {
     int64_t now_ms = rk_mono_ms();
-    struct rk_service_use sum = {.read_tokens =
+    struct rk_service_use sum = {.demand_tokens =
                                      rk_tally_total(&m->peer_reads, service)};
     rk_strcpy(sum.service, sizeof(sum.service), service);
     struct rk_in_flight peers = rk_loads_in_flight(m, service, now_ms);
@@ -389,28 +390,30 @@
 static void fill_quota_history(struct rk_mesh *m, struct rk_relay_peers *p,
                                int64_t now_ms)
 {
-    p->catch_up = m->catch_up_source != NULL;
+    p->backfill_history = m->catch_up_source != NULL;
     const struct rk_org_use *uses = NULL;
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
-        if (!k->knows || !rk_mesh_is_heard(k, now_ms) ||
-            (uses && k->remembers_ms <= p->remembers_ms))
+        if (!k->has_quota_history || !rk_mesh_is_heard(k, now_ms) ||
+            (uses && k->quota_history_ms <= p->quota_history_ms))
             continue;
-        p->remembers_ms = k->remembers_ms;
-        p->known_len = k->uses.len;
+        p->quota_history_ms = k->quota_history_ms;
+        p->quota_history_len = k->uses.len;
         uses = k->uses.rows;
     }
     const struct member *source =
         m->catch_up_source ? m->catch_up_source : rk_digest_of_fleet(m, now_ms);
     if (source && (m->catch_up_source || !uses ||
-                   source->digest.quota_history_ms > p->remembers_ms)) {
-        p->remembers_ms = source->digest.quota_history_ms;
-        p->known_len = source->digest.uses.len;
+                   source->digest.quota_history_ms > p->quota_history_ms)) {
+        p->quota_history_ms = source->digest.quota_history_ms;
+        p->quota_history_len = source->digest.uses.len;
         uses = source->digest.uses.rows;
     }
-    p->known = rk_alloc(p->known_len + 1, sizeof(*p->known));
+    p->quota_history =
+        rk_alloc(p->quota_history_len + 1, sizeof(*p->quota_history));
     m->catch_up_source = NULL;
-    if (uses && p->known_len)
-        memcpy(p->known, uses, p->known_len * sizeof(*p->known));
+    if (uses && p->quota_history_len)
+        memcpy(p->quota_history, uses,
+               p->quota_history_len * sizeof(*p->quota_history));
 }
 
 /* Returns the time in ms since the last report or digest of any peer; -1: there was
@@ -419,8 +422,8 @@
 {
     int64_t last_ms = 0;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (k->heard_ms > last_ms)
-            last_ms = k->heard_ms;
+        if (k->last_received_ms > last_ms)
+            last_ms = k->last_received_ms;
     return last_ms ? now_ms - last_ms : -1;
 }
 
@@ -429,16 +432,16 @@
     struct rk_relay_peers *p = rk_alloc(1, sizeof(*p));
     rk_loads_fill(m, p, now_ms);
     fill_quota_history(m, p, now_ms);
-    rk_loads_peers_asking(m, &p->asking, now_ms);
+    rk_loads_peers_asking(m, &p->quota_demand, now_ms);
     rk_engines_fill(m, p);
-    p->uses = m->news;
-    p->uses_len = m->news_len;
-    m->news = NULL;
-    m->news_len = 0;
-    p->nodes_heard = rk_mesh_heard(m);
+    p->quota_usage_added = m->peer_uses;
+    p->quota_usage_added_len = m->peer_uses_len;
+    m->peer_uses = NULL;
+    m->peer_uses_len = 0;
+    p->nodes_reachable = rk_mesh_heard(m);
     p->nodes_total = rk_mesh_total(m);
-    p->lag_ms = m->direct ? REPORT_MS : BRIDGED_LAG_MS;
-    p->silent_ms = since_received_ms(m, now_ms);
+    p->report_lag_ms = m->direct ? REPORT_MS : BRIDGED_LAG_MS;
+    p->since_report_ms = since_received_ms(m, now_ms);
     rk_relay_set_peers(m->n->relay, p);
 }
 
@@ -534,7 +537,7 @@
     rk_timer_stop(m->n->loop, &m->tick);
     rk_timer_stop(m->n->loop, &m->report_timer);
     rk_timer_stop(m->n->loop, &m->relay_timer);
-    rk_timer_stop(m->n->loop, &m->enrol);
+    rk_timer_stop(m->n->loop, &m->registration_timer);
     rk_timer_stop(m->n->loop, &m->transfer_timer);
     rk_mesh_free_members(m);
     while (m->inbound) {
@@ -548,9 +551,9 @@
                                     &m->fleet_uses,     &m->domain_reads,
                                     &m->fleet_reads,    &m->included_uses,
                                     &m->included_reads, &m->baseline_uses,
-                                    &m->baseline_reads, &m->uses_told};
+                                    &m->baseline_reads, &m->uses_reported};
     for (size_t i = 0; i < RK_ARRAY_LEN(all); i++)
         rk_tally_free(all[i]);
-    free(m->news);
+    free(m->peer_uses);
     free(m);
 }
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -62,7 +62,7 @@
     bool list_sent;          /* the whole VM list, at least once */
     int64_t settings_sent;   /* version of the settings sent last; 0: none */
     int64_t members_sent_ms; /* by rk_digest_send_members(), last; 0: never */
-    bool has_uses;           /* all rows of quota usage were sent */
+    bool uses_sent;          /* all rows of quota usage were sent */
     unsigned digest_round;   /* of the last full digest sent; 0: none */
 };
 
@@ -76,32 +76,33 @@
     int64_t capacity;       /* processor share in thousandths of a core */
     uint64_t hash;          /* of its id */
     bool bridge;            /* of its domain, by the last election */
-    bool unproven;          /* listed again after removal, but not reachable yet */
+    bool unconfirmed;       /* listed again after removal, but not reachable yet */
     uint64_t incarnation;   /* of its last report; 0: its next one sets baselines */
     uint64_t last_incarnation; /* that a message came from; 0: none */
     uint64_t past_incarnations[PAST_INCARNATIONS]; /* before that, a ring */
     size_t past_len;
-    struct rk_link *link;       /* opened by this node */
-    struct link_state told;     /* of that link */
-    int64_t settings_version;   /* as it reported */
-    int64_t connect_started_ms; /* 0: never */
-    int64_t needed_ms;          /* when the link was needed last */
-    int64_t heard_ms;           /* its last message; 0: none */
-    int64_t reported_ms;        /* a bridge last reported it reachable; 0: never */
-    int64_t added_ms;           /* when it became a member */
-    bool was_reachable;         /* as logged last */
-    bool leaving;               /* in a planned stop */
-    bool slow;        /* as it reported: others are preferred as bridges */
-    bool hears_store; /* as it reported: it watches the store and gets answers */
-    int64_t remembers_ms; /* length of its quota history */
+    struct rk_link *link;         /* opened by this node */
+    struct link_state link_state; /* of that link */
+    int64_t settings_version;     /* as it reported */
+    int64_t connect_started_ms;   /* 0: never */
+    int64_t needed_ms;            /* when the link was needed last */
+    int64_t last_received_ms;     /* its last message; 0: none */
+    int64_t reported_ms; /* a bridge last reported it reachable; 0: never */
+    int64_t added_ms;    /* when it became a member */
+    bool was_reachable;  /* as logged last */
+    bool leaving;        /* in a planned stop */
+    bool slow;           /* as it reported: others are preferred as bridges */
+    bool
+        store_reachable; /* as it reported: it watches the store and gets answers */
+    int64_t quota_history_ms; /* length of its quota history */
     struct rk_vm_load *loads;
     size_t loads_len;
     struct rk_org_uses uses; /* since its start, by its last reports */
-    bool uses_based;         /* uses has all its rows: changes can be applied */
-    bool knows;              /* its quota history was received */
-    bool takes_changes;      /* it accepts reports of only the rows that changed */
-    bool takes_brief;        /* it accepts digests that are only heartbeats */
-    int64_t uses_asked_ms;   /* when all its rows were requested last */
+    bool has_all_uses;       /* uses has all its rows: changes can be applied */
+    bool has_quota_history;  /* its quota history was received */
+    bool accepts_changes;    /* it accepts reports of only the rows that changed */
+    bool accepts_brief;      /* it accepts digests that are only heartbeats */
+    int64_t uses_requested_ms;       /* when all its rows were requested last */
     struct rk_service_use *services; /* since its start */
     size_t services_len;
     struct rk_rollout_seen *canary_stats; /* since its start */
@@ -134,7 +135,8 @@
     struct member *contacts;
     struct lh_table *by_id; /* members whose ids are known */
     struct inbound_link *inbound;
-    struct rk_timer tick, report_timer, relay_timer, enrol, transfer_timer;
+    struct rk_timer tick, report_timer, relay_timer, registration_timer,
+        transfer_timer;
     int64_t next_tick_ms; /* when the next tick is due */
     double late_ms;       /* delay of ticks, exponentially smoothed */
     bool slow;            /* ticks are late: others are preferred as bridges */
@@ -143,24 +145,25 @@
     unsigned digest_rounds;                   /* completed so far */
     struct rk_send_budget full_digest_budget; /* for digests with content */
     struct rk_usage_sent own_usage_sent, domain_usage_sent;
-    struct rk_tally uses_told; /* own units by organisation, as reported last */
+    struct rk_tally uses_reported; /* own units by organisation, as reported last */
     /* uses_wanted: the next report has all rows of quota usage; known_wanted: it
      * also has the quota history. */
-    bool uses_wanted, known_wanted;
-    int64_t known_asked_ms; /* when a node's quota history was requested last */
+    bool uses_requested, history_requested;
+    int64_t
+        history_requested_ms; /* when a node's quota history was requested last */
     char usage_leader[RK_ID_MAX]; /* the leader that got the last counts */
     int64_t announcement_sent_ms; /* of rollouts, by this node as leader */
     int64_t canary_stats_sent_ms;
     /* When quarantine rows, and VMs' limits, were repeated last, as is done for as
      * long as they hold. */
     int64_t quarantine_sent_ms, limits_sent_ms;
-    size_t limits_offset;      /* number of limits to skip in the next message */
-    int64_t enrol_ms;          /* mean delay before the next retry */
-    int lists_left;            /* further reads of the store's list of nodes */
-    int64_t forgotten_ms;      /* when a member was removed last; 0: never */
-    bool enrolled;             /* this node is in the store's list of nodes */
-    bool listed;               /* this node knows who is in that list */
-    int64_t list_requested_ms; /* changes of the VM list, last */
+    size_t limits_offset; /* number of limits to skip in the next message */
+    int64_t registration_retry_ms; /* mean delay before the next retry */
+    int lists_left;                /* further reads of the store's list of nodes */
+    int64_t member_removed_ms;     /* when a member was removed last; 0: never */
+    bool registered;               /* this node is in the store's list of nodes */
+    bool has_node_list;            /* this node knows who is in that list */
+    int64_t list_requested_ms;     /* changes of the VM list, last */
     /* The link over which settings were requested last; compared, never read. */
     const struct link_state *settings_source;
     int64_t settings_requested_ms; /* 0: never, or newer ones arrived since */
@@ -175,8 +178,8 @@
      * NULL: none. */
     const struct member *catch_up_source;
     /* Units used by peers since the relay's last update. */
-    struct rk_org_use *news;
-    size_t news_len;
+    struct rk_org_use *peer_uses;
+    size_t peer_uses_len;
     struct rk_tally peer_reads; /* tokens read for the peers, by service */
     /* At a bridge: what its domain and the fleet used and read since its start, and
      * how much of this node's own counters is included. */
--- a/node/node.c
+++ b/node/node.c
@@ -48,7 +48,7 @@
 /* Returns whether both control and the relay have routes and VMs. */
 static bool is_ready(const struct rk_node *n)
 {
-    return rk_sync_ready(n->sync) && n->report && n->report->version &&
+    return rk_sync_ready(n->sync) && n->report && n->report->routes_version &&
            n->report->vms_known;
 }
 
@@ -67,18 +67,18 @@
         const char *name;
         int64_t value;
     } gauges[] = {
-        {"settings_version", n->report ? n->report->version : 0},
+        {"settings_version", n->report ? n->report->routes_version : 0},
         {"settings_age_ms", rk_sync_age_ms(n->sync)},
         {"settings_behind_ms", rk_sync_behind_ms(n->sync)},
         {"list_revision", rk_sync_list_revision(n->sync)},
         {"nodes_heard", rk_mesh_heard(n->mesh)},
         {"nodes_known", rk_mesh_total(n->mesh)},
         {"vms_listed", (int64_t)rk_sync_vms_len(n->sync)},
-        {"calls_in_hand", n->report ? (int64_t)n->report->in_hand : 0},
+        {"calls_in_hand", n->report ? (int64_t)n->report->busy_count : 0},
         {"requests_stopped", (int64_t)rk_quarantines_stopped(n->quarantines)},
         {"vms_limited", (int64_t)rk_signals_limited(n->signals)},
         {"vms_say_leaving", (int64_t)rk_signals_leaving(n->signals)},
-        {"vms_resting", n->report ? (int64_t)n->report->vms_resting : 0},
+        {"vms_resting", n->report ? (int64_t)n->report->vms_in_cooldown : 0},
         {"leaving", n->leaving},
     };
     for (size_t i = 0; i < RK_ARRAY_LEN(gauges); i++)
@@ -109,10 +109,10 @@
     (void)user;
 }
 
-static const struct rk_server_ops ready_ops = {.on_request = on_ready_request,
-                                               .on_gone = on_admin_client_gone};
-static const struct rk_server_ops metrics_ops = {.on_request = on_metrics_request,
-                                                 .on_gone = on_admin_client_gone};
+static const struct rk_server_ops ready_ops = {
+    .on_request = on_ready_request, .on_disconnect = on_admin_client_gone};
+static const struct rk_server_ops metrics_ops = {
+    .on_request = on_metrics_request, .on_disconnect = on_admin_client_gone};
 
 /* ---- the relay's reports ---- */
 
@@ -163,7 +163,7 @@
 static void finish_stop(struct rk_node *n)
 {
     RK_EVENT("node.stopped",
-             RK_N("in_hand", n->report ? (int64_t)n->report->in_hand : 0),
+             RK_N("in_hand", n->report ? (int64_t)n->report->busy_count : 0),
              RK_N("took_ms", rk_mono_ms() - n->leaving_since_ms));
     rk_relay_stop(n->relay);
     rk_loop_stop(n->loop);
@@ -279,8 +279,8 @@
     const struct rk_procfile *f = &n->file;
     struct rk_relay_options opt = {
         .dialect = n->platform->dialect,
-        .listen = f->listen,
-        .node = n->hash,
+        .listen_addr = f->listen,
+        .node_hash = n->hash,
         .seed = rk_rng_next(&n->rng),
         .max_clients = (int)f->max_connections,
         .bounds = relay_bounds(f),
@@ -326,11 +326,11 @@
     n->store = n->platform->create_store(n->http, n->file.platform);
     n->duties = n->platform->create_duties(n->http, n->file.cloud);
     n->sync = rk_sync_create(n);
-    n->remember = rk_remember_create(n);
+    n->persist = rk_remember_create(n);
     n->rollouts = rk_rollouts_create(n);
     n->quarantines = rk_quarantines_create(n);
     n->signals = rk_signals_create(n);
-    n->duty_keeper = rk_duty_keeper_create(n);
+    n->leader = rk_duty_keeper_create(n);
     if (create_relay(n) != RK_OK)
         return RK_ESYSTEM;
     n->mesh = rk_mesh_create(n);
@@ -366,8 +366,8 @@
     rk_relay_destroy(n->relay);
     rk_http_destroy(n->http);
     rk_mesh_destroy(n->mesh);
-    rk_duty_keeper_destroy(n->duty_keeper);
-    rk_remember_destroy(n->remember);
+    rk_duty_keeper_destroy(n->leader);
+    rk_remember_destroy(n->persist);
     rk_rollouts_destroy(n->rollouts);
     rk_quarantines_destroy(n->quarantines);
     rk_signals_destroy(n->signals);
@@ -398,11 +398,11 @@
         RK_S("metrics", n->metrics_server ? rk_server_addr(n->metrics_server) : ""),
         RK_N("first_start", n->file.first_start));
     rk_returning_start(n);
-    rk_remember_start(n->remember);
+    rk_remember_start(n->persist);
     rk_quarantines_start(n->quarantines);
     rk_sync_start(n->sync);
     rk_mesh_start(n->mesh);
-    rk_duty_keeper_start(n->duty_keeper);
+    rk_duty_keeper_start(n->leader);
     pthread_create(&traffic, NULL, run_relay, n->relay);
     rk_loop_run(n->loop);
     pthread_join(traffic, NULL);
--- a/node/orders.c
+++ b/node/orders.c
@@ -113,7 +113,7 @@
         const struct rk_service_use *own = &n->report->services[i];
         if (strcmp(own->service, service) != 0)
             continue;
-        sum.read_tokens += own->read_tokens;
+        sum.demand_tokens += own->demand_tokens;
         sum.running += own->running;
         sum.begun += own->begun;
     }
@@ -159,7 +159,7 @@
         return;
     }
     struct rk_service_use use = total_use(s->o->n, s->name);
-    double read = use.read_tokens - s->last_tokens;
+    double read = use.demand_tokens - s->last_tokens;
     /* The sum falls when a node restarts, as its counter then begins at 0. */
     bool known = s->measured_ms && read >= 0;
     double per_s = known ? read * RK_MS_PER_S / (double)passed_ms : 0;
@@ -169,7 +169,7 @@
     s->need = rk_holding_smooth(s->need, need, passed_ms, NEED_HALF_LIFE_MS);
     s->need_fast =
         rk_holding_smooth(s->need_fast, need, passed_ms, NEED_FAST_HALF_LIFE_MS);
-    s->last_tokens = use.read_tokens;
+    s->last_tokens = use.demand_tokens;
     s->measured_ms = now_ms;
     apply_initial_estimate(s, now_ms);
 }
@@ -179,7 +179,7 @@
     const struct rk_routes *routes = rk_sync_routes(o->n->sync);
     for (size_t i = 0; routes && i < routes->services_len; i++) {
         const struct rk_service_info *info = &routes->services[i];
-        struct service *s = info->scaled ? get_service(o, info->name) : NULL;
+        struct service *s = info->autoscaled ? get_service(o, info->name) : NULL;
         if (s)
             measure_demand(s, info);
     }
@@ -205,7 +205,7 @@
     order->ordered_ms = rk_mono_ms();
     if (st == RK_ECONFLICT && order->reclaimable) {
         rk_reclaims_refused(&order->s->reclaims[order->domain], rk_mono_ms());
-        rk_duty_keeper_look(order->s->o->n->duty_keeper);
+        rk_duty_keeper_look(order->s->o->n->leader);
     }
 }
 
@@ -223,7 +223,7 @@
     order->max_held = 0;
     order->target = count;
     order->ordered_ms = rk_mono_ms();
-    duties->ops->order_vms(duties, token, &target, on_ordered, order);
+    duties->ops->set_vm_count(duties, token, &target, on_ordered, order);
 }
 
 /* Returns whether VMs of the last order may still be booting. */
@@ -288,9 +288,9 @@
         struct rk_holding_domain *d = &in->domains[i];
         rk_reclaims_seen(&s->reclaims[i], d->reclaimable, s->orders[i][1].target,
                          now_ms);
-        d->closed = !rk_reclaims_may_ask(&s->reclaims[i], now_ms);
+        d->no_reclaimable = !rk_reclaims_may_ask(&s->reclaims[i], now_ms);
     }
-    in->none = rk_reclaims_none(s->reclaims, in->domains_len);
+    in->all_exhausted = rk_reclaims_none(s->reclaims, in->domains_len);
 }
 
 /* Fills in the on-demand VMs that were ordered and are still booting. A plan that
@@ -321,7 +321,7 @@
 static void log_plan(struct service *s, const struct rk_holding_input *in,
                      const struct rk_holding_target *targets)
 {
-    struct plan plan = {.all_exhausted = in->none};
+    struct plan plan = {.all_exhausted = in->all_exhausted};
     for (size_t i = 0; i < in->domains_len; i++) {
         plan.on_demand += targets[i].on_demand;
         plan.reclaimable += targets[i].reclaimable;
@@ -335,7 +335,7 @@
         "vms.plan", RK_S("service", s->name), RK_N("on_demand", plan.on_demand),
         RK_N("reclaimable", plan.reclaimable), RK_N("none", plan.all_exhausted),
         RK_N("need", (int64_t)ceil(in->need)),
-        RK_N("need_now", (int64_t)ceil(in->need_now)), RK_N("idle", in->idle));
+        RK_N("need_now", (int64_t)ceil(in->need_fast)), RK_N("idle", in->idle));
 }
 
 static bool are_vms_registering(const struct rk_node *n)
@@ -348,16 +348,16 @@
 {
     struct rk_holding_input in = {.min_vms = (int)info->min_vms,
                                   .max_vms = (int)info->max_vms,
-                                  .spot_price = info->spot_price,
+                                  .spot_price = info->spot_price_ratio,
                                   .need = s->need,
-                                  .need_now = s->need_fast,
+                                  .need_fast = s->need_fast,
                                   .idle = is_idle(s)};
     int64_t now_ms = rk_mono_ms();
     /* During a rollout, a smaller order might remove VMs of either version. */
-    in.keep = rk_rollouts_moving(s->o->n->rollouts, s->name) ||
-              (!s->o->n->file.first_start &&
-               now_ms - s->o->n->started_ms < RESTART_KEEP_MS);
-    in.settled = now_ms - s->last_shrink_ms >= SHRINK_INTERVAL_MS;
+    in.keep_all = rk_rollouts_moving(s->o->n->rollouts, s->name) ||
+                  (!s->o->n->file.first_start &&
+                   now_ms - s->o->n->started_ms < RESTART_KEEP_MS);
+    in.may_shrink = now_ms - s->last_shrink_ms >= SHRINK_INTERVAL_MS;
     for (size_t i = 0; i < info->prices_len && i < RK_HOLDING_DOMAINS; i++) {
         struct rk_holding_domain *d = &in.domains[in.domains_len++];
         rk_strcpy(d->name, sizeof(d->name), info->prices[i].domain);
@@ -392,7 +392,7 @@
         return;
     for (size_t i = 0; i < routes->services_len; i++) {
         const struct rk_service_info *info = &routes->services[i];
-        struct service *s = info->scaled ? get_service(o, info->name) : NULL;
+        struct service *s = info->autoscaled ? get_service(o, info->name) : NULL;
         if (s)
             update_service(s, info, token);
     }
--- a/node/platform.h
+++ b/node/platform.h
@@ -34,8 +34,8 @@
     bool (*parse_rollout)(struct json_object *spec, struct json_object *status,
                           struct rk_rollout_order *out);
     /* Appends the JSON text that records a rollout's state to out. */
-    void (*rollout_status)(const char *version, enum rk_rollout_state state,
-                           struct rk_buf *out);
+    void (*format_rollout_status)(const char *version, enum rk_rollout_state state,
+                                  struct rk_buf *out);
     /* Create clients for the address "ip:port"; the caller destroys them by their
      * ops->destroy. */
     struct rk_store *(*create_store)(struct rk_http *http, const char *addr);
--- a/node/quarantine_tell.c
+++ b/node/quarantine_tell.c
@@ -33,7 +33,7 @@
     out->request = row->request;
     out->org = (char *)row->org;
     out->route = (char *)row->route;
-    out->cleared = row->cleared;
+    out->cleared = row->generation;
     out->stopped = row->stopped;
     out->stored = row->stored;
     out->just_begun = p->just_begun[at];
@@ -105,7 +105,7 @@
     for (size_t i = 0; i < msg->n_rows; i++) {
         const Rillknot__QuarantineRow *from = msg->rows[i];
         struct rk_quarantine_row row = {.request = from->request,
-                                        .cleared = from->cleared,
+                                        .generation = from->cleared,
                                         .stopped = from->stopped,
                                         .stored = from->stored};
         rk_strcpy(row.org, sizeof(row.org), from->org);
--- a/node/quarantines.c
+++ b/node/quarantines.c
@@ -126,7 +126,7 @@
     rk_buf_json_str(&b, row->route);
     rk_buf_printf(
         &b, ",\"vms\":%zu,\"cleared\":%" PRIu32 ",\"wall_ms\":%" PRId64 ",\"by\":",
-        row->ends_len, row->cleared, rk_wall_ms());
+        row->ends_len, row->generation, rk_wall_ms());
     rk_buf_json_str(&b, q->n->file.id);
     rk_buf_addstr(&b, "}");
     store->ops->create(store, KIND, name, b.data, on_written, q);
@@ -176,7 +176,7 @@
 {
     struct rk_quarantine_row row = {
         .request = strtoull(o->name, NULL, 16),
-        .cleared = (uint32_t)rk_json_int(o->spec, "cleared", 0),
+        .generation = (uint32_t)rk_json_int(o->spec, "cleared", 0),
         .stopped = true,
         .stored = true};
     rk_strcpy(row.org, sizeof(row.org), rk_json_str(o->spec, "organisation"));
--- a/node/remember.c
+++ b/node/remember.c
@@ -78,14 +78,14 @@
 {
     double sum = 0;
     for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
-        sum += use->kept[i];
+        sum += use->persisted_slices[i];
     return sum;
 }
 
 static void append_slices(struct rk_buf *b, const struct rk_org_use *use)
 {
     for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
-        rk_buf_printf(b, "%s%.0f", i ? "," : "[", use->kept[i]);
+        rk_buf_printf(b, "%s%.0f", i ? "," : "[", use->persisted_slices[i]);
     rk_buf_addstr(b, "]");
 }
 
@@ -218,14 +218,15 @@
     struct rk_buf demand_text = {0};
     bool any = false;
     /* After a restart, persisted usage is taken to be complete. */
-    if (!rk_sync_routes(n->sync) || !n->report || !n->report->knows_all)
+    if (!rk_sync_routes(n->sync) || !n->report ||
+        !n->report->quota_history_complete)
         return false;
     rk_mesh_add_asking(n->mesh, &demand);
     rk_buf_printf(b, "{\"wall_ms\":%" PRId64, rk_wall_ms());
     append_fleet_size(n, b);
     rk_buf_addstr(b, ",\"used\":{");
-    for (size_t i = 0; i < n->report->uses_len; i++) {
-        const struct rk_org_use *use = &n->report->uses[i];
+    for (size_t i = 0; i < n->report->quota_usage_len; i++) {
+        const struct rk_org_use *use = &n->report->quota_usage[i];
         if (!is_significant(n, use))
             continue;
         rk_buf_addstr(b, any ? "," : "");
@@ -263,7 +264,7 @@
                       ":{\"fixed_ms\":%.3f,\"ktoken_ms\":%.3f,"
                       "\"calm_ktoken_ms\":%.3f,\"running_ms\":%.3f,"
                       "\"error_ms\":%.3f,\"samples\":%.0f}",
-                      e.fixed_ms, e.ktoken_ms, e.calm_ktoken_ms, e.running_ms,
+                      e.fixed_ms, e.ktoken_ms, e.unloaded_ktoken_ms, e.running_ms,
                       e.error_ms, e.samples);
         any = true;
     }
@@ -372,8 +373,8 @@
     {
         rk_strcpy(uses[n].org, sizeof(uses[n].org), org);
         for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
-            uses[n].known[i] = slice_at(slices, i);
-        uses[n].asking = fmax(0, rk_json_real(demand, org));
+            uses[n].used_slices[i] = slice_at(slices, i);
+        uses[n].demand_per_s = fmax(0, rk_json_real(demand, org));
         n++;
     }
     RK_EVENT("quota.restored", RK_N("organisations", (int64_t)n),
@@ -386,7 +387,7 @@
     const struct rk_engine_estimate e = {
         .fixed_ms = rk_json_real(o, "fixed_ms"),
         .ktoken_ms = rk_json_real(o, "ktoken_ms"),
-        .calm_ktoken_ms = rk_json_real(o, "calm_ktoken_ms"),
+        .unloaded_ktoken_ms = rk_json_real(o, "calm_ktoken_ms"),
         .running_ms = rk_json_real(o, "running_ms"),
         .error_ms = rk_json_real(o, "error_ms"),
         .samples = rk_json_real(o, "samples")};
--- a/node/report.c
+++ b/node/report.c
@@ -29,7 +29,7 @@
     for (size_t i = 0; i < r->services_len; i++) {
         rillknot__service_use__init(&p->services[i]);
         p->services[i].service = r->services[i].service;
-        p->services[i].read_tokens = r->services[i].read_tokens;
+        p->services[i].read_tokens = r->services[i].demand_tokens;
         p->services[i].running = r->services[i].running;
         p->services[i].begun = r->services[i].begun;
         if (r->services[i].engine.samples > 0) {
@@ -76,14 +76,14 @@
     p->report.takes_changes = true;
     p->report.takes_brief = true;
     const char *value;
-    if (rk_duty_keeper_lease(n->duty_keeper, &p->lease.version, &value)) {
+    if (rk_duty_keeper_lease(n->leader, &p->lease.version, &value)) {
         p->lease.value = (char *)value;
         p->report.lease = &p->lease;
     }
     fill_peers(p, m);
     if (!n->report)
         return;
-    p->report.remembers_ms = n->report->remembers_ms;
+    p->report.remembers_ms = n->report->quota_history_ms;
     fill_vms(p, n->report);
     rk_report_fill_uses(p, m, n->report);
     rk_usage_fill_report(p, m);
@@ -109,7 +109,7 @@
 {
     const struct rk_service_use *last =
         rk_service_use_find(k->services, k->services_len, service);
-    return last ? last->read_tokens : 0;
+    return last ? last->demand_tokens : 0;
 }
 
 /* Adds the prompt tokens that engines read for a member since its last report. */
@@ -132,12 +132,13 @@
     for (size_t i = 0; i < r->n_services; i++) {
         struct rk_service_use *use = &services[i];
         rk_strcpy(use->service, sizeof(use->service), r->services[i]->service);
-        use->read_tokens = r->services[i]->read_tokens;
+        use->demand_tokens = r->services[i]->read_tokens;
         use->running = r->services[i]->running;
         use->begun = r->services[i]->begun;
         use->engine = rk_engines_get(r->services[i]->engine);
-        double last = first ? use->read_tokens : last_read_tokens(k, use->service);
-        add_read_tokens(k, use->service, use->read_tokens - last);
+        double last =
+            first ? use->demand_tokens : last_read_tokens(k, use->service);
+        add_read_tokens(k, use->service, use->demand_tokens - last);
     }
     free(k->services);
     k->services = services;
@@ -155,20 +156,20 @@
     if (k->incarnation != r->incarnation) {
         k->incarnation = r->incarnation;
         rk_org_uses_clear(&k->uses); /* its counters began at 0 */
-        k->uses_based = !first;
-        k->knows = false;
+        k->has_all_uses = !first;
+        k->has_quota_history = false;
         k->services_len = 0;
     }
     rk_strcpy(k->domain, sizeof(k->domain), r->domain);
     k->capacity = r->capacity;
-    k->heard_ms = rk_mono_ms();
-    k->unproven = false;
+    k->last_received_ms = rk_mono_ms();
+    k->unconfirmed = false;
     k->leaving = r->leaving;
     k->slow = r->slow;
-    k->hears_store = r->hears_store;
-    k->takes_changes = r->takes_changes;
-    k->takes_brief = r->takes_brief;
-    k->remembers_ms = r->remembers_ms;
+    k->store_reachable = r->hears_store;
+    k->accepts_changes = r->takes_changes;
+    k->accepts_brief = r->takes_brief;
+    k->quota_history_ms = r->remembers_ms;
     rk_report_take_uses(k, r, first);
     rk_loads_take(&k->loads, &k->loads_len, r->vms, r->n_vms);
     receive_services(k, r, first);
--- a/node/report_uses.c
+++ b/node/report_uses.c
@@ -18,7 +18,7 @@
 {
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if (rk_mesh_is_told(k) && rk_mesh_takes(k->link) &&
-            (!k->takes_changes || !k->told.has_uses))
+            (!k->accepts_changes || !k->link_state.uses_sent))
             return false;
     return true;
 }
@@ -28,7 +28,7 @@
 {
     uint64_t *slices = &p->known[row * RK_QUOTA_PARTS];
     for (size_t j = 0; j < RK_QUOTA_PARTS; j++)
-        slices[j] = (uint64_t)use->known[j];
+        slices[j] = (uint64_t)use->used_slices[j];
     p->uses[row].n_known = RK_QUOTA_PARTS;
     p->uses[row].known = slices;
 }
@@ -39,21 +39,21 @@
     rillknot__org_use__init(row);
     row->org = (char *)use->org;
     row->units = use->units;
-    row->asking = (float)use->asking;
+    row->asking = (float)use->demand_per_s;
     p->use_ptrs[p->report.n_uses++] = row;
 }
 
 void rk_report_fill_uses(struct rk_report *p, struct rk_mesh *m,
                          const struct rk_relay_report *r)
 {
-    bool with_history = m->direct || m->known_wanted;
-    bool all = with_history || m->uses_wanted || !changes_suffice(m);
-    p->uses = rk_alloc(r->uses_len + 1, sizeof(*p->uses));
-    p->known = rk_alloc(r->uses_len * RK_QUOTA_PARTS + 1, sizeof(*p->known));
-    p->use_ptrs = rk_alloc(r->uses_len + 1, sizeof(*p->use_ptrs));
-    for (size_t i = 0; i < r->uses_len; i++) {
-        const struct rk_org_use *use = &r->uses[i];
-        bool changed = rk_org_use_is_news(use, &m->uses_told);
+    bool with_history = m->direct || m->history_requested;
+    bool all = with_history || m->uses_requested || !changes_suffice(m);
+    p->uses = rk_alloc(r->quota_usage_len + 1, sizeof(*p->uses));
+    p->known = rk_alloc(r->quota_usage_len * RK_QUOTA_PARTS + 1, sizeof(*p->known));
+    p->use_ptrs = rk_alloc(r->quota_usage_len + 1, sizeof(*p->use_ptrs));
+    for (size_t i = 0; i < r->quota_usage_len; i++) {
+        const struct rk_org_use *use = &r->quota_usage[i];
+        bool changed = rk_org_use_is_news(use, &m->uses_reported);
         if (!changed && !with_history && !(all && use->units != 0))
             continue;
         put_row(p, use);
@@ -63,7 +63,7 @@
     p->report.uses = p->use_ptrs;
     p->report.uses_changed = !all;
     p->report.knows = with_history;
-    m->uses_wanted = m->known_wanted = false;
+    m->uses_requested = m->history_requested = false;
 }
 
 void rk_report_note_uses(struct rk_mesh *m, const struct rk_report *p)
@@ -73,7 +73,7 @@
         if (!rk_mesh_is_told(k))
             continue;
         bool sent = rk_mesh_takes(k->link);
-        k->told.has_uses = sent && (all || k->told.has_uses);
+        k->link_state.uses_sent = sent && (all || k->link_state.uses_sent);
     }
 }
 
@@ -106,7 +106,7 @@
 static void receive_history(struct rk_org_use *row, const Rillknot__OrgUse *in)
 {
     for (size_t j = 0; j < in->n_known && j < RK_QUOTA_PARTS; j++)
-        row->known[j] = (double)in->known[j];
+        row->used_slices[j] = (double)in->known[j];
 }
 
 /* Applies the usage rows of a report. What the member used since its last report
@@ -116,29 +116,30 @@
                          bool first)
 {
     bool all = !r->uses_changed;
-    if (!all && !k->uses_based)
+    if (!all && !k->has_all_uses)
         return; /* changes to rows that are missing here: all will be requested */
     rk_org_uses_begin(&k->uses);
     for (size_t i = 0; i < r->n_uses; i++) {
         const Rillknot__OrgUse *in = r->uses[i];
         double increase = rk_org_uses_rise(&k->uses, in->org, in->units);
         struct rk_org_use *row = rk_org_uses_at(&k->uses, in->org);
-        row->asking = rk_report_asking(in);
+        row->demand_per_s = rk_report_asking(in);
         receive_history(row, in);
-        if (k->uses_based && !first)
+        if (k->has_all_uses && !first)
             count_use(k, in->org, increase);
     }
-    k->uses_based = k->uses_based || all;
+    k->has_all_uses = k->has_all_uses || all;
     /* Nodes of earlier versions send the history with each report. */
-    k->knows = k->knows || r->knows || !r->takes_changes;
+    k->has_quota_history = k->has_quota_history || r->knows || !r->takes_changes;
 }
 
 bool rk_report_lacks_uses(struct member *k, int64_t now_ms)
 {
-    bool pending = k->uses_asked_ms && now_ms - k->uses_asked_ms < REQUEST_RETRY_MS;
-    if (k->uses_based || pending || !rk_report_counts(k))
+    bool pending =
+        k->uses_requested_ms && now_ms - k->uses_requested_ms < REQUEST_RETRY_MS;
+    if (k->has_all_uses || pending || !rk_report_counts(k))
         return false;
-    k->uses_asked_ms = now_ms;
+    k->uses_requested_ms = now_ms;
     return true;
 }
 
@@ -147,10 +148,11 @@
 static bool lacks_history(const struct rk_mesh *m, int64_t window_ms)
 {
     int64_t now_ms = rk_mono_ms();
-    if (!m->bridge || !m->n->report || m->n->report->remembers_ms >= window_ms)
+    if (!m->bridge || !m->n->report || m->n->report->quota_history_ms >= window_ms)
         return false;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (k->knows && rk_mesh_is_heard(k, now_ms) && k->remembers_ms >= window_ms)
+        if (k->has_quota_history && rk_mesh_is_heard(k, now_ms) &&
+            k->quota_history_ms >= window_ms)
             return false;
     return true;
 }
@@ -158,16 +160,16 @@
 void rk_report_ask_known(struct rk_mesh *m, int64_t now_ms)
 {
     int64_t window_ms = rk_s_to_ms(m->n->file.quota_window_s);
-    bool pending =
-        m->known_asked_ms && now_ms - m->known_asked_ms < REQUEST_RETRY_MS;
+    bool pending = m->history_requested_ms &&
+                   now_ms - m->history_requested_ms < REQUEST_RETRY_MS;
     if (pending || !lacks_history(m, window_ms))
         return;
     for (struct member *k = m->contacts; k; k = k->next_contact) {
         bool has_history = rk_mesh_is_near(k) && rk_mesh_is_heard(k, now_ms) &&
-                           k->remembers_ms >= window_ms;
+                           k->quota_history_ms >= window_ms;
         if (!has_history || !rk_mesh_takes(k->link))
             continue;
-        m->known_asked_ms = now_ms;
+        m->history_requested_ms = now_ms;
         rk_mesh_want_uses(k->link, true);
         return;
     }
--- a/node/rollout_metrics.c
+++ b/node/rollout_metrics.c
@@ -97,7 +97,7 @@
 static bool is_first_row(const struct rk_trial_rows *t, size_t row)
 {
     for (size_t i = 0; i < row; i++)
-        if (t->rows[i].tried == t->rows[row].tried &&
+        if (t->rows[i].of_new_version == t->rows[row].of_new_version &&
             !strcmp(t->rows[i].route, t->rows[row].route))
             return false;
     return true;
@@ -124,18 +124,18 @@
 {
     const struct rk_relay_report *report = r->n->report;
     rk_buf_printf(out, "# TYPE rillknot_%s %s\n", name, type);
-    for (size_t i = 0; report && i < report->trials_len; i++) {
-        const struct rk_rollout_seen *canary = &report->trials[i];
+    for (size_t i = 0; report && i < report->canaries_len; i++) {
+        const struct rk_rollout_seen *canary = &report->canaries[i];
         for (size_t j = 0; j < canary->rows.len; j++) {
             const struct rk_trial_row *row = &canary->rows.rows[j];
             if (!is_first_row(&canary->rows, j))
                 continue;
             const struct rk_trial_seen sum =
-                rk_trial_sum(&canary->rows, row->route, row->tried, "");
-            const char *version =
-                row->tried ? canary->version
-                           : rk_rollouts_previous_version(r, canary->service,
-                                                          canary->version);
+                rk_trial_sum(&canary->rows, row->route, row->of_new_version, "");
+            const char *version = row->of_new_version
+                                      ? canary->version
+                                      : rk_rollouts_previous_version(
+                                            r, canary->service, canary->version);
             put_sample(out, name, canary->service, version, row->route,
                        value(&sum));
         }
--- a/node/rollout_tell.c
+++ b/node/rollout_tell.c
@@ -23,7 +23,7 @@
     out->phase = rule->phase;
     out->share = rule->share;
     out->vms = rule->vms;
-    out->turn = rule->turn;
+    out->turn = rule->rotation;
     out->revision = rule->revision;
 }
 
@@ -56,8 +56,8 @@
     msg.domain = (char *)domain;
     msg.epoch = copy.epoch;
     msg.number = copy.number;
-    msg.age_ms = rk_mono_ms() - copy.said_ms;
-    msg.known_at = copy.known_at;
+    msg.age_ms = rk_mono_ms() - copy.announced_ms;
+    msg.known_at = copy.orders_revision;
     msg.n_rules = copy.len;
     msg.rules = ptrs;
     for (size_t i = 0; i < copy.len; i++) {
@@ -89,7 +89,7 @@
     *out = (struct rk_rollout_rule){.phase = from->phase,
                                     .share = from->share,
                                     .vms = from->vms,
-                                    .turn = from->turn,
+                                    .rotation = from->turn,
                                     .revision = from->revision};
     return from->phase <= RK_ROLLOUT_GIVEN_BACK && from->share <= RK_ROLLOUT_ALL &&
            from->service[0] &&
@@ -102,8 +102,9 @@
 {
     struct rk_rollout_word announcement = {.epoch = msg->epoch,
                                            .number = msg->number,
-                                           .said_ms = rk_mono_ms() - msg->age_ms,
-                                           .known_at = msg->known_at};
+                                           .announced_ms =
+                                               rk_mono_ms() - msg->age_ms,
+                                           .orders_revision = msg->known_at};
     for (size_t i = 0; i < msg->n_rules && announcement.len < RK_ROLLOUTS; i++) {
         if (decode_rule(msg->rules[i], &announcement.rules[announcement.len])) {
             announcement.len++;
@@ -146,7 +147,7 @@
     size_t len = 0;
     *sum = NULL;
     if (r)
-        add_stats(sum, &len, r->trials, r->trials_len);
+        add_stats(sum, &len, r->canaries, r->canaries_len);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if (!k->canary_stats_of_domain &&
             (m->direct || (m->bridge && rk_mesh_is_near(k))))
@@ -196,12 +197,12 @@
     rillknot__trial_row__init(out);
     out->route = row->route;
     out->domain = row->domain;
-    out->tried = row->tried;
-    out->calls = (float)row->seen.calls;
-    out->failed = (float)row->seen.failed;
-    out->timed = (float)row->seen.timed;
-    out->log_sum = (float)row->seen.log_sum;
-    out->log_sq = (float)row->seen.log_sq;
+    out->tried = row->of_new_version;
+    out->calls = (float)row->stats.calls;
+    out->failed = (float)row->stats.failed;
+    out->timed = (float)row->stats.timed;
+    out->log_sum = (float)row->stats.log_sum;
+    out->log_sq = (float)row->stats.log_sq;
 }
 
 static void encode_stats(struct message *p, struct rk_rollout_seen *stats,
@@ -244,7 +245,7 @@
         now_ms - m->canary_stats_sent_ms < STATS_INTERVAL_MS)
         return;
     m->canary_stats_sent_ms = now_ms;
-    rk_duty_keeper_holder(m->n->duty_keeper, leader);
+    rk_duty_keeper_holder(m->n->leader, leader);
     struct rk_rollout_seen *sum;
     size_t sum_len = sum_stats(m, &sum);
     struct message *own = rk_alloc(1, sizeof(*own)),
@@ -254,7 +255,7 @@
     own->msg.id = all->msg.id = m->n->file.id;
     own->msg.domain = all->msg.domain = m->n->file.failure_domain;
     all->msg.sum = true;
-    encode_stats(own, r->trials, r->trials_len);
+    encode_stats(own, r->canaries, r->canaries_len);
     encode_stats(all, sum, sum_len);
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_ROLLOUT_SEEN;
@@ -281,11 +282,11 @@
         struct rk_trial_row *to =
             rk_trial_row_at(&out->rows, row->route, row->domain, row->tried);
         if (to)
-            to->seen = (struct rk_trial_seen){.calls = row->calls,
-                                              .failed = row->failed,
-                                              .timed = row->timed,
-                                              .log_sum = row->log_sum,
-                                              .log_sq = row->log_sq};
+            to->stats = (struct rk_trial_seen){.calls = row->calls,
+                                               .failed = row->failed,
+                                               .timed = row->timed,
+                                               .log_sum = row->log_sum,
+                                               .log_sq = row->log_sq};
     }
 }
 
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -68,9 +68,9 @@
     for (size_t i = 0; i < len; i++) {
         if (strcmp(rows[i].service, service) != 0)
             continue;
-        if (!rows[i].born_ms)
+        if (!rows[i].started_ms)
             return NULL;
-        if (!oldest || rows[i].born_ms < oldest->born_ms)
+        if (!oldest || rows[i].started_ms < oldest->started_ms)
             oldest = &rows[i];
     }
     return oldest;
@@ -134,7 +134,7 @@
         return rule->phase == RK_ROLLOUT_GIVEN_BACK;
     /* If no order for the service was there when the VM appeared, the platform has
      * replaced the version itself, and the VM may be used. */
-    return rule || r->announcement.known_at < first_revision;
+    return rule || r->announcement.orders_revision < first_revision;
 }
 
 void rk_rollouts_mark(struct rk_rollouts *r, struct rk_vm_row *rows,
@@ -146,8 +146,8 @@
         init_serving(r, rows, len, &rows[i]);
     r->any_blocked = false;
     for (size_t i = 0; i < len; i++) {
-        rows[i].barred = is_blocked(r, &rows[i], since[i]);
-        r->any_blocked = r->any_blocked || rows[i].barred;
+        rows[i].blocked = is_blocked(r, &rows[i], since[i]);
+        r->any_blocked = r->any_blocked || rows[i].blocked;
     }
 }
 
@@ -156,7 +156,7 @@
 static bool is_fresh(const struct rk_rollouts *r)
 {
     return r->announcement.number &&
-           rk_mono_ms() - r->announcement.said_ms < ANNOUNCEMENT_FRESH_MS;
+           rk_mono_ms() - r->announcement.announced_ms < ANNOUNCEMENT_FRESH_MS;
 }
 
 /* Takes over the versions of committed rollouts as those that serve. */
@@ -210,7 +210,7 @@
                  RK_S("version", rule->version),
                  RK_S("phase", rk_rollout_phase_str(rule->phase)),
                  RK_N("share", rule->share), RK_N("vms", rule->vms),
-                 RK_N("turn", rule->turn), RK_N("epoch", r->announcement.epoch),
+                 RK_N("turn", rule->rotation), RK_N("epoch", r->announcement.epoch),
                  RK_S("from", from));
     }
 }
@@ -221,9 +221,9 @@
 {
     bool changed = r->announcement.epoch != announcement->epoch ||
                    !same_rules(&r->announcement, announcement);
-    bool revision_changed = announcement->known_at != r->marked_revision;
+    bool revision_changed = announcement->orders_revision != r->marked_revision;
     r->announcement = *announcement;
-    r->marked_revision = announcement->known_at;
+    r->marked_revision = announcement->orders_revision;
     if (changed) {
         log_rules(r, from);
         r->relay_updated = false;
@@ -280,7 +280,7 @@
 {
     int64_t now_ms = rk_mono_ms();
     if (r->querying || r->is_leader || !r->announcement.number ||
-        now_ms - r->announcement.said_ms < ANNOUNCEMENT_LOST_MS ||
+        now_ms - r->announcement.announced_ms < ANNOUNCEMENT_LOST_MS ||
         now_ms - r->queried_ms < STORE_QUERY_INTERVAL_MS)
         return;
     for (size_t i = 0; i < r->announcement.len; i++) {
@@ -304,8 +304,8 @@
         .epoch = r->epoch,
         .number =
             r->announcement.epoch == r->epoch ? r->announcement.number + 1 : 1,
-        .said_ms = rk_mono_ms(),
-        .known_at = r->orders.at};
+        .announced_ms = rk_mono_ms(),
+        .orders_revision = r->orders.revision};
     for (size_t i = 0; i < RK_ROLLOUTS; i++)
         if (r->runs[i].used)
             announcement.rules[announcement.len++] = r->runs[i].rollout.rule;
@@ -332,7 +332,7 @@
     rk_follow_set(&r->orders, r->is_leader);
     update_relay(r);
     query_store(r);
-    if (!r->is_leader || !r->orders.at || !rk_sync_ready(r->n->sync))
+    if (!r->is_leader || !r->orders.revision || !rk_sync_ready(r->n->sync))
         return;
     rk_rollouts_update_runs(r);
     announce(r);
--- a/node/rollouts_hold.c
+++ b/node/rollouts_hold.c
@@ -40,7 +40,7 @@
     struct rk_rollout *r = &run->rollout;
     if (!last || strcmp(last->version, r->order.version) != 0)
         return;
-    r->rule.turn = last->turn;
+    r->rule.rotation = last->rotation;
     r->rule.revision = last->revision + 1;
     if (last->phase >= RK_ROLLOUT_SHIFT && last->phase > r->rule.phase) {
         r->rule.phase = last->phase;
@@ -56,7 +56,7 @@
     const struct rk_procfile *f = &run->r->n->file;
     const struct rk_rollout_bounds bounds = {.share = f->trial_share,
                                              .slack = f->trial_slack,
-                                             .give_up_ms =
+                                             .rollback_ms =
                                                  (int64_t)f->trial_give_up_ms};
     struct rk_rollout_order order = run->rollout.order;
     order.state = run->recorded_state;
@@ -79,7 +79,7 @@
 {
     struct rk_rollout_order order;
     struct rollout_run *run = get_run(r, o->name);
-    if (o->gone) {
+    if (o->removed) {
         if (run && run->used && !run->cancelled)
             cancel_run(run);
         return;
@@ -217,12 +217,12 @@
              RK_S("phase", rk_rollout_phase_str(r->rule.phase)),
              RK_N("evidence_hundredths", (int64_t)(f->evidence * 100)),
              RK_S("by", f->by_time ? "time" : "failures"), RK_S("route", f->route),
-             RK_N("new_calls", (int64_t)f->tried.calls),
-             RK_N("new_failed", (int64_t)f->tried.failed),
-             RK_N("new_pace_pct", rk_trial_pace_pct(&f->tried)),
-             RK_N("old_calls", (int64_t)f->serving.calls),
-             RK_N("old_failed", (int64_t)f->serving.failed),
-             RK_N("old_pace_pct", rk_trial_pace_pct(&f->serving)));
+             RK_N("new_calls", (int64_t)f->new_stats.calls),
+             RK_N("new_failed", (int64_t)f->new_stats.failed),
+             RK_N("new_pace_pct", rk_trial_pace_pct(&f->new_stats)),
+             RK_N("old_calls", (int64_t)f->old_stats.calls),
+             RK_N("old_failed", (int64_t)f->old_stats.failed),
+             RK_N("old_pace_pct", rk_trial_pace_pct(&f->old_stats)));
 }
 
 /* Counts the VMs of both versions, and the calls in flight at the old ones. */
@@ -232,7 +232,7 @@
     const struct rk_rollout_order *order = &run->rollout.order;
     const struct rk_vm_row *row;
     const struct rk_rollout_seen *own =
-        n->report ? rk_rollout_seen_of(n->report->trials, n->report->trials_len,
+        n->report ? rk_rollout_seen_of(n->report->canaries, n->report->canaries_len,
                                        order->service, order->version)
                   : NULL;
     in->old_running = own ? own->old_running : 1; /* not 0 before it is known */
@@ -259,7 +259,8 @@
     rk_strcpy(stats->service, sizeof(stats->service), run->rollout.order.service);
     rk_strcpy(stats->version, sizeof(stats->version), run->rollout.order.version);
     rk_mesh_add_trials(run->r->n->mesh, stats);
-    struct rk_rollout_view input = {.now_ms = rk_mono_ms(), .seen = &stats->rows};
+    struct rk_rollout_view input = {.now_ms = rk_mono_ms(),
+                                    .canary_rows = &stats->rows};
     fill_input(run, &input);
     enum rk_rollout_phase old_phase = run->rollout.rule.phase;
     rk_rollout_step(&run->rollout, &input);
@@ -291,7 +292,8 @@
     struct rk_buf b = {0};
     if (run->recorded_state == state || run->cancelled)
         return;
-    run->r->n->platform->rollout_status(run->rollout.order.version, state, &b);
+    run->r->n->platform->format_rollout_status(run->rollout.order.version, state,
+                                               &b);
     RK_EVENT("rollout.record", RK_S("service", run->rollout.order.service),
              RK_S("status", b.data));
     run->busy = true;
@@ -324,7 +326,7 @@
 {
     for (size_t i = 0; i < RK_ROLLOUTS; i++)
         r->runs[i].used = false;
-    r->orders.at = 0;
+    r->orders.revision = 0;
 }
 
 void rk_rollouts_init_order_watch(struct rk_rollouts *r)
@@ -332,7 +334,7 @@
     r->orders = (struct rk_follow){.n = r->n,
                                    .kind = r->n->platform->rollouts_kind,
                                    .apply = apply_orders,
-                                   .heard = on_orders_answered,
+                                   .on_answer = on_orders_answered,
                                    .ctx = r};
     rk_follow_init(&r->orders);
 }
--- a/node/signal_tell.c
+++ b/node/signal_tell.c
@@ -27,28 +27,28 @@
     Rillknot__VmSignal *out = p->row_ptrs[p->msg.n_rows] = &p->rows[p->msg.n_rows];
     p->msg.n_rows++;
     rillknot__vm_signal__init(out);
-    out->life = v->life;
+    out->life = v->incarnation;
     out->domain = (char *)v->domain;
     out->leaving = v->leaving;
-    out->limit_known = v->limit_ms > 0;
+    out->limit_known = v->limit_confirmed_ms > 0;
     if (!out->limit_known)
         return;
     out->limited = v->limited;
     out->limit_per_s = v->limit_per_s;
-    out->limit_age_ms = (uint32_t)(now_ms - v->limit_ms);
+    out->limit_age_ms = (uint32_t)(now_ms - v->limit_confirmed_ms);
 }
 
 /* Bridges forward all signals; other nodes send those that they got from VMs. */
 static bool is_sent_here(const struct rk_mesh *m, const struct rk_vm_signal *v)
 {
-    return v->own || m->bridge;
+    return v->is_own || m->bridge;
 }
 
 static void add_changed(struct message *p, const struct rk_mesh *m, int64_t now_ms)
 {
     struct lh_entry *e;
     size_t left = ROWS_MAX;
-    lh_foreach (rk_signals_table(m->n->signals)->by_life, e) {
+    lh_foreach (rk_signals_table(m->n->signals)->by_incarnation, e) {
         const struct rk_vm_signal *v = lh_entry_v(e);
         if (!left || now_ms - v->changed_ms >= CHANGED_FOR_MS ||
             !is_sent_here(m, v))
@@ -64,7 +64,7 @@
 {
     struct lh_entry *e;
     size_t at = 0, left = ROWS_MAX;
-    lh_foreach (rk_signals_table(m->n->signals)->by_life, e) {
+    lh_foreach (rk_signals_table(m->n->signals)->by_incarnation, e) {
         const struct rk_vm_signal *v = lh_entry_v(e);
         if (!v->limited || now_ms - v->changed_ms < CHANGED_FOR_MS ||
             !is_sent_here(m, v))
@@ -102,12 +102,12 @@
     int64_t now_ms = rk_mono_ms();
     for (size_t i = 0; i < msg->n_rows; i++) {
         const Rillknot__VmSignal *from = msg->rows[i];
-        struct rk_vm_signal v = {.life = from->life,
+        struct rk_vm_signal v = {.incarnation = from->life,
                                  .limited = from->limited,
                                  .limit_per_s = from->limit_per_s,
                                  .leaving = from->leaving};
         if (from->limit_known)
-            v.limit_ms = now_ms - from->limit_age_ms;
+            v.limit_confirmed_ms = now_ms - from->limit_age_ms;
         if (!isfinite(v.limit_per_s) || v.limit_per_s < 0) {
             RK_WARN("signal.rejected", RK_S("domain", from->domain));
             continue;
--- a/node/signals.c
+++ b/node/signals.c
@@ -38,9 +38,9 @@
 {
     struct lh_entry *e;
     size_t len = 0;
-    if (!s->table.by_life)
+    if (!s->table.by_incarnation)
         return 0;
-    lh_foreach (s->table.by_life, e)
+    lh_foreach (s->table.by_incarnation, e)
         len += has(lh_entry_v(e));
     return len;
 }
@@ -60,8 +60,8 @@
 {
     int64_t now_ms = rk_mono_ms();
     for (size_t i = 0; i < len; i++) {
-        struct rk_vm_signal *v =
-            rk_vm_signals_at(&s->table, rows[i].life, rows[i].domain, now_ms);
+        struct rk_vm_signal *v = rk_vm_signals_at(&s->table, rows[i].incarnation,
+                                                  rows[i].domain, now_ms);
         if (v && rk_vm_signal_merge(v, &rows[i], now_ms))
             v->senders = RK_SENDERS_UNKNOWN;
     }
@@ -84,7 +84,8 @@
 static struct possible_senders find_possible_senders(const struct rk_mesh *m,
                                                      int64_t now_ms)
 {
-    struct possible_senders c = {.hash = (uint64_t)m->listed << 1 | m->n->leaving};
+    struct possible_senders c = {.hash = (uint64_t)m->has_node_list << 1 |
+                                         m->n->leaving};
     c.near = rk_alloc(rk_mesh_count(m) + 1, sizeof(*c.near));
     c.all = rk_alloc(rk_mesh_count(m) + 1, sizeof(*c.all));
     for (const struct member *k = m->members; k; k = k->next) {
@@ -118,7 +119,7 @@
                          const struct possible_senders *c)
 {
     uint64_t own = rk_hash_str(0, m->n->file.id);
-    if (!v->limited || !m->listed || m->n->leaving)
+    if (!v->limited || !m->has_node_list || m->n->leaving)
         return 0;
     if (!strcmp(m->n->file.failure_domain, v->domain))
         return rk_vm_limit_part(v, own, c->near, c->near_len);
@@ -137,7 +138,7 @@
     size_t len = 0;
     bool all = c->hash != s->possible_hash;
     s->possible_hash = c->hash;
-    lh_foreach (s->table.by_life, e) {
+    lh_foreach (s->table.by_incarnation, e) {
         struct rk_vm_signal *v = lh_entry_v(e);
         if (v->senders != RK_SENDERS_UNKNOWN && !all)
             continue;
@@ -154,7 +155,7 @@
 static void reset_senders(struct rk_signals *s)
 {
     struct lh_entry *e;
-    lh_foreach (s->table.by_life, e)
+    lh_foreach (s->table.by_incarnation, e)
         ((struct rk_vm_signal *)lh_entry_v(e))->senders = RK_SENDERS_UNKNOWN;
 }
 
--- a/node/state.h
+++ b/node/state.h
@@ -41,8 +41,8 @@
     struct rk_server *ready_server, *metrics_server;
     struct rk_sync *sync;
     struct rk_mesh *mesh;
-    struct rk_duty_keeper *duty_keeper;
-    struct rk_remember *remember;
+    struct rk_duty_keeper *leader;
+    struct rk_remember *persist;
     struct rk_rollouts *rollouts;
     struct rk_quarantines *quarantines;
     struct rk_signals *signals;
@@ -259,8 +259,9 @@
  * higher epoch, and within an epoch of a higher number, are newer. */
 struct rk_rollout_word {
     int64_t epoch, number;
-    int64_t said_ms;  /* when the leader made it, by this node's clock */
-    int64_t known_at; /* revision up to which every order has its rule here */
+    int64_t announced_ms; /* when the leader made it, by this node's clock */
+    int64_t
+        orders_revision; /* revision up to which every order has its rule here */
     struct rk_rollout_rule rules[RK_ROLLOUTS];
     size_t len;
 };
--- a/node/sync.c
+++ b/node/sync.c
@@ -90,16 +90,16 @@
 
 int64_t rk_sync_age_ms(const struct rk_sync *s)
 {
-    int64_t settings_ms = later(s->settings.heard_ms, s->settings_confirmed_ms);
-    int64_t list_ms = later(s->vms.heard_ms, s->list_confirmed_ms);
+    int64_t settings_ms = later(s->settings.answered_ms, s->settings_confirmed_ms);
+    int64_t list_ms = later(s->vms.answered_ms, s->list_confirmed_ms);
     int64_t first_ms = settings_ms < list_ms ? settings_ms : list_ms;
     return first_ms ? rk_mono_ms() - first_ms : -1;
 }
 
 bool rk_sync_hears_store(const struct rk_sync *s)
 {
-    return s->vms.on && !s->vms.lost &&
-           rk_mono_ms() - s->vms.heard_ms < RK_FOLLOWING_STALE_MS;
+    return s->vms.enabled && !s->vms.lost &&
+           rk_mono_ms() - s->vms.answered_ms < RK_FOLLOWING_STALE_MS;
 }
 
 int64_t rk_sync_behind_ms(const struct rk_sync *s)
@@ -110,15 +110,16 @@
 static bool should_watch(const struct rk_sync *s)
 {
     const struct rk_node *n = s->n;
-    const struct rk_following f = {.first_start = n->file.first_start,
-                                   .up_ms = rk_mono_ms() - n->started_ms,
-                                   .listed = rk_mesh_is_listed(n->mesh),
-                                   .ready = rk_sync_ready(s),
-                                   .waits = rk_returning_wait_left_ms(n) > 0,
-                                   .before = rk_mesh_rank(n->mesh),
-                                   .served = rk_mesh_is_served(n->mesh),
-                                   .follows = s->vms.on,
-                                   .age_ms = rk_sync_age_ms(s)};
+    const struct rk_following f = {
+        .first_start = n->file.first_start,
+        .up_ms = rk_mono_ms() - n->started_ms,
+        .listed = rk_mesh_is_listed(n->mesh),
+        .ready = rk_sync_ready(s),
+        .waits_for_slot = rk_returning_wait_left_ms(n) > 0,
+        .nodes_before = rk_mesh_rank(n->mesh),
+        .has_preceding_watch = rk_mesh_is_served(n->mesh),
+        .watches = s->vms.enabled,
+        .age_ms = rk_sync_age_ms(s)};
     return rk_following_should(&f);
 }
 
@@ -128,10 +129,10 @@
 static void set_watch_intervals(struct rk_sync *s)
 {
     bool listed = rk_mesh_is_listed(s->n->mesh);
-    s->settings.pace_ms = listed ? 0 : WATCH_INTERVAL_UNLISTED_MS;
-    s->vms.pace_ms = !listed                         ? WATCH_INTERVAL_UNLISTED_MS
-                     : rk_mesh_is_direct(s->n->mesh) ? 0
-                                                     : WATCH_INTERVAL_MS;
+    s->settings.min_interval_ms = listed ? 0 : WATCH_INTERVAL_UNLISTED_MS;
+    s->vms.min_interval_ms = !listed ? WATCH_INTERVAL_UNLISTED_MS
+                             : rk_mesh_is_direct(s->n->mesh) ? 0
+                                                             : WATCH_INTERVAL_MS;
 }
 
 static void on_tick(void *ctx)
@@ -143,11 +144,11 @@
                    ends_soon ? delay_ms : RK_FOLLOWING_TICK_MS);
     bool watch = should_watch(s);
     set_watch_intervals(s);
-    if (watch != s->vms.on)
+    if (watch != s->vms.enabled)
         RK_EVENT("store.following", RK_N("on", watch),
                  RK_N("age_ms", rk_sync_age_ms(s)),
                  RK_N("rank", rk_mesh_rank(s->n->mesh)));
-    if (!s->settings.on && rk_sync_behind_ms(s))
+    if (!s->settings.enabled && rk_sync_behind_ms(s))
         rk_follow_forget(&s->settings);
     rk_follow_set(&s->settings, watch);
     rk_follow_set(&s->vms, watch);
@@ -163,12 +164,12 @@
                                      .kind = n->platform->settings_kind,
                                      .apply = rk_sync_apply_settings,
                                      .list_when_behind = true,
-                                     .heard = on_store_answer,
+                                     .on_answer = on_store_answer,
                                      .ctx = s};
     s->vms = (struct rk_follow){.n = n,
                                 .kind = n->platform->vms_kind,
                                 .apply = rk_sync_apply_list,
-                                .heard = on_store_answer,
+                                .on_answer = on_store_answer,
                                 .ctx = s};
     rk_follow_init(&s->settings);
     rk_follow_init(&s->vms);
--- a/node/sync_list.c
+++ b/node/sync_list.c
@@ -70,7 +70,7 @@
              RK_S("from", from), RK_S("service", row->service),
              RK_S("domain", row->domain), RK_S("addr", row->addr),
              RK_N("leaving", row->leaving), RK_N("reclaimable", row->reclaimable),
-             RK_N("born_ms", row->born_ms));
+             RK_N("born_ms", row->started_ms));
 }
 
 static bool same_row(const struct rk_vm_row *a, const struct rk_vm_row *b)
@@ -78,7 +78,7 @@
     return !strcmp(a->addr, b->addr) && !strcmp(a->service, b->service) &&
            !strcmp(a->domain, b->domain) && a->slots == b->slots &&
            !strcmp(a->version, b->version) && a->leaving == b->leaving &&
-           a->born_ms == b->born_ms && a->reclaimable == b->reclaimable &&
+           a->started_ms == b->started_ms && a->reclaimable == b->reclaimable &&
            a->leaves_in_ms == b->leaves_in_ms;
 }
 
@@ -110,8 +110,8 @@
         e->first_revision = revision;
         return true;
     }
-    if (!row->born_ms)
-        row->born_ms = e->row.born_ms;
+    if (!row->started_ms)
+        row->started_ms = e->row.started_ms;
     row->leaving = row->leaving || e->row.leaving;
     return true;
 }
@@ -307,7 +307,7 @@
 {
     int64_t known = all ? store_revision : 0;
     for (size_t i = 0; i < len; i++) {
-        if (objects[i].gone)
+        if (objects[i].removed)
             known = store_revision;
         else if (objects[i].revision > known)
             known = objects[i].revision;
@@ -329,7 +329,7 @@
     for (size_t i = 0; i < len; i++) {
         if (!objects[i].name[0])
             continue; /* an object without a readable name is no VM's */
-        if (objects[i].gone)
+        if (objects[i].removed)
             changed |= handle_store_removal(s, &objects[i], store_revision);
         else
             changed |= set_entry(s, objects[i].name, objects[i].revision,
--- a/node/sync_publish.c
+++ b/node/sync_publish.c
@@ -28,7 +28,7 @@
 {
     s->published = queued;
     s->unsent_removed_len = 0;
-    rk_duty_keeper_look(s->n->duty_keeper);
+    rk_duty_keeper_look(s->n->leader);
 }
 
 void rk_sync_publish(struct rk_sync *s)
--- a/node/sync_settings.c
+++ b/node/sync_settings.c
@@ -73,7 +73,8 @@
 
 static bool is_settings(const struct rk_sync *s, const struct rk_store_object *o)
 {
-    return !o->gone && o->spec && !strcmp(o->name, s->n->platform->settings_name);
+    return !o->removed && o->spec &&
+           !strcmp(o->name, s->n->platform->settings_name);
 }
 
 /* Applies the newest valid settings and parses none of the older ones. Changes are
--- a/node/tell.c
+++ b/node/tell.c
@@ -65,10 +65,10 @@
     const struct rk_mesh *m = k->m;
     if (k->settings_version >= version || !rk_mesh_takes(k->link))
         return false;
-    if (is_requested(&k->told, k->link, version))
+    if (is_requested(&k->link_state, k->link, version))
         return true;
     return m->bridge && !m->rank && rk_mesh_is_near(k) &&
-           k->told.settings_sent < version;
+           k->link_state.settings_sent < version;
 }
 
 /* One pass over the peers that may lack something. */
@@ -140,8 +140,8 @@
         if (k->bridge != bridges)
             continue;
         if (is_due(k, p->version))
-            send_settings(p, k->link, &k->told);
-        send_list(p, k->link, &k->told);
+            send_settings(p, k->link, &k->link_state);
+        send_list(p, k->link, &k->link_state);
     }
 }
 
--- a/node/usage_tell.c
+++ b/node/usage_tell.c
@@ -117,7 +117,7 @@
 void rk_usage_send_to_leader(struct rk_mesh *m, int64_t now_ms)
 {
     char id[RK_ID_MAX];
-    rk_duty_keeper_holder(m->n->duty_keeper, id);
+    rk_duty_keeper_holder(m->n->leader, id);
     struct member *leader = m->bridge && id[0] ? rk_mesh_find(m, id) : NULL;
     if (!leader)
         return;
--- a/objects/objects.c
+++ b/objects/objects.c
@@ -131,7 +131,7 @@
     else
         snprintf(match, sizeof(match), "If-None-Match: *");
     const struct rk_rest_call call = {
-        .method = "PUT", .url = url, .match = match, .body = value};
+        .method = "PUT", .url = url, .condition_header = match, .body = value};
     rk_count(RK_C_OBJECT_WRITES, 1);
     rk_rest_start(o->http, &call, on_done, op);
 }
--- a/objects/store.h
+++ b/objects/store.h
@@ -18,7 +18,7 @@
 struct rk_store_object {
     const char *name;
     int64_t revision;
-    bool gone;                  /* the object was removed; set by watches only */
+    bool removed;               /* the object was removed; set by watches only */
     struct json_object *spec;   /* desired state; borrowed, may be NULL */
     struct json_object *status; /* reported state; borrowed, may be NULL */
 };
@@ -74,7 +74,7 @@
     const struct rk_store_ops *ops;
     /* While a callback runs: the monotonic time at which the first byte of its
      * response arrived, or 0 if none did. */
-    int64_t began_ms;
+    int64_t first_byte_at_ms;
 };
 
 #endif
--- a/peers/rows.c
+++ b/peers/rows.c
@@ -15,7 +15,7 @@
     row->incarnation = m->incarnation;
     row->state = m->state;
     row->attr_seq = m->attr_seq;
-    row->head = m->head;
+    row->head = m->applied_version;
     row->spare = m->spare;
     row->leaving = m->leaving;
 }
@@ -96,7 +96,7 @@
                                               : RK_MEMBER_SUSPECT,
         .leaving = row->leaving,
         .attr_seq = row->attr_seq,
-        .head = row->head,
+        .applied_version = row->head,
         .spare = row->spare,
     };
     return row->id[0] && rk_strcpy(out->id, sizeof(out->id), row->id) &&
--- a/programs/entry.c
+++ b/programs/entry.c
@@ -219,7 +219,7 @@
 
 static bool create_control(struct node *n, const char *forward_addr, uint64_t seed)
 {
-    struct rk_control_options opt = {.seed = seed, .views = n->views};
+    struct rk_control_options opt = {.rng_seed = seed, .view_cell = n->views};
     const struct rk_procfile *f = &n->file;
     rk_strcpy(opt.id, sizeof(opt.id), f->id);
     rk_strcpy(opt.domain, sizeof(opt.domain), f->failure_domain);
@@ -251,13 +251,13 @@
     snprintf(w->id_prefix, sizeof(w->id_prefix), "%.24s-%x%u", n->file.id,
              (unsigned)(rk_wall_ms() & 0xffffff), (unsigned)i);
     const struct rk_callers_options caller_opt = {
-        .listen = listen,
+        .listen_addr = listen,
         .id_prefix = w->id_prefix,
         .max_body = (size_t)n->file.max_body,
         .max_connections = (unsigned)n->file.max_connections,
-        .idle_s = IDLE_TIMEOUT_S,
+        .idle_timeout_s = IDLE_TIMEOUT_S,
         .max_upload_ms = UPLOAD_TIMEOUT_MS,
-        .max_unread = MAX_PENDING_BYTES,
+        .max_response_buffer = MAX_PENDING_BYTES,
     };
     w->callers = rk_callers_create(w->traffic, &caller_opt);
     if (!w->callers)
