--- a/programs/replay.c
+++ b/programs/replay.c
@@ -285,7 +285,7 @@
     bool cut_now =
         c->cut_halfway && sim.now_ms >= (c->first_due_ms + c->end_ms) / 2;
     if (c->refuse) {
-        handle_failed_attempt(c, (struct rk_attempt_end){.handed = true,
+        handle_failed_attempt(c, (struct rk_attempt_end){.may_have_reached = true,
                                                          .answered = true,
                                                          .http_status = 503});
     } else if (c->unreachable) {
@@ -295,7 +295,7 @@
                 sim.now_ms - (c->first_due_ms - 20) > p->attempt_ms)) {
         c->received_tokens =
             c->unresponsive ? c->received_tokens : tokens_by_now(c);
-        handle_failed_attempt(c, (struct rk_attempt_end){.handed = true});
+        handle_failed_attempt(c, (struct rk_attempt_end){.may_have_reached = true});
     } else if (sim.now_ms >= c->end_ms && !c->unresponsive) {
         c->received_tokens = c->job.max_tokens;
         end_call(c, CALL_COMPLETED, RK_RAN, false);
--- a/serve/attempts.c
+++ b/serve/attempts.c
@@ -76,8 +76,8 @@
     enum rk_verdict v = rk_verdict_of(end, &contract);
     const char *vm_id = rk_router_vm_id(x->t->router, x->job.vm);
     log_attempt(x, "attempt.failed", vm_id, rk_verdict_str(v), detail);
-    if (end->rest_ms > 0)
-        rk_router_rest(x->t->router, &x->job, end->rest_ms, rk_mono_ms());
+    if (end->cooldown_ms > 0)
+        rk_router_rest(x->t->router, &x->job, end->cooldown_ms, rk_mono_ms());
     snprintf(x->detail, sizeof(x->detail), "%s", detail);
     x->verdict = rk_verdict_join(x->verdict, v);
     bool leaving = rk_router_vm_leaving(x->t->router, x->job.vm);
@@ -85,9 +85,10 @@
      * because they may be time-outs. A stream that breaks off after its answer's
      * head was received counts, too. */
     bool overload =
-        end->http_status || (end->handed && !leaving && !x->stream.next);
+        end->http_status || (end->may_have_reached && !leaving && !x->stream.next);
     bool refused = end->http_status >= FIRST_ERROR_STATUS;
-    x->unannounced_losses += end->handed && !end->answered && !refused && !leaving;
+    x->unannounced_losses +=
+        end->may_have_reached && !end->answered && !refused && !leaving;
     if (!x->sink && v != RK_NOT_RUN) {
         rk_exchange_give_up(x, 504, 0, x->detail);
         return;
@@ -104,7 +105,7 @@
     rk_router_retry(x->t->router, &x->job, rk_mono_ms());
     x->state = X_QUEUED;
     if (!rk_router_can_serve(x->t->router, &x->job))
-        rk_exchange_reroute(x, end->handed);
+        rk_exchange_reroute(x, end->may_have_reached);
 }
 
 static bool on_chunk(void *ctx, const struct rk_chunk *chunk, const char *raw)
@@ -199,7 +200,7 @@
         .body = x->completion.upstream_body,
         .resume_from = x->stream.next,
         .connect_ms = x->policy.connect_ms,
-        .silence_ms = x->policy.attempt_ms,
+        .inactivity_timeout_ms = x->policy.attempt_ms,
         .once = !x->policy.repeatable,
     };
     x->engine =
@@ -253,8 +254,8 @@
         .body = x->req.body,
         .body_len = x->req.body_len,
         .connect_ms = x->policy.connect_ms,
-        .silence_ms = x->policy.attempt_ms,
-        .once = !x->policy.repeatable,
+        .inactivity_timeout_ms = x->policy.attempt_ms,
+        .non_repeatable = !x->policy.repeatable,
     };
     x->service =
         rk_service_attempt_start(x->t->loop, x->t->http, &spec, on_service_end, x);
@@ -295,7 +296,7 @@
     if (now_ms - t->spare_ms < SPARE_INTERVAL_MS)
         return;
     t->spare_ms = now_ms;
-    atomic_store_explicit(&t->spare, rk_router_spare(t->router),
+    atomic_store_explicit(&t->spare_slots, rk_router_spare(t->router),
                           memory_order_relaxed);
 }
 
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -89,14 +89,14 @@
     count_end(o);
     RK_EVENT("call.end", RK_S("request", x->req.id),
              RK_S("service", x->policy.service), RK_S("organisation", x->req.org),
-             RK_S("class", x->req.cls), RK_N("status", o->status),
+             RK_S("class", x->req.priority_class), RK_N("status", o->status),
              RK_S("verdict", rk_verdict_str(o->verdict)), RK_N("whole", o->whole),
              RK_N("attempts", x->attempts),
              RK_N("took_ms", rk_mono_ms() - x->started_ms),
              RK_S("detail", o->detail ? o->detail : ""));
     const struct rk_sink *sink = x->sink;
     x->sink = NULL;
-    sink->end(x->sink_ctx, o);
+    sink->on_answer_end(x->sink_ctx, o);
 }
 
 /* Reports the call's outcome to the claim of its key, with the answer to
@@ -166,7 +166,7 @@
     record_for_replay(x, part);
     x->sink_has_data = true;
     if (x->sink)
-        x->sink->part(x->sink_ctx, part);
+        x->sink->on_answer_piece(x->sink_ctx, part);
 }
 
 void rk_exchange_deliver_body(struct rk_exchange *x, int status, const char *type,
@@ -186,8 +186,8 @@
 {
     x->state = X_CLAIMING;
     struct rk_claim_port *port = &x->t->opt.claims;
-    if (!port->ask(port->ctx, x->t->opt.index, x->id, x->shard, x->key,
-                   x->policy.claims_local)) {
+    if (!port->acquire(port->ctx, x->t->opt.index, x->id, x->shard, x->key,
+                       x->policy.claims_local)) {
         x->state = X_QUEUED; /* there is no claim request to cancel */
         rk_exchange_give_up(x, 503, RK_OVERLOAD_RETRY_MS, "too many claims wait");
     }
@@ -346,8 +346,9 @@
 
 static void apply_default_class(struct rk_exchange *x, const struct rk_org *org)
 {
-    if (!x->req.cls[0])
-        rk_strcpy(x->req.cls, sizeof(x->req.cls), org->default_class);
+    if (!x->req.priority_class[0])
+        rk_strcpy(x->req.priority_class, sizeof(x->req.priority_class),
+                  org->default_class);
 }
 
 static void set_deadline(struct rk_exchange *x, const struct rk_class *cls)
@@ -365,7 +366,7 @@
 {
     const struct rk_config *cfg = rk_traffic_view(x->t)->config;
     const struct rk_org *org = rk_config_org(cfg, x->req.org);
-    const struct rk_class *cls = rk_config_class(cfg, x->req.cls);
+    const struct rk_class *cls = rk_config_class(cfg, x->req.priority_class);
     struct rk_job *j = &x->job;
     rk_strcpy(j->service, sizeof(j->service), x->policy.service);
     rk_strcpy(j->org, sizeof(j->org), x->req.org);
@@ -431,8 +432,8 @@
     if (!org)
         return reject(x, 403, "unknown organisation");
     apply_default_class(x, org);
-    const struct rk_class *cls = rk_config_class(cfg, x->req.cls);
-    if (x->req.cls[0] && !cls)
+    const struct rk_class *cls = rk_config_class(cfg, x->req.priority_class);
+    if (x->req.priority_class[0] && !cls)
         return reject(x, 400, "unknown priority class");
     if (x->policy.key_required && !x->req.key[0])
         return reject(x, 428, "calls of this service need an Idempotency-Key");
@@ -499,7 +500,7 @@
     x->kv_source_until_ms = rk_mono_ms() + (int64_t)row->leave_at_ms - wall_ms;
     rk_engine_attempt_cancel(x->engine);
     x->engine = NULL;
-    struct rk_attempt_end end = {.handed = true};
+    struct rk_attempt_end end = {.may_have_reached = true};
     rk_exchange_attempt_failed(x, &end, "moved before a reclaim");
 }
 
--- a/serve/forward.c
+++ b/serve/forward.c
@@ -220,7 +220,7 @@
     b.id = id;
     b.request_id = (char *)r->id;
     b.organisation = (char *)r->org;
-    b.class_ = (char *)r->cls;
+    b.class_ = (char *)r->priority_class;
     b.service = (char *)r->service;
     b.call = (char *)r->call;
     b.method = (char *)r->method;
@@ -307,8 +307,8 @@
     remove_inbound(in);
 }
 
-static const struct rk_sink inbound_sink = {.part = inbound_part,
-                                            .end = inbound_end};
+static const struct rk_sink inbound_sink = {.on_answer_piece = inbound_part,
+                                            .on_answer_end = inbound_end};
 
 static void send_ack(struct conn *c, uint64_t id)
 {
@@ -334,7 +334,7 @@
     };
     rk_strcpy(r.id, sizeof(r.id), b->request_id);
     rk_strcpy(r.org, sizeof(r.org), b->organisation);
-    rk_strcpy(r.cls, sizeof(r.cls), b->class_);
+    rk_strcpy(r.priority_class, sizeof(r.priority_class), b->class_);
     rk_strcpy(r.service, sizeof(r.service), b->service);
     rk_strcpy(r.call, sizeof(r.call), b->call);
     rk_strcpy(r.method, sizeof(r.method), b->method);
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -36,10 +36,10 @@
 void rk_relay_report_free(struct rk_relay_report *r)
 {
     free(r->loads);
-    free(r->uses);
+    free(r->quota_usage);
     free(r->usage);
     free(r->services);
-    free(r->trials);
+    free(r->canaries);
     free(r->suspects);
     free(r->signals);
     free(r);
@@ -48,9 +48,9 @@
 void rk_relay_peers_free(struct rk_relay_peers *p)
 {
     free(p->loads);
-    free(p->uses);
-    free(p->known);
-    rk_tally_free(&p->asking);
+    free(p->quota_usage_added);
+    free(p->quota_history);
+    rk_tally_free(&p->quota_demand);
     free(p->services);
     free(p);
 }
@@ -65,18 +65,19 @@
         r->routes ? rk_routes_org(r->routes, o->name) : NULL;
     double rate = org ? org->rate : 0, burst = org ? org->burst : 0;
     double quota = rate * (double)r->quota.window_ms / RK_MS_PER_S + burst;
-    rk_quota_keep(&r->quota, o, quota, rate, use->kept, rk_mono_ms());
+    rk_quota_keep(&r->quota, o, quota, rate, use->persisted_slices, rk_mono_ms());
 }
 
 static void fill_quota_usage(struct rk_relay *r, struct rk_relay_report *report)
 {
-    report->uses = rk_alloc(r->quota.orgs_len + 1, sizeof(*report->uses));
+    report->quota_usage =
+        rk_alloc(r->quota.orgs_len + 1, sizeof(*report->quota_usage));
     for (size_t i = 0; i < r->quota.orgs_len; i++) {
-        struct rk_org_use *use = &report->uses[report->uses_len++];
+        struct rk_org_use *use = &report->quota_usage[report->quota_usage_len++];
         rk_strcpy(use->org, sizeof(use->org), r->quota.orgs[i].name);
-        use->units = r->quota.orgs[i].own_total;
-        use->asking = rk_quota_asking(&r->quota.orgs[i], rk_mono_ms());
-        rk_quota_tell(&r->quota, &r->quota.orgs[i], use->known, rk_mono_ms());
+        use->units = r->quota.orgs[i].own_net_units;
+        use->demand_per_s = rk_quota_asking(&r->quota.orgs[i], rk_mono_ms());
+        rk_quota_tell(&r->quota, &r->quota.orgs[i], use->used_slices, rk_mono_ms());
         fill_persisted_usage(r, &r->quota.orgs[i], use);
     }
 }
@@ -97,12 +98,12 @@
     for (size_t i = 0; i < r->services_len; i++) {
         struct rk_service_use *use = &report->services[report->services_len++];
         rk_strcpy(use->service, sizeof(use->service), r->services[i].name);
-        use->read_tokens = r->services[i].read_tokens;
+        use->demand_tokens = r->services[i].uncached_prompt_tokens;
         use->engine =
             rk_engine_learnt(&rk_place_speed_of(r->place, use->service)->engine);
         struct rk_place_in_hand in_hand = rk_place_in_hand(r->place, use->service);
         use->running = in_hand.running;
-        use->begun = in_hand.begun;
+        use->begun = in_hand.first_byte_received;
     }
 }
 
@@ -113,9 +114,10 @@
         const struct rk_place_rollout *from = &rollouts[i];
         if (!from->rule.service[0])
             continue;
-        report->trials = rk_realloc(report->trials, (report->trials_len + 1) *
-                                                        sizeof(*report->trials));
-        struct rk_rollout_seen *seen = &report->trials[report->trials_len++];
+        report->canaries =
+            rk_realloc(report->canaries,
+                       (report->canaries_len + 1) * sizeof(*report->canaries));
+        struct rk_rollout_seen *seen = &report->canaries[report->canaries_len++];
         *seen = (struct rk_rollout_seen){.rows = from->seen,
                                          .old_running =
                                              rk_place_old_running(from, r->place)};
@@ -159,12 +161,12 @@
     fill_suspects(r, report);
     report->signals_len =
         rk_place_copy_signals(r->place, rk_mono_ms(), &report->signals);
-    report->vms_resting = rk_place_resting(r->place, rk_mono_ms());
-    report->knows_all = rk_quota_knows_all(&r->quota, rk_mono_ms());
-    report->remembers_ms = rk_quota_remembers_ms(&r->quota, rk_mono_ms());
-    report->version = r->routes ? r->routes->version : 0;
+    report->vms_in_cooldown = rk_place_resting(r->place, rk_mono_ms());
+    report->quota_history_complete = rk_quota_knows_all(&r->quota, rk_mono_ms());
+    report->quota_history_ms = rk_quota_remembers_ms(&r->quota, rk_mono_ms());
+    report->routes_version = r->routes ? r->routes->version : 0;
     report->vms_known = r->vms_known;
-    report->in_hand = r->calls_len + rk_server_busy(r->server);
+    report->busy_count = r->calls_len + rk_server_busy(r->server);
     r->opt.on_report(r->opt.ctx, report);
 }
 
@@ -322,24 +324,28 @@
     const struct rk_relay_peers *p = m->peers;
     int64_t now_ms = rk_mono_ms();
     rk_place_set_loads(r->place, p->loads, p->loads_len, now_ms);
-    rk_quota_hear(&r->quota, p->nodes_heard, p->nodes_total, now_ms);
+    rk_quota_hear(&r->quota, p->nodes_reachable, p->nodes_total, now_ms);
     rk_place_set_nodes(r->place, p->nodes_total);
-    for (size_t i = 0; i < p->uses_len; i++)
-        rk_quota_add(&r->quota, p->uses[i].org, p->uses[i].units, now_ms);
+    for (size_t i = 0; i < p->quota_usage_added_len; i++)
+        rk_quota_add(&r->quota, p->quota_usage_added[i].org,
+                     p->quota_usage_added[i].units, now_ms);
     /* Usage from a peer's history is added once after a restart, and once after a
      * gap in the digests. If it were added with every message, the same usage
      * could be counted in two slices of the window. */
-    bool complete = p->remembers_ms >= r->quota.window_ms;
-    bool apply_history = p->catch_up || (complete && r->quota.forgot_ms);
-    for (size_t i = 0; apply_history && i < p->known_len; i++)
-        rk_quota_know(&r->quota, p->known[i].org, p->known[i].known, now_ms);
+    bool complete = p->quota_history_ms >= r->quota.window_ms;
+    bool apply_history =
+        p->backfill_history || (complete && r->quota.unknown_before_ms);
+    for (size_t i = 0; apply_history && i < p->quota_history_len; i++)
+        rk_quota_know(&r->quota, p->quota_history[i].org,
+                      p->quota_history[i].used_slices, now_ms);
     for (size_t i = 0; i < r->quota.orgs_len; i++)
-        r->quota.orgs[i].peers_asking =
-            rk_tally_total(&p->asking, r->quota.orgs[i].name);
+        r->quota.orgs[i].peers_demand =
+            rk_tally_total(&p->quota_demand, r->quota.orgs[i].name);
     set_engine_priors(r, p->services, p->services_len);
-    rk_quota_remind(&r->quota, p->remembers_ms);
-    r->quota.lag_ms = p->lag_ms;
-    r->quota.word_ms = p->silent_ms >= 0 ? now_ms - p->silent_ms : 0;
+    rk_quota_remind(&r->quota, p->quota_history_ms);
+    r->quota.lag_ms = p->report_lag_ms;
+    r->quota.last_report_ms =
+        p->since_report_ms >= 0 ? now_ms - p->since_report_ms : 0;
     rk_relay_peers_free(m->peers);
     free(m);
 }
@@ -392,8 +398,8 @@
     struct message *m = ctx;
     int64_t now_ms = rk_mono_ms();
     for (size_t i = 0; i < m->uses_len; i++)
-        rk_quota_restore(&m->r->quota, m->uses[i].org, m->uses[i].known,
-                         m->uses[i].asking, m->age_ms, now_ms);
+        rk_quota_restore(&m->r->quota, m->uses[i].org, m->uses[i].used_slices,
+                         m->uses[i].demand_per_s, m->age_ms, now_ms);
     rk_quota_restored(&m->r->quota, m->age_ms);
     m->r->quotas_restored = true;
     accept_if_ready(m->r);
@@ -526,7 +532,7 @@
 }
 
 static const struct rk_server_ops server_ops = {.on_request = on_request,
-                                                .on_gone = on_client_gone};
+                                                .on_disconnect = on_client_gone};
 
 struct rk_relay *rk_relay_create(const struct rk_relay_options *opt)
 {
@@ -535,7 +541,8 @@
     r->loop = rk_loop_create();
     struct rk_server_limits limits = default_limits;
     limits.max_clients = opt->max_clients;
-    r->server = rk_server_create(r->loop, opt->listen, &limits, &server_ops, r);
+    r->server =
+        rk_server_create(r->loop, opt->listen_addr, &limits, &server_ops, r);
     if (!r->server) {
         rk_loop_destroy(r->loop);
         free(r);
--- a/serve/relay.h
+++ b/serve/relay.h
@@ -40,7 +40,7 @@
     /* Uncached prompt tokens requested since the start. Each call counts once, or
      * not at all if its caller resumes a stream. A call that no VM can take counts
      * with its whole prompt. */
-    double read_tokens;
+    double demand_tokens;
     uint32_t running;
     uint32_t begun;                   /* running calls whose answers have begun */
     struct rk_engine_estimate engine; /* estimate from this node's calls */
@@ -57,28 +57,29 @@
     size_t loads_len;
     /* by organisation: units and demand of this node's calls, and what this node
      * knows of the usage of all nodes */
-    struct rk_org_use *uses;
-    size_t uses_len;
+    struct rk_org_use *quota_usage;
+    size_t quota_usage_len;
     struct rk_usage_row *usage; /* request counts of recent usage windows */
     size_t usage_len;
     struct rk_service_use *services;
     size_t services_len;
-    struct rk_rollout_seen *trials; /* observed canary results by rollout */
-    size_t trials_len;
+    struct rk_rollout_seen *canaries; /* observed canary results by rollout */
+    size_t canaries_len;
     /* rows changed here within the last second */
     struct rk_quarantine_row *suspects;
     size_t suspects_len;
     struct rk_vm_signal *signals; /* state that VMs advertised in their answers */
     size_t signals_len;
-    size_t vms_resting; /* VMs in a cooldown towards this node */
+    size_t vms_in_cooldown; /* VMs in a cooldown towards this node */
     /* how far back this node's quota history goes, at most the window */
-    int64_t remembers_ms;
-    bool knows_all;  /* uses[].kept includes all usage within the quota window */
-    int64_t version; /* of the routes in force; 0: none received yet */
-    bool vms_known;  /* a list of VMs has been received */
+    int64_t quota_history_ms;
+    bool quota_history_complete; /* uses[].kept includes all usage within the quota
+                                    window */
+    int64_t routes_version;      /* of the routes in force; 0: none received yet */
+    bool vms_known;              /* a list of VMs has been received */
     /* Calls in flight plus connections with a request, a part of one, or unsent
      * answer bytes. A call whose caller waits counts in both; 0 means idle. */
-    size_t in_hand;
+    size_t busy_count;
 };
 /* Frees a report and its arrays. */
 void rk_relay_report_free(struct rk_relay_report *r);
@@ -87,22 +88,23 @@
 struct rk_relay_peers {
     struct rk_vm_load *loads; /* load of VMs caused by all peers' calls */
     size_t loads_len;
-    struct rk_org_use *uses; /* quota units used by peers since the last message */
-    size_t uses_len;
+    struct rk_org_use
+        *quota_usage_added; /* quota units used by peers since the last message */
+    size_t quota_usage_added_len;
     /* quota usage of all nodes by organisation, as known to the peer with the
      * longest history or, if catch_up is set, to the new source of digests */
-    struct rk_org_use *known;
-    size_t known_len;
-    struct rk_tally asking; /* quota units/s that callers request at peers */
+    struct rk_org_use *quota_history;
+    size_t quota_history_len;
+    struct rk_tally quota_demand; /* quota units/s that callers request at peers */
     struct rk_service_use *services; /* only the engine estimates are set */
     size_t services_len;
-    int64_t remembers_ms; /* length of that peer's history */
+    int64_t quota_history_ms; /* length of that peer's history */
     /* apply known[] even if its history is shorter than the quota window, because
      * uses[] did not cover that period */
-    bool catch_up;
-    int nodes_heard, nodes_total; /* including this node */
-    int64_t lag_ms;               /* typical age of peers' reports on arrival */
-    int64_t silent_ms; /* time since any peer reported; -1: none ever did */
+    bool backfill_history;
+    int nodes_reachable, nodes_total; /* including this node */
+    int64_t report_lag_ms;            /* typical age of peers' reports on arrival */
+    int64_t since_report_ms; /* time since any peer reported; -1: none ever did */
 };
 /* Frees the message and its arrays. */
 void rk_relay_peers_free(struct rk_relay_peers *p);
@@ -110,9 +112,9 @@
 /* Options of a relay. Its callbacks receive ctx. */
 struct rk_relay_options {
     const struct rk_dialect *dialect;
-    const char *listen; /* address for callers, ip:port */
+    const char *listen_addr; /* address for callers, ip:port */
     char domain[RK_ID_MAX];
-    uint64_t node; /* hash of this node's id and incarnation */
+    uint64_t node_hash; /* hash of this node's id and incarnation */
     uint64_t seed;
     int max_clients; /* limit of open connections of callers */
     struct rk_relay_bounds bounds;
--- a/serve/relay_answer.c
+++ b/serve/relay_answer.c
@@ -18,7 +18,7 @@
 /* Records the attempt's time to first byte and the error of its prediction. */
 static void record_first_byte(struct rk_relay_call *x)
 {
-    if (x->job.first)
+    if (x->job.got_first_byte)
         return;
     int64_t now_ms = rk_mono_ms(), seen_ms = now_ms - x->job.sent_ms;
     int64_t late_ms = seen_ms - (int64_t)x->job.expected_ms;
@@ -41,7 +41,7 @@
     x->usage_counted = true;
     x->ran = true;
     if (x->org)
-        rk_usage_count(&x->r->usage, x->r->opt.node,
+        rk_usage_count(&x->r->usage, x->r->opt.node_hash,
                        wall_ms / x->r->opt.bounds.usage_window_ms, x->org->name);
 }
 
@@ -171,7 +171,7 @@
 static bool delivers_complete_events(const struct rk_relay_call *x)
 {
     return x->route->kind == RK_CALL_STREAM &&
-           (x->route->resumable || x->service->moves);
+           (x->route->resumable || x->service->can_move_kv);
 }
 
 static void on_body(void *ctx, const char *data, size_t len)
@@ -202,8 +202,8 @@
 void rk_call_end_complete(struct rk_relay_call *x)
 {
     /* Bytes after the last complete event belong to the answer, too. */
-    if (x->events.part.len && x->client)
-        rk_client_data(x->client, x->events.part.data, x->events.part.len);
+    if (x->events.partial.len && x->client)
+        rk_client_data(x->client, x->events.partial.data, x->events.partial.len);
     bool failed = x->status >= HTTP_SERVER_ERROR;
     rk_call_clear_suspicion(x);
     rk_call_end_attempt(x, failed ? RK_PLACE_ERROR : RK_PLACE_DONE);
@@ -234,12 +234,12 @@
 {
     struct rk_relay_call *x = ctx;
     x->up = NULL;
-    if (x->answer_class != ANSWER_NOT_RUN && f->sent)
+    if (x->answer_class != ANSWER_NOT_RUN && f->may_have_reached)
         rk_call_suspect(x);
     if (x->answer_class == ANSWER_NOT_RUN)
         rk_call_attempt_not_run(x, "the vm did not run it");
     else if (!rk_call_move_stream_ended(x, false))
-        rk_call_attempt_failed(x, f->sent, RK_PLACE_LOST, f->what);
+        rk_call_attempt_failed(x, f->may_have_reached, RK_PLACE_LOST, f->cause);
 }
 
 const struct rk_upstream_ops rk_call_upstream_ops = {
--- a/serve/relay_arrive.c
+++ b/serve/relay_arrive.c
@@ -48,9 +48,9 @@
                      const struct rk_head *head, const struct rk_org_info **org)
 {
     *org = NULL;
-    if (!r->routes->keyed || route->anonymous)
+    if (!r->routes->keys_required || route->anonymous)
         return true;
-    const char *key = rk_head_get(head, r->opt.dialect->key);
+    const char *key = rk_head_get(head, r->opt.dialect->api_key);
     *org = key ? rk_routes_org_of_key(r->routes, key) : NULL;
     return *org != NULL;
 }
@@ -64,14 +64,15 @@
     double out = 0;
     if (tokens) {
         char *end;
-        x->query.tokens_in = strtod(tokens, &end);
+        x->query.prompt_tokens = strtod(tokens, &end);
         out = *end == ',' ? strtod(end + 1, NULL) : 0;
     }
     x->is_resume = rk_head_get(head, d->resume_after) != NULL;
     if (prefix)
         rk_place_parse_parts(&x->query, prefix);
     if (x->org && x->org->counts_tokens)
-        x->units = tokens ? x->query.tokens_in + out : (double)x->org->plain_units;
+        x->units =
+            tokens ? x->query.prompt_tokens + out : (double)x->org->default_units;
     else
         x->units = 1;
 }
@@ -103,9 +104,9 @@
     x->query.service = rk_route_service(route, (uint32_t)rk_hash_str(0, x->id));
     x->service = rk_routes_service(r->routes, x->query.service);
     x->query.engine = x->service->engine;
-    x->query.request = rk_hash_str(0, x->id);
+    x->query.request_hash = rk_hash_str(0, x->id);
     x->query.route = route->name;
-    x->query.tries = rk_place_tries(r->place, &x->query);
+    x->query.wants_new_version = rk_place_tries(r->place, &x->query);
     x->deadline_timer = (struct rk_timer){.fn = rk_call_on_deadline, .ctx = x};
     x->silence_timer = (struct rk_timer){.fn = rk_call_on_silence, .ctx = x};
     x->next = r->calls;
@@ -138,13 +139,14 @@
                                   x->units, x->started_ms, &answer))
         return true;
     rk_count(RK_C_QUOTA_REFUSED, 1);
-    RK_EVENT(
-        "quota.refused", RK_S("request", x->id), RK_S("organisation", x->org->name),
-        RK_N("units", (int64_t)x->units), RK_N("used", (int64_t)answer.used),
-        RK_N("before", (int64_t)answer.before),
-        RK_N("limit", (int64_t)answer.limit),
-        RK_N("share_pct", (int64_t)(answer.share * PCT)),
-        RK_N("nodes_heard", q->nodes_heard), RK_N("nodes_total", q->nodes_total));
+    RK_EVENT("quota.refused", RK_S("request", x->id),
+             RK_S("organisation", x->org->name), RK_N("units", (int64_t)x->units),
+             RK_N("used", (int64_t)answer.used),
+             RK_N("before", (int64_t)answer.used_before_restart),
+             RK_N("limit", (int64_t)answer.limit),
+             RK_N("share_pct", (int64_t)(answer.share * PCT)),
+             RK_N("nodes_heard", q->nodes_reachable),
+             RK_N("nodes_total", q->nodes_total));
     x->units = 0;
     rk_call_give_up(x, HTTP_TOO_MANY_REQUESTS, answer.retry_after_ms,
                     "the organisation's quota is used up");
--- a/serve/relay_call.c
+++ b/serve/relay_call.c
@@ -204,7 +204,7 @@
 {
     /* A call is sent to a canary version at most once. */
     if (x->vm && rk_place_is_trial(x->vm))
-        x->query.tries = false;
+        x->query.wants_new_version = false;
     if (x->vm && x->query.excluded_len < RK_PLACE_EXCLUDED)
         x->query.excluded[x->query.excluded_len++] = x->vm->hash;
 }
@@ -302,7 +302,7 @@
  * received the head: the caller of a resumed stream is already reading it. */
 static int engine_rank(const struct rk_relay_call *x)
 {
-    return rk_rank(base_rank(x), x->begun ? 0 : x->job.load.unread);
+    return rk_rank(base_rank(x), x->begun ? 0 : x->job.load.uncached_tokens);
 }
 
 static void build_head(const struct rk_relay_call *x, size_t body_len,
@@ -322,13 +322,13 @@
     if (x->service->engine)
         rk_buf_printf(b, "%s: %d\r\n", d->rank, engine_rank(x));
     const struct rk_place_vm *source =
-        x->service->moves
+        x->service->can_move_kv
             ? rk_place_source(x->r->place, &x->query, x->vm, rk_mono_ms())
             : NULL;
     if (source)
-        add_line(b, d->fetch_from, source->row.addr);
+        add_line(b, d->kv_source, source->row.addr);
     if (x->kv_source[0])
-        add_line(b, d->go_on_from, x->kv_source);
+        add_line(b, d->kv_moved_from, x->kv_source);
     if (x->begun && x->events.last_id[0])
         add_line(b, d->resume_after, x->events.last_id);
     if (body_len || head->body_length >= 0 || head->chunked)
@@ -377,7 +377,7 @@
         return;
     bool stream = x->route->kind == RK_CALL_STREAM;
     rk_timer_start(x->r->loop, &x->silence_timer,
-                   stream ? STREAM_SILENCE_MS + x->route->target_ms
+                   stream ? STREAM_SILENCE_MS + x->route->target_first_byte_ms
                           : PLAIN_SILENCE_MS);
 }
 
@@ -387,11 +387,11 @@
  * is only learned from calls that are sent. */
 static bool misses_target(const struct rk_relay_call *x)
 {
-    double target_ms = (double)x->route->target_ms;
+    double target_ms = (double)x->route->target_first_byte_ms;
     if (!x->query.engine || x->attempts || x->begun || target_ms <= 0)
         return false;
     double slack = base_rank(x) <= URGENT_RANK ? LATENESS_URGENT : LATENESS_OTHERS;
-    return x->forecast.ms - CONFIDENCE_STDERRS * x->forecast.doubt_ms >
+    return x->forecast.ms - CONFIDENCE_STDERRS * x->forecast.std_error_ms >
            target_ms * slack;
 }
 
@@ -403,7 +403,7 @@
     if (x->demand_counted || x->is_resume)
         return;
     x->demand_counted = true;
-    find_or_add_service(x->r, x->query.service)->read_tokens += tokens;
+    find_or_add_service(x->r, x->query.service)->uncached_prompt_tokens += tokens;
 }
 
 static void refuse_late(struct rk_relay_call *x)
@@ -412,13 +412,13 @@
     x->vm = NULL;
     rk_count(RK_C_LATE_REFUSED, 1);
     rk_call_give_up(x, HTTP_UNAVAILABLE,
-                    (int64_t)x->forecast.ms - x->route->target_ms / 2,
+                    (int64_t)x->forecast.ms - x->route->target_first_byte_ms / 2,
                     "its first byte would come too late");
 }
 
 static void record_sent(struct rk_relay_call *x)
 {
-    count_demand(x, x->job.load.unread);
+    count_demand(x, x->job.load.uncached_tokens);
     x->attempts++;
     x->move_tried = false;
     x->silence_reported = false;
@@ -435,9 +435,9 @@
 {
     struct rk_place *p = x->r->place;
     struct rk_place_vm *vm = rk_place_choose(p, &x->query, now_ms, &x->forecast);
-    if (vm || (!x->query.tries && !rk_place_may_move(p, &x->query)))
+    if (vm || (!x->query.wants_new_version && !rk_place_may_move(p, &x->query)))
         return vm;
-    x->query.tries = !x->query.tries;
+    x->query.wants_new_version = !x->query.wants_new_version;
     return rk_place_choose(p, &x->query, now_ms, &x->forecast);
 }
 
@@ -457,7 +457,7 @@
             return;
         }
         rk_place_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
-        x->job.odd = x->begun || x->is_resume;
+        x->job.resumes_stream = x->begun || x->is_resume;
         x->sent_wall_ms = rk_wall_ms();
         if (start_attempt(x)) {
             record_sent(x);
@@ -466,7 +466,7 @@
         exclude_vm(x);
         rk_call_end_attempt(x, RK_PLACE_CALLED_OFF);
     }
-    count_demand(x, x->query.tokens_in);
+    count_demand(x, x->query.prompt_tokens);
     give_up_sending(x, "no vm can take it");
 }
 
@@ -487,7 +487,7 @@
     }
     x->vm = to;
     rk_place_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
-    x->job.odd = true;
+    x->job.resumes_stream = true;
     snprintf(x->kv_source, sizeof(x->kv_source), "%s/%s", from_addr, handle);
     bool sent = start_attempt(x);
     x->kv_source[0] = '\0'; /* used for this attempt only */
--- a/serve/relay_call.h
+++ b/serve/relay_call.h
@@ -25,7 +25,7 @@
     struct rk_budget budget; /* retry budget */
     /* uncached prompt tokens requested of engines since the entry was added,
      * refused calls included; see struct rk_service_use */
-    double read_tokens;
+    double uncached_prompt_tokens;
 };
 
 struct rk_relay {
--- a/serve/relay_log.c
+++ b/serve/relay_log.c
@@ -19,9 +19,9 @@
     RK_EVENT("call.sent", RK_S("request", x->id), RK_S("vm", x->vm->row.id),
              RK_N("attempt", x->attempts),
              RK_N("first_ms", (int64_t)x->forecast.ms),
-             RK_N("doubt_ms", (int64_t)x->forecast.doubt_ms),
-             RK_N("read_tokens", (int64_t)x->job.load.unread),
-             RK_N("waiting_tokens", (int64_t)x->job.load.waiting),
+             RK_N("doubt_ms", (int64_t)x->forecast.std_error_ms),
+             RK_N("read_tokens", (int64_t)x->job.load.uncached_tokens),
+             RK_N("waiting_tokens", (int64_t)x->job.load.waiting_tokens),
              RK_N("running", (int64_t)x->job.load.running),
              RK_N("home", rk_place_home(x->r->place, &x->query, x->vm)));
 }
--- a/serve/relay_move.c
+++ b/serve/relay_move.c
@@ -163,7 +163,7 @@
 {
     struct rk_call_move *m = ctx;
     m->up = NULL;
-    end_without_copy(m, f->what);
+    end_without_copy(m, f->cause);
 }
 
 static const struct rk_upstream_ops move_ops = {
@@ -174,7 +174,7 @@
     struct rk_relay_call *x = m->x;
     const struct rk_dialect *d = x->r->opt.dialect;
     struct rk_buf head = {0}, body = {0};
-    d->move_order(x->id, to->row.addr, &body);
+    d->move_body(x->id, to->row.addr, &body);
     rk_buf_printf(&head,
                   "POST %s HTTP/1.1\r\nHost: %s\r\n"
                   "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n",
@@ -198,9 +198,9 @@
 /* Returns true if the stream can be moved and a move is worthwhile. */
 static bool can_move(const struct rk_relay_call *x)
 {
-    return x->service->moves && x->vm && x->vm->left_ms && x->up && x->begun &&
-           rk_mono_ms() - x->vm->left_ms >= MOVE_DELAY_MS && !x->move_tried &&
-           x->client && x->events.last_id[0];
+    return x->service->can_move_kv && x->vm && x->vm->leaving_since_ms && x->up &&
+           x->begun && rk_mono_ms() - x->vm->leaving_since_ms >= MOVE_DELAY_MS &&
+           !x->move_tried && x->client && x->events.last_id[0];
 }
 
 void rk_call_try_move(struct rk_relay_call *x)
--- a/serve/relay_signals.c
+++ b/serve/relay_signals.c
@@ -22,7 +22,7 @@
 static bool parse_limit(const struct rk_relay_call *x, const struct rk_head *head,
                         double *per_s)
 {
-    const char *name = x->r->opt.dialect->limit;
+    const char *name = x->r->opt.dialect->rate_limit;
     const char *text = rk_head_get(head, name);
     if (!text)
         return false;
@@ -64,10 +64,10 @@
     const struct rk_dialect *d = x->r->opt.dialect;
     const char *leaving = rk_head_get(head, d->leaving);
     struct rk_vm_said signals = {.leaving = leaving && atoi(leaving) > 0,
-                                 .rest_ms = parse_cooldown_ms(x, head)};
+                                 .cooldown_ms = parse_cooldown_ms(x, head)};
     signals.limited = parse_limit(x, head, &signals.limit_per_s);
     signals.unlimited =
-        !rk_head_get(head, d->limit) && rk_head_get(head, d->signature);
+        !rk_head_get(head, d->rate_limit) && rk_head_get(head, d->signature);
     return signals;
 }
 
@@ -82,7 +82,7 @@
         RK_EVENT("vm.says_leaving", RK_S("vm", id), RK_S("request", x->id));
     if (changed & RK_VM_REST_CHANGED)
         RK_EVENT("vm.rest", RK_S("vm", id), RK_S("request", x->id),
-                 RK_N("rest_ms", v->rest_until_ms - rk_mono_ms()));
+                 RK_N("rest_ms", v->cooldown_until_ms - rk_mono_ms()));
 }
 
 void rk_call_read_signals(struct rk_relay_call *x, const struct rk_head *head)
--- a/serve/relay_suspect.c
+++ b/serve/relay_suspect.c
@@ -158,8 +158,10 @@
     on_up(ctx);
 }
 
-static const struct rk_conn_ops check_ops = {
-    .on_up = on_up, .on_data = on_data, .on_eof = on_eof, .on_error = on_error};
+static const struct rk_conn_ops check_ops = {.on_connected = on_up,
+                                             .on_data = on_data,
+                                             .on_eof = on_eof,
+                                             .on_error = on_error};
 
 static void connect_to_vm(void *ctx)
 {
--- a/serve/traffic.h
+++ b/serve/traffic.h
@@ -32,8 +32,8 @@
      * rk_traffic_claim_decided() with the same ticket. local: the claim may be
      * granted from memory if the platform does not answer. Returns false if
      * control's queue is full; no decision follows. */
-    bool (*ask)(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard,
-                struct rk_claim_key key, bool local);
+    bool (*acquire)(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard,
+                    struct rk_claim_key key, bool local);
     /* Withdraws a request whose decision has not arrived. */
     void (*cancel)(void *ctx, unsigned thread, uint64_t ticket, uint32_t shard);
     /* Reports the outcome of a granted claim. answer may be NULL and is copied. */
@@ -80,8 +80,9 @@
     size_t exchanges_len;
     uint64_t next_id;
     struct rk_exchange **by_id; /* hash table of exchanges; NULL until first used */
-    _Atomic uint32_t spare;     /* free slots reported to peers; read by control */
-    int64_t spare_ms;           /* last update of spare, monotonic */
+    _Atomic uint32_t
+        spare_slots;  /* free slots reported to peers; read by control */
+    int64_t spare_ms; /* last update of spare, monotonic */
     struct rk_timer recheck_timer; /* runs while jobs are queued */
 };
 
--- a/services/attempt.c
+++ b/services/attempt.c
@@ -62,10 +62,10 @@
     if (a->is_mismatched)
         rk_count(RK_C_CROSSED, 1);
     struct rk_service_answer answer = {
-        .end = {.handed = res->handed,
+        .end = {.may_have_reached = res->may_have_reached,
                 .answered = !res->curl_code && !a->is_mismatched,
                 .http_status = (int)res->status,
-                .rest_ms = rk_attempt_rest_ms(res->status, a->retry_after_ms)},
+                .cooldown_ms = rk_attempt_rest_ms(res->status, a->retry_after_ms)},
         .content_type = a->content_type,
         .body = a->body.data ? a->body.data : "",
         .len = a->body.len,
@@ -79,7 +79,7 @@
 {
     struct rk_service_attempt *a = ctx;
     struct rk_service_answer answer = {
-        .end = {.handed = rk_http_cancel(a->req)},
+        .end = {.may_have_reached = rk_http_cancel(a->req)},
         .content_type = "",
         .body = "",
         .detail = "silent for too long",
@@ -97,7 +97,8 @@
     *a = (struct rk_service_attempt){.loop = loop,
                                      .fn = fn,
                                      .ctx = ctx,
-                                     .inactivity_timeout_ms = spec->silence_ms};
+                                     .inactivity_timeout_ms =
+                                         spec->inactivity_timeout_ms};
     a->body.max = ANSWER_MAX_BYTES;
     rk_strcpy(a->request_id, sizeof(a->request_id), spec->request_id);
     a->inactivity_timer = (struct rk_timer){.fn = on_inactivity, .ctx = a};
@@ -123,14 +124,14 @@
         .body = spec->body_len ? spec->body : NULL,
         .body_len = spec->body_len,
         .connect_timeout_ms = spec->connect_ms,
-        .once = spec->once,
+        .dedicated_conn = spec->non_repeatable,
         .handlers = {.on_header = on_header,
                      .on_data = on_data,
                      .on_done = on_done},
         .ctx = a,
     };
     a->req = rk_http_start(http, &http_spec);
-    rk_timer_start(loop, &a->inactivity_timer, spec->silence_ms);
+    rk_timer_start(loop, &a->inactivity_timer, spec->inactivity_timeout_ms);
     return a;
 }
 
--- a/services/attempt.h
+++ b/services/attempt.h
@@ -24,9 +24,10 @@
     const char *content_type; /* "" for none */
     const char *body;
     size_t body_len;
-    int64_t connect_ms; /* time-out of connecting */
-    int64_t silence_ms; /* time-out of the first body byte and between body bytes */
-    bool once;          /* not repeatable: use a new connection, never resend */
+    int64_t connect_ms;            /* time-out of connecting */
+    int64_t inactivity_timeout_ms; /* time-out of the first body byte and between
+                                      body bytes */
+    bool non_repeatable; /* not repeatable: use a new connection, never resend */
 };
 
 struct rk_service_answer {
--- a/services/upstream.c
+++ b/services/upstream.c
@@ -93,10 +93,11 @@
 static void fail_call(struct pooled_conn *c, int error, const char *what)
 {
     struct rk_upstream_call *call = c->call;
-    const struct rk_upstream_failure failure = {.sent = rk_upstream_sent(call),
+    const struct rk_upstream_failure failure = {.may_have_reached =
+                                                    rk_upstream_sent(call),
                                                 .reused = call->reused,
                                                 .error = error,
-                                                .what = what};
+                                                .cause = what};
     const struct rk_upstream_ops *ops = call->ops;
     void *ctx = call->ctx;
     c->call = NULL;
--- a/services/upstream.h
+++ b/services/upstream.h
@@ -22,10 +22,10 @@
 };
 
 struct rk_upstream_failure {
-    bool sent;        /* a byte of the request may have reached the VM */
-    bool reused;      /* the connection had served an earlier call */
-    int error;        /* errno; 0: closed by the VM too early, or invalid HTTP */
-    const char *what; /* description; valid during the callback */
+    bool may_have_reached; /* a byte of the request may have reached the VM */
+    bool reused;           /* the connection had served an earlier call */
+    int error;         /* errno; 0: closed by the VM too early, or invalid HTTP */
+    const char *cause; /* description; valid during the callback */
 };
 
 /* Exactly one of on_end() and on_fail() ends a call, unless it is cancelled. The
--- a/tests/prop_claims.cc
+++ b/tests/prop_claims.cc
@@ -110,7 +110,7 @@
     struct rk_claims_config cfg = {};
     cfg.owner = names[o->id];
     cfg.retention_ms = kRetentionMs;
-    cfg.patience_ms = 100;
+    cfg.claim_timeout_ms = 100;
     cfg.answer_bytes = 1000;
     cfg.max_tickets = 100;
     cfg.slot_keys = 3; // few, so that slots are sealed and the ring wraps
--- a/tests/prop_core.cc
+++ b/tests/prop_core.cc
@@ -31,14 +31,14 @@
 void verdicts_match_what_happened()
 {
     struct rk_attempt_end end = {};
-    end.handed = *rc::gen::arbitrary<bool>();
-    end.answered = end.handed && *rc::gen::arbitrary<bool>();
+    end.may_have_reached = *rc::gen::arbitrary<bool>();
+    end.answered = end.may_have_reached && *rc::gen::arbitrary<bool>();
     end.http_status = end.answered ? *rc::gen::element(200, 404, 429, 500, 503) : 0;
     struct rk_refusal_contract contract = {*rc::gen::arbitrary<bool>()};
     enum rk_verdict v = rk_verdict_of(&end, &contract);
     bool refusal = end.http_status == 429 || end.http_status == 503;
     RC_ASSERT((v == RK_NOT_RUN) ==
-              (!end.handed || (refusal && contract.refusal_not_run)));
+              (!end.may_have_reached || (refusal && contract.refusal_not_run)));
     RC_ASSERT(v != RK_RAN || (end.answered && !refusal));
     RC_ASSERT(!rk_verdict_allows_retry(v, false) || v == RK_NOT_RUN);
     RC_ASSERT(!rk_verdict_allows_retry(RK_RAN, true));
@@ -175,7 +175,7 @@
             rk_members_merge_vm(a.get(), &v, -1, r);
         }
         rk_members_delta(a.get(), mark, -1, r, &delta);
-        mark = delta.next_mark;
+        mark = delta.next_high_water;
         for (size_t i = 0; i < delta.vms_len; i++)
             rk_members_merge_vm(b.get(), rk_members_vm_at(a.get(), delta.vms[i]),
                                 -1, r);
@@ -298,7 +298,7 @@
 {
     struct rk_lease l = {};
     snprintf(l.holder, sizeof(l.holder), "h%d/%d", node, incarnation);
-    l.life_ms = 1000;
+    l.ttl_ms = 1000;
     return l;
 }
 
--- a/tests/prop_engine.cc
+++ b/tests/prop_engine.cc
@@ -26,7 +26,8 @@
 
     double first_ms(const rk_engine_load &load) const
     {
-        return fixed_ms + (load.unread + load.waiting / 2) / tokens_per_ms +
+        return fixed_ms +
+               (load.uncached_tokens + load.waiting_tokens / 2) / tokens_per_ms +
                load.running * running_ms;
     }
 };
@@ -118,7 +119,7 @@
     rk_engine_init(&e);
     const rk_engine_load load = {*rc::gen::inRange(0, 60000) * 1.0, 0, 0};
     rk_engine_forecast f = rk_engine_first(&e, &load);
-    RC_ASSERT(f.ms - 2 * f.doubt_ms <= 0);
+    RC_ASSERT(f.ms - 2 * f.std_error_ms <= 0);
 }
 
 // An estimate received from peers must be used until own calls replace it.
--- a/tests/prop_following.cc
+++ b/tests/prop_following.cc
@@ -176,10 +176,10 @@
     f.listed = true;
     f.ready = n.confirmed_ms >= 0;
     const int nodes_before = d->nodes_before(i);
-    f.before = nodes_before ? nodes_before : -1;
+    f.nodes_before = nodes_before ? nodes_before : -1;
     f.age_ms = f.ready ? d->now_ms - n.confirmed_ms : -1;
-    f.served = d->has_preceding_watch(i);
-    f.follows = n.watches;
+    f.has_preceding_watch = d->has_preceding_watch(i);
+    f.watches = n.watches;
     n.watches = rk_following_should(&f);
 }
 
--- a/tests/prop_fuzz.cc
+++ b/tests/prop_fuzz.cc
@@ -242,7 +242,7 @@
     cfg.owner = "a";
     cfg.retention_ms = 1000;
     cfg.max_tickets = 10;
-    cfg.patience_ms = 100;
+    cfg.claim_timeout_ms = 100;
     struct rk_claims *c = rk_claims_create(&cfg, &ops, nullptr);
     rk_claims_ask(c, 1, rk_claim_key_make("o", "s", "k", "/", "", 0), false, 1);
     rk_claims_tick(c, 1, 1);
@@ -266,7 +266,7 @@
     json_object *o = json_tokener_parse(without_nul(s).c_str());
     rk_vm_row row;
     if (rk_hosted_parse_vm("i-1", o, &row) == RK_OK) {
-        RC_ASSERT(row.slots >= 1 && row.cold_ms >= 0 && row.born_ms >= 0);
+        RC_ASSERT(row.slots >= 1 && row.cold_ms >= 0 && row.started_ms >= 0);
         RC_ASSERT(row.service[0] && row.domain[0] && row.version[0]);
         RC_ASSERT(row.leaves_in_ms >= -1);
     }
--- a/tests/prop_holding.cc
+++ b/tests/prop_holding.cc
@@ -29,17 +29,17 @@
         d.on_demand = *rc::gen::inRange(0, MAX_VMS / 2);
         d.booting = *rc::gen::inRange(0, MAX_VMS / 4);
         d.reclaimable = *rc::gen::inRange(0, MAX_VMS / 4);
-        d.closed = *rc::gen::arbitrary<bool>();
+        d.no_reclaimable = *rc::gen::arbitrary<bool>();
     }
     in.min_vms = *rc::gen::inRange(0, 3);
     in.max_vms = MAX_VMS;
     in.spot_price = *rc::gen::element(0.0, 0.2, 0.6, 1.0);
     in.need = *rc::gen::inRange(0, 1500) / 10.0;
-    in.need_now = in.need * *rc::gen::inRange(0, 11) / 10.0;
-    in.none = *rc::gen::arbitrary<bool>();
+    in.need_fast = in.need * *rc::gen::inRange(0, 11) / 10.0;
+    in.all_exhausted = *rc::gen::arbitrary<bool>();
     in.idle = *rc::gen::arbitrary<bool>();
-    in.settled = *rc::gen::arbitrary<bool>();
-    in.keep = *rc::gen::arbitrary<bool>();
+    in.may_shrink = *rc::gen::arbitrary<bool>();
+    in.keep_all = *rc::gen::arbitrary<bool>();
     return in;
 }
 
@@ -54,8 +54,8 @@
         RC_ASSERT(t[i].on_demand >= std::max(1, in.min_vms));
         RC_ASSERT(t[i].reclaimable >= 0);
         int reclaimable =
-            in.none ? std::min(t[i].reclaimable, in.domains[i].reclaimable)
-                    : t[i].reclaimable;
+            in.all_exhausted ? std::min(t[i].reclaimable, in.domains[i].reclaimable)
+                             : t[i].reclaimable;
         bool waits_for_replacement =
             t[i].on_demand <= in.domains[i].on_demand + in.domains[i].booting;
         RC_ASSERT(waits_for_replacement || t[i].on_demand + reclaimable <= MAX_VMS);
@@ -71,7 +71,7 @@
     rk_holding_target t[RK_HOLDING_DOMAINS];
     rk_holding_plan(&in, t);
     for (size_t i = 0; i < in.domains_len; i++)
-        if (in.domains[i].closed)
+        if (in.domains[i].no_reclaimable)
             RC_ASSERT(t[i].reclaimable <= in.domains[i].reclaimable);
 }
 
@@ -81,7 +81,7 @@
 {
     rk_holding_input in = any_input();
     rk_holding_target t[RK_HOLDING_DOMAINS];
-    in.settled = true;
+    in.may_shrink = true;
     bool unchanged = false;
     for (int step = 0; step < STEPS && !unchanged; step++) {
         rk_holding_plan(&in, t);
--- a/tests/prop_limits.cc
+++ b/tests/prop_limits.cc
@@ -128,7 +128,7 @@
     static rk_vm_signal unknown_signal()
     {
         rk_vm_signal v{};
-        v.life = INCARNATION;
+        v.incarnation = INCARNATION;
         std::strcpy(v.domain, VM_DOMAIN);
         return v;
     }
@@ -205,7 +205,7 @@
     {
         Node &n = nodes_[e.node];
         if (n.up && rk_vm_signal_merge(&n.signal, &e.update, now_)) {
-            n.signal.own = false;
+            n.signal.is_own = false;
             set_share(n);
         }
         record_limit_end();
@@ -262,7 +262,8 @@
     {
         int sent = 0;
         for (size_t i = 0; i < nodes_.size() && sent < 2; i++)
-            if (nodes_[i].up && nodes_[i].signal.limited && nodes_[i].signal.own) {
+            if (nodes_[i].up && nodes_[i].signal.limited &&
+                nodes_[i].signal.is_own) {
                 send_updates(i);
                 sent++;
             }
--- a/tests/prop_lives.cc
+++ b/tests/prop_lives.cc
@@ -26,7 +26,7 @@
     snprintf(row.addr, sizeof(row.addr), "10.0.%d.%d:80", id, incarnation);
     std::strcpy(row.service, "s");
     std::strcpy(row.domain, "z");
-    row.born_ms = 1000 + incarnation;
+    row.started_ms = 1000 + incarnation;
     row.slots = 4;
     row.leaving = leaving;
     row.leaves_in_ms = -1;
@@ -98,7 +98,7 @@
         for (const auto &[id, n] : newest) {
             const rk_vm_row expected = make_row(id, n.first, false);
             const rk_place_vm *vm = rk_place_find(p, expected.id);
-            RC_ASSERT(vm && vm->row.born_ms == expected.born_ms);
+            RC_ASSERT(vm && vm->row.started_ms == expected.started_ms);
             RC_ASSERT(std::string(vm->row.addr) == expected.addr);
             RC_ASSERT(vm->row.leaving == n.second);
         }
@@ -130,8 +130,9 @@
     for (Call &call : calls)
         rk_place_ended(p, call.vm, &call.job, RK_PLACE_LOST, 4);
     const rk_place_vm *vm = rk_place_find(p, current.id);
-    RC_ASSERT(vm->failures == 0 && vm->paused_until_ms == 0 && vm->running == 0);
-    RC_ASSERT(!vm->over && vm->pace.failed == 0);
+    RC_ASSERT(vm->losses_in_row == 0 && vm->paused_until_ms == 0 &&
+              vm->running == 0);
+    RC_ASSERT(!vm->superseded && vm->health.failed == 0);
     size_t rows = 0;
     for (const rk_place_vm *v = rk_place_vms(p); v; v = v->next)
         rows++;
--- a/tests/prop_rollout.cc
+++ b/tests/prop_rollout.cc
@@ -41,7 +41,7 @@
     more.timed = calls;
     more.log_sum = calls * *rc::gen::inRange(-20, 21) / 10.0;
     more.log_sq = more.log_sum * more.log_sum / (calls > 0 ? calls : 1);
-    rk_trial_add(&row->seen, &more);
+    rk_trial_add(&row->stats, &more);
 }
 
 rk_rollout_view any_view(int64_t now_ms, const rk_trial_rows *rows)
@@ -52,7 +52,7 @@
     v.new_vms = *rc::gen::inRange<size_t>(0, 60);
     v.new_domains = *rc::gen::inRange<size_t>(0, 4);
     v.old_running = *rc::gen::inRange(0, 3);
-    v.seen = rows;
+    v.canary_rows = rows;
     return v;
 }
 
@@ -93,16 +93,16 @@
     for (int i = 0; i < STEPS && r.rule.phase == RK_ROLLOUT_TRIAL; i++) {
         rk_trial_seen more = {};
         more.calls = more.timed = *rc::gen::inRange(0, 30);
-        rk_trial_add(&old_row->seen, &more);
+        rk_trial_add(&old_row->stats, &more);
         const rk_rollout_view v = any_view(now_ms, &rows);
         rk_rollout_step(&r, &v);
         const double allowed =
-            r.bounds.share * (old_row->seen.calls + new_row->seen.calls) +
+            r.bounds.share * (old_row->stats.calls + new_row->stats.calls) +
             r.bounds.slack;
-        if (r.rule.phase == RK_ROLLOUT_TRIAL && new_row->seen.calls >= allowed)
+        if (r.rule.phase == RK_ROLLOUT_TRIAL && new_row->stats.calls >= allowed)
             RC_ASSERT(r.rule.share == 0u);
         more.calls = more.timed = r.rule.share ? *rc::gen::inRange(0, 5) : 0;
-        rk_trial_add(&new_row->seen, &more);
+        rk_trial_add(&new_row->stats, &more);
         now_ms += 200;
     }
 }
@@ -115,7 +115,7 @@
     rk_rollout r = any_rollout(now_ms);
     static rk_trial_rows rows;
     rows.len = 0;
-    const int64_t ends_ms = r.begun_ms + r.order.duration_ms;
+    const int64_t ends_ms = r.ordered_ms + r.order.duration_ms;
     while (now_ms < ends_ms) {
         const rk_rollout_view v = any_view(now_ms, &rows);
         rk_rollout_step(&r, &v);
--- a/tests/test_bridges.c
+++ b/tests/test_bridges.c
@@ -249,8 +249,8 @@
 static double peer_units_of(const struct rk_mesh *m, const char *org)
 {
     double sum = 0;
-    for (size_t i = 0; i < m->news_len; i++)
-        sum += strcmp(m->news[i].org, org) ? 0 : m->news[i].units;
+    for (size_t i = 0; i < m->peer_uses_len; i++)
+        sum += strcmp(m->peer_uses[i].org, org) ? 0 : m->peer_uses[i].units;
     return sum;
 }
 
@@ -262,7 +262,7 @@
     (void)state;
     static struct fleet f;
     struct rk_org_use own[] = {{.org = "a", .units = 10}, {.org = "b", .units = 7}};
-    struct rk_relay_report report = {.uses = own, .uses_len = 2};
+    struct rk_relay_report report = {.quota_usage = own, .quota_usage_len = 2};
     fleet_init(&f);
     f.nodes[0].report = &report;
     receive_usage_digest(&f, 0, 1, "a", 10);
@@ -272,7 +272,7 @@
     receive_usage_digest(&f, 0, 1, "a", 40);
     assert_float_equal(peer_units_of(&f.meshes[0], "a"), 25, 0.001);
     assert_float_equal(peer_units_of(&f.meshes[0], "b"), 0, 0.001);
-    free(f.meshes[0].news);
+    free(f.meshes[0].peer_uses);
     fleet_free(&f);
 }
 
@@ -319,7 +319,7 @@
     receive_brief_digest(&f, 0, 1);
     receive_usage_digest(&f, 0, 1, "a", 100030);
     assert_float_equal(peer_units_of(&f.meshes[0], "a"), 30, 0.001);
-    free(f.meshes[0].news);
+    free(f.meshes[0].peer_uses);
     fleet_free(&f);
 }
 
@@ -356,11 +356,11 @@
         r.n_uses = 1;
         rk_report_take(rk_mesh_learn(&f.meshes[0], id, addr), &r);
         double counted = 0;
-        for (size_t j = 0; j < f.meshes[0].news_len; j++)
-            counted += f.meshes[0].news[j].units;
+        for (size_t j = 0; j < f.meshes[0].peer_uses_len; j++)
+            counted += f.meshes[0].peer_uses[j].units;
         assert_true(counted == reports[i].counted);
     }
-    free(f.meshes[0].news);
+    free(f.meshes[0].peer_uses);
     rk_tally_free(&f.meshes[0].domain_uses);
     rk_tally_free(&f.meshes[0].fleet_uses);
     fleet_free(&f);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -69,7 +69,7 @@
 {
     const struct rk_engine_estimate learnt = {.fixed_ms = 75,
                                               .ktoken_ms = 31,
-                                              .calm_ktoken_ms = 31,
+                                              .unloaded_ktoken_ms = 31,
                                               .running_ms = 0.5,
                                               .error_ms = 20,
                                               .samples = 1000};
@@ -148,10 +148,10 @@
     uint32_t kind = rk_rng_below(&f->rng, 3), subject = rk_rng_below(&f->rng, 900);
     struct rk_place_query q = {.service = "llm", .engine = true};
     char parts[128];
-    q.request = rk_rng_next(&f->rng);
-    q.tokens_in = shared[kind] + own[kind];
+    q.request_hash = rk_rng_next(&f->rng);
+    q.prompt_tokens = shared[kind] + own[kind];
     snprintf(parts, sizeof(parts), "s%u-%u:%d,own%llx:%d", kind, subject,
-             shared[kind], (unsigned long long)q.request, own[kind]);
+             shared[kind], (unsigned long long)q.request_hash, own[kind]);
     rk_place_parse_parts(&q, parts);
     return q;
 }
@@ -207,7 +207,7 @@
     double slowdown = faulty && f->fault == SLOW ? 5 : 1;
     if (e->busy_until_ms < (double)now_ms)
         e->busy_until_ms = (double)now_ms;
-    e->busy_until_ms += c->job.load.unread / READ_PER_MS * slowdown;
+    e->busy_until_ms += c->job.load.uncached_tokens / READ_PER_MS * slowdown;
     e->running++;
     double first_ms = e->busy_until_ms + FIXED_MS * slowdown;
     second->calls++;
@@ -226,10 +226,10 @@
 {
     sum->running += (uint32_t)sign * more->running;
     sum->waiting_tokens += sign * more->waiting_tokens;
-    sum->pace.log_sum += sign * more->pace.log_sum;
-    sum->pace.failed += sign * more->pace.failed;
-    sum->pace.calls += sign * more->pace.calls;
-    sum->pace.refused += sign * more->pace.refused;
+    sum->health.log_sum += sign * more->health.log_sum;
+    sum->health.failed += sign * more->health.failed;
+    sum->health.calls += sign * more->health.calls;
+    sum->health.refused += sign * more->health.refused;
 }
 
 /* Each node gets the sums over all nodes of calls in flight, as of a period ago. */
--- a/tests/test_holding.c
+++ b/tests/test_holding.c
@@ -24,7 +24,7 @@
         .min_vms = 1,
         .max_vms = 6,
         .spot_price = 0.2,
-        .settled = true};
+        .may_shrink = true};
 }
 
 static int total_of(const struct rk_holding_target *targets, bool reclaimable)
@@ -66,8 +66,9 @@
     struct rk_holding_target t[RK_HOLDING_DOMAINS];
     struct rk_holding_input in = {
         .domains_len = 5, .min_vms = 61, .max_vms = 3879, .spot_price = 0.22};
-    in.need = in.need_now = fmin(9695, rk_holding_most(333 * 18000.0, reads_per_s));
-    in.idle = in.settled = true;
+    in.need = in.need_fast =
+        fmin(9695, rk_holding_most(333 * 18000.0, reads_per_s));
+    in.idle = in.may_shrink = true;
     for (size_t i = 0; i < in.domains_len; i++)
         in.domains[i] = (struct rk_holding_domain){.price = 1, .on_demand = 1939};
     rk_holding_plan(&in, t);
@@ -92,23 +93,23 @@
     struct rk_holding_input in = three_domain_input();
     for (int i = 0; i < 3; i++)
         in.domains[i].reclaimable = 0;
-    in.need = in.need_now = 7.5;
+    in.need = in.need_fast = 7.5;
     in.max_vms = 4; /* the missing reclaimable VMs must not count */
     rk_holding_plan(&in, t);
     assert_int_equal(total_of(t, false), 3); /* reclaimable VMs are on order */
-    in.none = true;
+    in.all_exhausted = true;
     rk_holding_plan(&in, t);
     assert_int_equal(total_of(t, false), 6);
     assert_int_equal(t[0].on_demand, 4); /* in the cheapest domain */
     in.domains[0].on_demand = 4;
-    in.none = false;
+    in.all_exhausted = false;
     rk_holding_plan(&in, t);
     assert_int_equal(t[0].on_demand, 4); /* nothing replaces them yet */
     in.domains[0].reclaimable = in.domains[1].reclaimable = 2;
     in.domains[2].reclaimable = 1; /* one is missing */
     rk_holding_plan(&in, t);
     assert_int_equal(t[0].on_demand, 3);
-    in.settled = false;
+    in.may_shrink = false;
     rk_holding_plan(&in, t);
     assert_int_equal(t[0].on_demand, 4);
     in.idle = true;
@@ -122,8 +123,8 @@
     (void)state;
     struct rk_holding_target t[RK_HOLDING_DOMAINS];
     struct rk_holding_input in = three_domain_input();
-    in.need = in.need_now = 7.5;
-    in.settled = false;
+    in.need = in.need_fast = 7.5;
+    in.may_shrink = false;
     in.domains[0].on_demand = 4;
     for (int i = 0; i < 3; i++)
         in.domains[i].reclaimable = 2;
@@ -139,7 +140,7 @@
     struct rk_holding_target t[RK_HOLDING_DOMAINS];
     struct rk_holding_input in = three_domain_input();
     in.max_vms = 40;
-    in.need = in.need_now = 45;
+    in.need = in.need_fast = 45;
     for (int i = 0; i < 3; i++) {
         in.domains[i].on_demand = 20;
         in.domains[i].reclaimable = 14;
@@ -317,8 +318,8 @@
                                   .max_vms = 40,
                                   .spot_price = SPOT_PRICE,
                                   .need = NEEDED_VMS,
-                                  .need_now = NEEDED_VMS,
-                                  .settled = c->now_ms - c->reduced_ms >= 4000};
+                                  .need_fast = NEEDED_VMS,
+                                  .may_shrink = c->now_ms - c->reduced_ms >= 4000};
     struct rk_holding_target t[RK_HOLDING_DOMAINS];
     for (int i = 0; i < 3; i++) {
         struct rk_holding_domain *d = &in.domains[i];
@@ -327,9 +328,9 @@
                                         .reclaimable = count_vms(c, i, true, true)};
         d->booting = count_vms(c, i, false, false) - d->on_demand;
         rk_reclaims_seen(&c->reclaims[i], d->reclaimable, c->granted[i], c->now_ms);
-        d->closed = !rk_reclaims_may_ask(&c->reclaims[i], c->now_ms);
+        d->no_reclaimable = !rk_reclaims_may_ask(&c->reclaims[i], c->now_ms);
     }
-    in.none = rk_reclaims_none(c->reclaims, 3);
+    in.all_exhausted = rk_reclaims_none(c->reclaims, 3);
     rk_holding_plan(&in, t);
     for (int i = 0; i < 3; i++) {
         if (t[i].on_demand < in.domains[i].on_demand)
--- a/tests/test_hosted.c
+++ b/tests/test_hosted.c
@@ -308,7 +308,7 @@
         assert_string_equal(out.data, "id: 1\ndata: a\n\n|id:22\r\ndata: b\r\n\r\n|"
                                       ": comment\n\n|data: no id\n\n|");
         assert_string_equal(e.last_id, "22");
-        assert_int_equal(e.part.len, strlen("id: 3\ndata: half"));
+        assert_int_equal(e.partial.len, strlen("id: 3\ndata: half"));
         rk_events_restart(&e);
         rk_events_feed(&e, "id: 4\n\n", 7, collect_event, &out);
         assert_string_equal(e.last_id, "4");
--- a/tests/test_org_uses.c
+++ b/tests/test_org_uses.c
@@ -33,12 +33,13 @@
 static void run_calls(struct node *n)
 {
     for (int i = 0; i < ORGS; i++)
-        n->uses[i].asking *= 0.78; /* decay of a rate smoothed over a second */
+        n->uses[i].demand_per_s *=
+            0.78; /* decay of a rate smoothed over a second */
     if (rk_rng_below(&n->rng, 8))
         return;
     struct rk_org_use *use = &n->uses[rk_rng_below(&n->rng, ORGS)];
     use->units += rk_rng_below(&n->rng, 20) ? UNITS_PER_CALL : -UNITS_PER_CALL;
-    use->asking += UNITS_PER_CALL;
+    use->demand_per_s += UNITS_PER_CALL;
 }
 
 /* Sends a report with the changed rows to a bridge or, if all is set, one with each
@@ -55,7 +56,7 @@
         if (!changed && !(all && use->units != 0))
             continue;
         *increase += rk_org_uses_rise(bridge, use->org, use->units);
-        rk_org_uses_at(bridge, use->org)->asking = use->asking;
+        rk_org_uses_at(bridge, use->org)->demand_per_s = use->demand_per_s;
         rows++;
     }
     return rows;
@@ -86,9 +87,9 @@
         for (int j = 0; j < ORGS; j++) {
             const struct rk_org_use *received =
                 rk_org_use_find(bridge.rows, bridge.len, n.uses[j].org);
-            double demand = received ? received->asking : 0;
-            assert_true(n.uses[j].asking - demand < 1.0);
-            assert_true(demand <= n.uses[j].asking);
+            double demand = received ? received->demand_per_s : 0;
+            assert_true(n.uses[j].demand_per_s - demand < 1.0);
+            assert_true(demand <= n.uses[j].demand_per_s);
         }
     }
     assert_true(increase == total_units(&n));
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -38,7 +38,7 @@
 static struct rk_place_query engine_query(const char *segments, double tokens)
 {
     struct rk_place_query q = {
-        .service = "llm", .engine = true, .tokens_in = tokens};
+        .service = "llm", .engine = true, .prompt_tokens = tokens};
     rk_place_parse_parts(&q, segments);
     return q;
 }
@@ -207,7 +207,7 @@
             }
             if (action == 1 && !listed_rows[i].id[0]) {
                 listed_rows[i] = (struct rk_vm_row){.service = "llm",
-                                                    .born_ms = round + 1,
+                                                    .started_ms = round + 1,
                                                     .slots = 4,
                                                     .leaves_in_ms = -1};
                 snprintf(listed_rows[i].id, sizeof(listed_rows[i].id), "vm-%d", i);
@@ -215,7 +215,7 @@
             if (action == 2 && listed_rows[i].id[0])
                 listed_rows[i].leaving = true;
             if (action == 3 && listed_rows[i].id[0])
-                listed_rows[i].born_ms = round + 1; /* a new incarnation */
+                listed_rows[i].started_ms = round + 1; /* a new incarnation */
             if (listed_rows[i].id[0])
                 list[len++] = listed_rows[i];
             if (listed_rows[i].id[0] &&
@@ -231,7 +231,7 @@
             assert_non_null(other);
             assert_true(other->listed == v->listed && other->hash == v->hash);
             assert_true(other->row.leaving == v->row.leaving);
-            assert_true(other->row.born_ms == v->row.born_ms);
+            assert_true(other->row.started_ms == v->row.started_ms);
             count++;
         }
         for (const struct rk_place_vm *v = rk_place_vms(incremental); v;
@@ -329,7 +329,7 @@
     struct rk_place_job job;
     struct rk_place_vm *preferred = rk_place_choose(p, &q, 1000, &forecast);
     rk_place_sent(p, preferred, &q, 1000, &job);
-    assert_true(job.load.unread < 1000);
+    assert_true(job.load.uncached_tokens < 1000);
     rk_place_destroy(p);
 }
 
@@ -470,7 +470,7 @@
 static void a_refusal_with_a_cooldown_has_no_other_effect(void **state)
 {
     (void)state;
-    const struct rk_vm_said cooldown = {.rest_ms = 1000};
+    const struct rk_vm_said cooldown = {.cooldown_ms = 1000};
     struct rk_vm_row rows[3];
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000,bb:100", 4100);
@@ -518,7 +518,7 @@
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000", 4000);
     struct rk_engine_forecast forecast;
-    rows[0].born_ms = 1;
+    rows[0].started_ms = 1;
     rk_place_set_vms(p, rows, 3, 500);
     rk_place_set_vms(p, rows, 0, 600); /* nothing was advertised yet */
     rk_place_set_vms(p, rows, 3, 700);
@@ -529,7 +529,7 @@
     rk_place_set_vms(p, rows, 3, 1700);
     assert_null(rk_place_choose(p, &q, 1800, &forecast));
     assert_true(rk_place_wait_ms(p, &q, 1800) > 0);
-    rows[0].born_ms = 5; /* another incarnation */
+    rows[0].started_ms = 5; /* another incarnation */
     rk_place_set_vms(p, rows, 3, 1900);
     assert_string_equal(rk_place_choose(p, &q, 1900, &forecast)->row.id, "vm-a");
     assert_int_equal(rk_place_wait_ms(p, &q, 1900), 0);
@@ -567,7 +567,7 @@
     struct rk_vm_row rows[3];
     struct rk_place *p = rk_place_create("here", 1);
     struct rk_place *other = create_with_three_vms(rows);
-    const struct rk_vm_signal update = {.life = rk_vm_life(&rows[1]),
+    const struct rk_vm_signal update = {.incarnation = rk_vm_life(&rows[1]),
                                         .leaving = true};
     rk_place_set_signals(p, &update, 1, 100);
     rk_place_set_signals(other, &update, 1, 100);
@@ -584,7 +584,7 @@
 static void a_vm_gets_no_calls_until_its_cooldown_ends(void **state)
 {
     (void)state;
-    const struct rk_vm_said cooldown = {.rest_ms = 3000};
+    const struct rk_vm_said cooldown = {.cooldown_ms = 3000};
     struct rk_vm_row rows[3];
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000", 4000);
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -88,7 +88,7 @@
     (void)state;
     SCOPED struct rk_quota q = single_node_quota(0);
     q.nodes_total = 4;
-    q.nodes_heard = 1;
+    q.nodes_reachable = 1;
     assert_in_range((int)admit_each_step(&q, 100, 100, 100000, 108000, 10, 1), 215,
                     226);
 }
@@ -103,7 +103,7 @@
         SCOPED struct rk_quota q = single_node_quota(0);
         q.overrun = 0.1;
         q.nodes_total = 7;
-        q.nodes_heard = side;
+        q.nodes_reachable = side;
         struct rk_quota_answer decision;
         assert_true(rk_quota_admit(&q, "org", 100, 100, 1, 100000, &decision));
         assert_true(decision.limit > 900.0 * side / 7);
@@ -318,7 +318,7 @@
     for (int i = 0; i < nodes; i++) {
         struct rk_quota *q = &f->node[i].q;
         rk_quota_init(q, WINDOW_MS, slack, 0);
-        q->nodes_heard = q->nodes_total = nodes;
+        q->nodes_reachable = q->nodes_total = nodes;
         q->lag_ms = REPORT_AGE_MS;
         q->rng.state = (uint64_t)i + 1;
     }
@@ -377,7 +377,7 @@
             continue;
         double peers = f->total[then] - n->past_own[at];
         rk_quota_add(&n->q, "org", peers - n->reported, 100000 + step * STEP_MS);
-        n->q.orgs[0].peers_asking = f->demand[then] - n->past_demand[at];
+        n->q.orgs[0].peers_demand = f->demand[then] - n->past_demand[at];
         n->reported = peers;
     }
 }
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -139,9 +139,9 @@
         rk_trial_row_at(&w->results, route_name, domains[domain], is_new);
     bool fails = uniform(w) < failing;
     if (fails)
-        rk_trial_note_failure(&row->seen, false);
+        rk_trial_note_failure(&row->stats, false);
     else
-        rk_trial_note_time(&row->seen,
+        rk_trial_note_time(&row->stats,
                            100 * exp(normal(w) * w->service->spread) *
                                (bad ? w->version->slowdown : 1),
                            100);
@@ -221,7 +221,7 @@
         .new_vms = now_ms >= 1000 ? (size_t)w->service->vms : 0,
         .new_domains = DOMAINS,
         .old_running = now_ms - st->r.phase_ms < 1000,
-        .seen = received};
+        .canary_rows = received};
     rk_rollout_step(&st->r, &view);
     *share = st->r.rule.share;
     *vms = st->r.rule.vms;
@@ -237,8 +237,8 @@
 {
     *sum = (struct rk_trial_seen){0};
     for (size_t i = 0; i < t->len; i++)
-        if (t->rows[i].tried == is_new)
-            rk_trial_add(sum, &t->rows[i].seen);
+        if (t->rows[i].of_new_version == is_new)
+            rk_trial_add(sum, &t->rows[i].stats);
 }
 
 static void fixed_steps(struct strategy *st, struct world *w,
@@ -442,9 +442,9 @@
     struct rk_trial_row *old = rk_trial_row_at(&rows, "r", "a", false);
     struct rk_trial_row *new = rk_trial_row_at(&rows, "r", "a", true);
     for (int i = 0; i < 100; i++)
-        rk_trial_note_time(&old->seen, 50, 50);
+        rk_trial_note_time(&old->stats, 50, 50);
     for (int i = 0; i < 12; i++)
-        rk_trial_note_failure(&new->seen, false);
+        rk_trial_note_failure(&new->stats, false);
     assert_int_equal(rk_trial_judge(&rows, 1).verdict, RK_TRIAL_BAD);
     assert_int_equal(rk_trial_judge(&rows, 2).verdict, RK_TRIAL_SUSPECT);
 }
@@ -462,9 +462,9 @@
     struct rk_trial_row *old = rk_trial_row_at(&rows, "r", "a", false);
     struct rk_trial_row *new = rk_trial_row_at(&rows, "r", "a", true);
     for (int i = 0; i < 20; i++)
-        rk_trial_note_time(&old->seen, 50, 50);
+        rk_trial_note_time(&old->stats, 50, 50);
     for (int i = 0; i < 11; i++)
-        rk_trial_note_time(&new->seen, 50, 50);
+        rk_trial_note_time(&new->stats, 50, 50);
     rk_rollout_begin(&r, &order, &bounds, 0, 0);
     for (int64_t now_ms = 0; now_ms < 2 * duration_ms; now_ms += STEP_MS) {
         const struct rk_rollout_view view = {.now_ms = now_ms,
@@ -472,7 +472,7 @@
                                              .new_vms = 3,
                                              .new_domains = DOMAINS,
                                              .old_running = 1,
-                                             .seen = &rows};
+                                             .canary_rows = &rows};
         rk_rollout_step(&r, &view);
         assert_int_not_equal(r.rule.phase, RK_ROLLOUT_GIVEN_BACK);
         if (r.rule.phase == RK_ROLLOUT_TAKEN)
@@ -507,7 +507,7 @@
     const struct rk_rollout_order order = {.service = "s", .version = "v2"};
     const struct rk_rollout_bounds bounds = {.share = 0.1, .slack = 50};
     const struct rk_rollout_view view = {
-        .old_vms = 3, .new_vms = 3, .new_domains = 3, .seen = &seen};
+        .old_vms = 3, .new_vms = 3, .new_domains = 3, .canary_rows = &seen};
     struct rk_rollout r = {0};
     rk_rollout_begin(&r, &order, &bounds, 0, 0);
     rk_rollout_step(&r, &view);
--- a/tests/test_vm_signals.c
+++ b/tests/test_vm_signals.c
@@ -16,7 +16,7 @@
 static const struct rk_vm_said no_limit = {.unlimited = true};
 static const struct rk_vm_said ten_per_s = {.limited = true, .limit_per_s = 10};
 static const struct rk_vm_said leaves = {.leaving = true};
-static const struct rk_vm_said cooldown = {.rest_ms = 3000};
+static const struct rk_vm_said cooldown = {.cooldown_ms = 3000};
 
 static struct rk_vm_signals table;
 
@@ -42,7 +42,7 @@
     assert_int_equal(rk_vm_signal_hear(v, &ten_per_s, 10), RK_VM_LIMIT_CHANGED);
     assert_true(v->limited);
     assert_int_equal(rk_vm_signal_hear(v, &ten_per_s, 20), 0);
-    assert_int_equal(v->limit_ms, 20);
+    assert_int_equal(v->limit_confirmed_ms, 20);
     assert_int_equal(rk_vm_signal_hear(v, &no_limit, 30), RK_VM_LIMIT_CHANGED);
     assert_false(v->limited);
 }
@@ -116,7 +116,7 @@
     struct rk_vm_signal *v = limited_row(10, 1, 200);
     assert_int_equal(rk_vm_signal_merge(v, &update, 300), 0);
     assert_true(v->limit_per_s == 10);
-    update.limit_ms = 250;
+    update.limit_confirmed_ms = 250;
     update.limited = false;
     update.limit_per_s = 0;
     assert_int_equal(rk_vm_signal_merge(v, &update, 300), RK_VM_LIMIT_CHANGED);
@@ -132,7 +132,7 @@
     const double limits[] = {0.2, 1, 2.9, 6, 50};
     const int expected[] = {3, 4, 5, 6, 6};
     for (size_t l = 0; l < RK_ARRAY_LEN(limits); l++) {
-        const struct rk_vm_signal v = {.life = INCARNATION,
+        const struct rk_vm_signal v = {.incarnation = INCARNATION,
                                        .limit_per_s = limits[l]};
         int sharing = 0;
         for (size_t i = 0; i < RK_ARRAY_LEN(nodes); i++) {
@@ -166,11 +166,11 @@
 static void the_latest_end_of_cooldowns_counts(void **state)
 {
     (void)state;
-    const struct rk_vm_said shorter_cooldown = {.rest_ms = 100};
+    const struct rk_vm_said shorter_cooldown = {.cooldown_ms = 100};
     struct rk_vm_signal *v = get_row(0);
     assert_int_equal(rk_vm_signal_hear(v, &cooldown, 10), RK_VM_REST_CHANGED);
     assert_int_equal(rk_vm_signal_hear(v, &shorter_cooldown, 20), 0);
-    assert_int_equal(v->rest_until_ms, 3010);
+    assert_int_equal(v->cooldown_until_ms, 3010);
 }
 
 /* Guards against rows that are kept forever or removed too early: they expire two
@@ -178,7 +178,7 @@
 static void rows_expire_after_two_minutes_and_any_cooldown(void **state)
 {
     (void)state;
-    const struct rk_vm_said long_cooldown = {.rest_ms = 10 * MINUTE_MS};
+    const struct rk_vm_said long_cooldown = {.cooldown_ms = 10 * MINUTE_MS};
     rk_vm_signal_hear(get_row(0), &leaves, 0);
     rk_vm_signals_forget(&table, 2 * MINUTE_MS);
     assert_non_null(rk_vm_signals_find(&table, INCARNATION));
--- a/tests/test_vms.c
+++ b/tests/test_vms.c
@@ -47,7 +47,7 @@
     assert_string_equal(row.domain, "z");
     assert_int_equal(row.slots, 6);
     assert_false(row.leaving);
-    assert_true(row.born_ms == 1764740000000);
+    assert_true(row.started_ms == 1764740000000);
     assert_int_equal(row.leaves_in_ms, -1);
 }
 
@@ -56,7 +56,7 @@
 {
     (void)state;
     assert_int_equal(parse_with("born", NULL), RK_OK);
-    assert_int_equal(row.born_ms, 0);
+    assert_int_equal(row.started_ms, 0);
     assert_int_equal(parse_with("leaves_ms", "1500.5"), RK_OK);
     assert_int_equal(row.leaves_in_ms, 1500);
     assert_int_equal(parse_with("spot", "true"), RK_OK);
--- a/tools/digest_slopes.c
+++ b/tools/digest_slopes.c
@@ -84,10 +84,11 @@
 static struct rk_relay_report *make_report(const struct digest_input *in)
 {
     struct rk_relay_report *r = rk_alloc(1, sizeof(*r));
-    r->uses = rk_alloc(ORGS, sizeof(*r->uses));
-    r->uses_len = ORGS;
+    r->quota_usage = rk_alloc(ORGS, sizeof(*r->quota_usage));
+    r->quota_usage_len = ORGS;
     for (int i = 0; i < ORGS; i++)
-        rk_strcpy(r->uses[i].org, sizeof(r->uses[i].org), in->orgs[i]);
+        rk_strcpy(r->quota_usage[i].org, sizeof(r->quota_usage[i].org),
+                  in->orgs[i]);
     return r;
 }
 
@@ -124,7 +125,7 @@
     }
     double us = (cpu_us() - start) / ITERATIONS;
     rk_mesh_free_members(m);
-    free(m->news);
+    free(m->peer_uses);
     free(m);
     rk_relay_report_free(n->report);
     free(n);
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -167,11 +167,11 @@
                  !strcmp(self->domain, rk_members_self(b->m)->domain));
     rows.gossip.from = (char *)self->id;
     rows.gossip.from_addr = (char *)self->control_addr;
-    rows.gossip.head = self->head;
+    rows.gossip.head = self->applied_version;
     /* 3 bytes: tag and length of the gossip message in its frame. */
     a->bytes +=
         rillknot__gossip__get_packed_size(&rows.gossip) + FRAME_HEADER_BYTES + 3;
-    a->sent_marks[to] = delta.next_mark;
+    a->sent_marks[to] = delta.next_high_water;
     if (!b->dead)
         deliver(b, &rows, self->id, now);
     rk_rows_free(&rows);
@@ -282,7 +282,7 @@
     for (int i = 0; i < nodes_len; i++) {
         rk_members_delta(nodes[i].m, 0, -1, 0, &delta);
         for (int k = 0; k < nodes_len; k++)
-            nodes[i].sent_marks[k] = delta.next_mark;
+            nodes[i].sent_marks[k] = delta.next_high_water;
     }
 }
 
