--- a/callers/callers.c
+++ b/callers/callers.c
@@ -24,9 +24,9 @@
 #define STREAM_BLOCK_BYTES      4096 /* bytes that MHD reads at a time */
 #define HEADER_VALUE_MAX        64
 
-struct rk_callers {
+struct rk_frontend {
     struct rk_traffic *t;
-    struct rk_callers_options opt;
+    struct rk_frontend_options opt;
     struct MHD_Daemon *daemon;
     int epoll_fd;
     struct rk_timer timer; /* runs MHD for its time-outs and resumed connections */
@@ -37,7 +37,7 @@
 
 /* A caller's request and its response. MHD's per-request pointer refers to it. */
 struct caller_request {
-    struct rk_callers *c;
+    struct rk_frontend *c;
     struct MHD_Connection *mhd;
     struct rk_request req;
     struct rk_buf body;
@@ -47,7 +47,7 @@
     bool answer_ended; /* the response is complete, or was given up */
     struct rk_exchange *exchange; /* NULL before its start and after its end */
     int status;
-    char content_type[RK_CTYPE_MAX];
+    char content_type[RK_CONTENT_TYPE_MAX];
     struct rk_buf pending; /* of the response; MHD has read up to pending_pos */
     size_t pending_pos;
     struct rk_outcome outcome;
@@ -58,7 +58,7 @@
 
 static void run_mhd(void *ctx)
 {
-    struct rk_callers *c = ctx;
+    struct rk_frontend *c = ctx;
     MHD_run(c->daemon);
     MHD_UNSIGNED_LONG_LONG ms;
     if (MHD_get_timeout(c->daemon, &ms) == MHD_YES)
@@ -91,7 +91,7 @@
 
 /* ---- the exchange's answer sink ---- */
 
-static void on_answer_piece(void *ctx, const struct rk_part *part)
+static void on_answer_piece(void *ctx, const struct rk_answer_piece *part)
 {
     struct caller_request *k = ctx;
     k->status = part->status;
@@ -125,7 +125,7 @@
     }
     rk_buf_addstr(&k->pending, k->outcome.resume ? "event: resume\ndata: "
                                                  : "event: error\ndata: ");
-    rk_page_problem(&k->pending, &k->outcome, k->req.id);
+    rk_problem_render(&k->pending, &k->outcome, k->req.id);
     rk_buf_addstr(&k->pending, "\n\n");
 }
 
@@ -149,15 +149,15 @@
         k->status = o->status;
         rk_strcpy(k->content_type, sizeof(k->content_type),
                   "application/problem+json");
-        rk_page_problem(&k->pending, &k->outcome, k->req.id);
+        rk_problem_render(&k->pending, &k->outcome, k->req.id);
     }
     k->answer_ended = true;
     k->can_answer = true;
     resume_connection(k);
 }
 
-static const struct rk_sink answer_sink = {.on_answer_piece = on_answer_piece,
-                                           .on_answer_end = on_answer_end};
+static const struct rk_answer_sink answer_sink = {
+    .on_answer_piece = on_answer_piece, .on_answer_end = on_answer_end};
 
 /* ---- responses ---- */
 
@@ -251,7 +251,7 @@
 static enum MHD_Result reject_request(struct caller_request *k, int status,
                                       const char *detail)
 {
-    rk_count(RK_C_BAD_INPUT, 1);
+    rk_counter_add(RK_C_BAD_INPUT, 1);
     /* An earlier request with the same key may have been valid and have run. */
     bool keyed = lookup_header(k, "Idempotency-Key") != NULL;
     const struct rk_outcome o = {.status = status,
@@ -270,17 +270,17 @@
     (void)kind;
     struct rk_buf *b = cls;
     rk_buf_addstr(b, b->len ? "&" : "?");
-    rk_parse_escape(b, key);
+    rk_percent_encode(b, key);
     if (value) {
         rk_buf_addstr(b, "=");
-        rk_parse_escape(b, value);
+        rk_percent_encode(b, value);
     }
     return MHD_YES;
 }
 
 static enum MHD_Result start_exchange(struct caller_request *k)
 {
-    struct rk_callers *c = k->c;
+    struct rk_frontend *c = k->c;
     k->exchange_started = true;
     k->req.body = k->body.data;
     k->req.body_len = k->body.len;
@@ -313,7 +313,7 @@
     struct rk_buf query = {0};
     MHD_get_connection_values(k->mhd, MHD_GET_ARGUMENT_KIND, append_query_arg,
                               &query);
-    enum rk_parse p = rk_parse_request(
+    enum rk_parse_result p = rk_parse_request(
         &k->req, method, url, query.data ? query.data : "", lookup_header, k);
     rk_buf_free(&query);
     snprintf(k->req.id, sizeof(k->req.id), "%s-%" PRIu64, k->c->opt.id_prefix,
@@ -324,7 +324,7 @@
         return MHD_YES; /* MHD reads the body next */
     case RK_PARSE_PAGE:
         return serve_page(k, url);
-    case RK_PARSE_BAD:
+    case RK_PARSE_MALFORMED:
         return reject_request(k, 400, rk_last_error());
     }
     return MHD_NO;
@@ -338,7 +338,7 @@
                                            size_t *len, void **request_slot)
 {
     (void)version;
-    struct rk_callers *c = cls;
+    struct rk_frontend *c = cls;
     struct caller_request *k = *request_slot;
     if (!k) {
         k = rk_alloc(1, sizeof(*k));
@@ -376,7 +376,7 @@
 {
     (void)mhd;
     (void)code;
-    struct rk_callers *c = cls;
+    struct rk_frontend *c = cls;
     struct caller_request *k = *request_slot;
     if (!k)
         return;
@@ -392,15 +392,15 @@
 
 /* ---- creation ---- */
 
-struct rk_callers *rk_callers_create(struct rk_traffic *t,
-                                     const struct rk_callers_options *opt)
+struct rk_frontend *rk_frontend_create(struct rk_traffic *t,
+                                       const struct rk_frontend_options *opt)
 {
     struct sockaddr_in addr;
     if (!rk_addr_parse(opt->listen_addr, &addr)) {
         rk_fail(RK_EINVAL, "%s: expected ip:port", opt->listen_addr);
         return NULL;
     }
-    struct rk_callers *c = rk_alloc(1, sizeof(*c));
+    struct rk_frontend *c = rk_alloc(1, sizeof(*c));
     c->t = t;
     c->opt = *opt;
     c->timer = (struct rk_timer){.fn = run_mhd, .ctx = c};
@@ -425,7 +425,7 @@
     return c;
 }
 
-void rk_callers_destroy(struct rk_callers *c)
+void rk_frontend_destroy(struct rk_frontend *c)
 {
     if (!c)
         return;
@@ -435,12 +435,12 @@
     free(c);
 }
 
-uint16_t rk_callers_port(const struct rk_callers *c)
+uint16_t rk_frontend_port(const struct rk_frontend *c)
 {
     return c->port;
 }
 
-size_t rk_callers_open(const struct rk_callers *c)
+size_t rk_frontend_active_requests(const struct rk_frontend *c)
 {
     return c->requests_len;
 }
--- a/callers/callers.h
+++ b/callers/callers.h
@@ -20,10 +20,10 @@
 #include <stddef.h>
 #include <stdint.h>
 
-struct rk_callers;
+struct rk_frontend;
 struct rk_traffic;
 
-struct rk_callers_options {
+struct rk_frontend_options {
     const char *listen_addr; /* "ip:port"; the kernel chooses the port if it is 0 */
     const char *id_prefix;   /* start of request ids; unique to this run and thread;
                                 must stay valid until destroy */
@@ -41,18 +41,18 @@
  *
  * This and the other functions are called on the traffic thread of `t`, or before
  * it runs. */
-struct rk_callers *rk_callers_create(struct rk_traffic *t,
-                                     const struct rk_callers_options *opt);
+struct rk_frontend *rk_frontend_create(struct rk_traffic *t,
+                                       const struct rk_frontend_options *opt);
 
 /* Closes the listener and all connections, cancels their exchanges and frees c.
  * Does nothing if c is NULL. */
-void rk_callers_destroy(struct rk_callers *c);
+void rk_frontend_destroy(struct rk_frontend *c);
 
 /* Returns the port that it listens on, in host byte order. */
-uint16_t rk_callers_port(const struct rk_callers *c);
+uint16_t rk_frontend_port(const struct rk_frontend *c);
 
 /* Returns the number of open requests: their heads were received, their responses
  * are not completely written. */
-size_t rk_callers_open(const struct rk_callers *c);
+size_t rk_frontend_active_requests(const struct rk_frontend *c);
 
 #endif
--- a/callers/pages.c
+++ b/callers/pages.c
@@ -21,8 +21,8 @@
     [RK_VM_GONE] = "gone",
 };
 
-void rk_page_problem(struct rk_buf *out, const struct rk_outcome *o,
-                     const char *request_id)
+void rk_problem_render(struct rk_buf *out, const struct rk_outcome *o,
+                       const char *request_id)
 {
     rk_buf_printf(
         out, "{\"type\":\"about:blank\",\"title\":\"%s\",\"status\":%d,\"detail\":",
--- a/callers/pages.h
+++ b/callers/pages.h
@@ -17,7 +17,7 @@
 
 /* Appends the problem details (RFC 9457) of a failed call to out, as JSON on one
  * line, so that they also fit into one SSE data field. */
-void rk_page_problem(struct rk_buf *out, const struct rk_outcome *o,
-                     const char *request_id);
+void rk_problem_render(struct rk_buf *out, const struct rk_outcome *o,
+                       const char *request_id);
 
 #endif
--- a/callers/parse.c
+++ b/callers/parse.c
@@ -11,7 +11,7 @@
 #define DEADLINE_MAX_MS 86400000LL /* one day */
 #define TOKEN_INDEX_MAX 100000000LL
 
-void rk_parse_escape(struct rk_buf *b, const char *s)
+void rk_percent_encode(struct rk_buf *b, const char *s)
 {
     for (; *s; s++) {
         if (isalnum((unsigned char)*s) || strchr("-_.~", *s))
@@ -93,13 +93,13 @@
 }
 
 /* Sets the last error. */
-static enum rk_parse fail_parse(const char *what)
+static enum rk_parse_result fail_parse(const char *what)
 {
     rk_fail(RK_EINVAL, "%s", what);
-    return RK_PARSE_BAD;
+    return RK_PARSE_MALFORMED;
 }
 
-static enum rk_parse
+static enum rk_parse_result
 parse_headers(struct rk_request *r,
               const char *(*header)(void *ctx, const char *name), void *ctx)
 {
@@ -130,10 +130,10 @@
     return RK_PARSE_CALL;
 }
 
-enum rk_parse rk_parse_request(struct rk_request *r, const char *method,
-                               const char *path, const char *query,
-                               const char *(*header)(void *ctx, const char *name),
-                               void *ctx)
+enum rk_parse_result
+rk_parse_request(struct rk_request *r, const char *method, const char *path,
+                 const char *query,
+                 const char *(*header)(void *ctx, const char *name), void *ctx)
 {
     bool chat = !strcmp(path, "/v1/chat/completions");
     if (chat || !strcmp(path, "/v1/completions")) {
--- a/callers/server.c
+++ b/callers/server.c
@@ -207,7 +207,7 @@
     c->body.len = 0;
     c->user = NULL;
     rk_http1_next(&c->reader);
-    rk_conn_pause(c->conn, false);
+    rk_conn_set_paused(c->conn, false);
     wait_for_request(c);
     if (!c->pipelined.len)
         return;
@@ -227,7 +227,7 @@
         next_request(c);
 }
 
-void rk_client_cut(struct rk_client *c)
+void rk_client_abort(struct rk_client *c)
 {
     abort_client(c);
 }
@@ -241,9 +241,9 @@
     rk_client_end(c);
 }
 
-size_t rk_client_unsent(const struct rk_client *c)
+size_t rk_client_unsent_len(const struct rk_client *c)
 {
-    return rk_conn_unsent(c->conn);
+    return rk_conn_unsent_len(c->conn);
 }
 
 const struct rk_head *rk_client_head(const struct rk_client *c)
@@ -313,13 +313,13 @@
         return;
     rk_buf_add(&c->pipelined, data, len);
     if (c->pipelined.len > PIPELINED_PAUSE_BYTES)
-        rk_conn_pause(c->conn, true);
+        rk_conn_set_paused(c->conn, true);
 }
 
 /* Parses input up to the end of one request and passes a complete one on. */
 static void feed(struct rk_client *c, const char *data, size_t len)
 {
-    bool is_first_byte = !rk_http1_begun(&c->reader);
+    bool is_first_byte = !rk_http1_has_begun(&c->reader);
     size_t n = rk_http1_feed(&c->reader, data, len);
     if (c->reader.failed || c->refuse_status) {
         int status = c->refuse_status      ? c->refuse_status
@@ -382,9 +382,9 @@
     struct rk_client *c = ctx;
     if (c->state != CLIENT_READING)
         return;
-    if (rk_http1_begun(&c->reader))
+    if (rk_http1_has_begun(&c->reader))
         refuse_request(c, 408);
-    else if (rk_conn_unsent(c->conn))
+    else if (rk_conn_unsent_len(c->conn))
         wait_for_request(c); /* the last response is not sent yet */
     else
         close_idle(c);
@@ -500,8 +500,8 @@
 
 static bool is_idle(const struct rk_client *c)
 {
-    return c->state == CLIENT_READING && !rk_http1_begun(&c->reader) &&
-           !rk_conn_unsent(c->conn);
+    return c->state == CLIENT_READING && !rk_http1_has_begun(&c->reader) &&
+           !rk_conn_unsent_len(c->conn);
 }
 
 void rk_server_close_idle(struct rk_server *s)
@@ -513,7 +513,7 @@
     }
 }
 
-size_t rk_server_busy(const struct rk_server *s)
+size_t rk_server_busy_count(const struct rk_server *s)
 {
     size_t busy = 0;
     for (const struct rk_client *c = s->clients; c; c = c->next)
--- a/callers/server.h
+++ b/callers/server.h
@@ -66,7 +66,7 @@
 
 /* Returns the number of connections with a request or a part of one, or with unsent
  * response bytes. */
-size_t rk_server_busy(const struct rk_server *s);
+size_t rk_server_busy_count(const struct rk_server *s);
 
 /* Return the head and the body ("" if there is none) of the current request. They
  * are owned by the client and valid as long as the request, see on_request(). */
@@ -86,16 +86,16 @@
 /* Send a response in pieces: begin, any number of data, then either end or cut.
  * `headers` is as above; `length` is the body's length in bytes, or -1 if it is not
  * known yet. Bytes are copied. rk_client_end() completes the response; it may call
- * on_request() with a pipelined request before it returns. rk_client_cut() resets
+ * on_request() with a pipelined request before it returns. rk_client_abort() resets
  * the connection, so that the caller can't take the response for complete. The
  * client must not be used for this request after either of them. */
 void rk_client_begin(struct rk_client *c, int status, const char *headers,
                      int64_t length);
 void rk_client_data(struct rk_client *c, const char *data, size_t len);
 void rk_client_end(struct rk_client *c);
-void rk_client_cut(struct rk_client *c);
+void rk_client_abort(struct rk_client *c);
 
 /* Returns the bytes of responses that the kernel has not taken yet. */
-size_t rk_client_unsent(const struct rk_client *c);
+size_t rk_client_unsent_len(const struct rk_client *c);
 
 #endif
--- a/cloud/cloud.c
+++ b/cloud/cloud.c
@@ -73,7 +73,7 @@
              wait_ms);
     const struct rk_rest_call call = {
         .method = "GET", .url = url, .wait_ms = wait_ms};
-    rk_count(RK_C_OBJECT_READS, 1);
+    rk_counter_add(RK_C_OBJECT_READS, 1);
     rk_rest_start(http, &call, on_answer, op);
 }
 
--- a/cloud/duties.h
+++ b/cloud/duties.h
@@ -11,10 +11,10 @@
 
 #include "common/status.h"
 
-struct rk_duties;
+struct rk_leader_api;
 
 /* Identifies the leader and its term. */
-struct rk_duty_token {
+struct rk_leader_token {
     const char *leader; /* node id of the leader; borrowed */
     int64_t fence;      /* fencing token, rises with every change of leader */
 };
@@ -33,24 +33,25 @@
  * no capacity now.
  * RK_EUNAVAILABLE: the call took no effect.
  * RK_EUNKNOWN: the call may have taken effect, or may do so later. */
-typedef void rk_duty_fn(void *ctx, enum rk_status st, const char *detail);
+typedef void rk_leader_api_fn(void *ctx, enum rk_status st, const char *detail);
 
-struct rk_duties_ops {
+struct rk_leader_api_ops {
     /* Reports the usage of a window. counts is the text of a JSON object that maps
      * organisation to count; it is sent unchanged. */
-    void (*report_usage)(struct rk_duties *d, const struct rk_duty_token *token,
-                         int64_t window, const char *counts, rk_duty_fn *fn,
-                         void *ctx);
+    void (*report_usage)(struct rk_leader_api *d,
+                         const struct rk_leader_token *token, int64_t window,
+                         const char *counts, rk_leader_api_fn *fn, void *ctx);
     /* Sets the number of VMs of one service and kind in one failure domain. */
-    void (*set_vm_count)(struct rk_duties *d, const struct rk_duty_token *token,
-                         const struct rk_vm_target *target, rk_duty_fn *fn,
+    void (*set_vm_count)(struct rk_leader_api *d,
+                         const struct rk_leader_token *token,
+                         const struct rk_vm_target *target, rk_leader_api_fn *fn,
                          void *ctx);
-    void (*destroy)(struct rk_duties *d);
+    void (*destroy)(struct rk_leader_api *d);
 };
 
 /* Base of a platform driver's own struct. */
-struct rk_duties {
-    const struct rk_duties_ops *ops;
+struct rk_leader_api {
+    const struct rk_leader_api_ops *ops;
 };
 
 #endif
--- a/common/arena.c
+++ b/common/arena.c
@@ -53,7 +53,7 @@
     free(a);
 }
 
-void *rk_arena_take(struct rk_arena *a, size_t len)
+void *rk_arena_alloc(struct rk_arena *a, size_t len)
 {
     size_t align = alignof(max_align_t);
     size_t padded_len = (len + align - 1) / align * align;
--- a/common/arena.h
+++ b/common/arena.h
@@ -12,7 +12,7 @@
 
 /* Returns len bytes, not zeroed, aligned for any type and valid until the next
  * reset. Never returns NULL: the process aborts when memory runs out. */
-void *rk_arena_take(struct rk_arena *a, size_t len);
+void *rk_arena_alloc(struct rk_arena *a, size_t len);
 /* Frees all allocations. Keeps as much memory for later ones as the arena had, or
  * 16 KiB if that was 256 KiB or more. */
 void rk_arena_reset(struct rk_arena *a);
--- a/common/conn.c
+++ b/common/conn.c
@@ -66,7 +66,7 @@
     uint32_t events = EPOLLRDHUP;
     if (!c->paused && !c->connecting)
         events |= EPOLLIN;
-    if (c->connecting || rk_conn_unsent(c))
+    if (c->connecting || rk_conn_unsent_len(c))
         events |= EPOLLOUT;
     if (events == c->watched_events)
         return;
@@ -94,7 +94,7 @@
 
 static void shutdown_if_sent(struct rk_conn *c)
 {
-    if (rk_conn_unsent(c) || c->fin_sent)
+    if (rk_conn_unsent_len(c) || c->fin_sent)
         return;
     c->fin_sent = true;
     shutdown(c->fd, SHUT_WR);
@@ -113,9 +113,9 @@
 
 static void flush(struct rk_conn *c)
 {
-    while (rk_conn_unsent(c)) {
-        ssize_t n =
-            send(c->fd, c->out.data + c->out_pos, rk_conn_unsent(c), MSG_NOSIGNAL);
+    while (rk_conn_unsent_len(c)) {
+        ssize_t n = send(c->fd, c->out.data + c->out_pos, rk_conn_unsent_len(c),
+                         MSG_NOSIGNAL);
         if (n < 0) {
             if (errno == EAGAIN || errno == EINTR)
                 break;
@@ -126,7 +126,7 @@
         c->has_sent = true;
         c->out_pos += (size_t)n;
     }
-    if (!rk_conn_unsent(c))
+    if (!rk_conn_unsent_len(c))
         clear_output(c);
     if (c->lingering)
         shutdown_if_sent(c);
@@ -177,9 +177,9 @@
         return;
     }
     if (events & EPOLLOUT) {
-        bool had_unsent = rk_conn_unsent(c) > 0;
+        bool had_unsent = rk_conn_unsent_len(c) > 0;
         flush(c);
-        if (!c->released && c->ops && had_unsent && !rk_conn_unsent(c) &&
+        if (!c->released && c->ops && had_unsent && !rk_conn_unsent_len(c) &&
             c->ops->on_drained)
             c->ops->on_drained(c->ctx);
     }
@@ -257,7 +257,7 @@
     flush(c);
 }
 
-size_t rk_conn_unsent(const struct rk_conn *c)
+size_t rk_conn_unsent_len(const struct rk_conn *c)
 {
     return c->out.len - c->out_pos;
 }
@@ -267,7 +267,7 @@
     return c->has_sent;
 }
 
-void rk_conn_pause(struct rk_conn *c, bool paused)
+void rk_conn_set_paused(struct rk_conn *c, bool paused)
 {
     if (c->released || !c->ops || c->paused == paused)
         return;
@@ -304,7 +304,7 @@
     }
     rk_conn_set_owner(c, &linger_ops, c);
     c->lingering = true;
-    rk_conn_pause(c, false);
+    rk_conn_set_paused(c, false);
     rk_timer_start(c->loop, &c->timer, LINGER_MS);
     flush(c);
 }
--- a/common/conn.h
+++ b/common/conn.h
@@ -40,11 +40,11 @@
 void rk_conn_set_owner(struct rk_conn *c, const struct rk_conn_ops *ops, void *ctx);
 
 /* Sends bytes, or queues a copy of those that can't be sent yet. The queue has no
- * limit: callers check rk_conn_unsent(). */
+ * limit: callers check rk_conn_unsent_len(). */
 void rk_conn_write(struct rk_conn *c, const void *data, size_t len);
 
 /* Returns how many written bytes have not been passed to the kernel yet. */
-size_t rk_conn_unsent(const struct rk_conn *c);
+size_t rk_conn_unsent_len(const struct rk_conn *c);
 
 /* Returns whether any byte has been passed to the kernel. Until the connection is
  * established, written bytes stay in the queue. */
@@ -53,7 +53,7 @@
 /* Stops (true) or resumes reading. The peer's close is noticed in either case:
  * while reading is stopped, on_eof is called even if received bytes have not been
  * read, and on_data is not called for them any more. */
-void rk_conn_pause(struct rk_conn *c, bool paused);
+void rk_conn_set_paused(struct rk_conn *c, bool paused);
 
 /* Closes the connection in order and frees c: sends the queued bytes and lets the
  * peer read them and close, for one second at most. A connection that has ended
--- a/common/counters.c
+++ b/common/counters.c
@@ -16,12 +16,12 @@
 #undef RK_COUNTER_INFO
 };
 
-void rk_count(enum rk_counter c, uint64_t n)
+void rk_counter_add(enum rk_counter c, uint64_t n)
 {
     atomic_fetch_add_explicit(&values[c], n, memory_order_relaxed);
 }
 
-uint64_t rk_counted(enum rk_counter c)
+uint64_t rk_counter_value(enum rk_counter c)
 {
     return atomic_load_explicit(&values[c], memory_order_relaxed);
 }
@@ -33,6 +33,6 @@
                       metrics[i].help);
         rk_buf_printf(out, "# TYPE rillknot_%s counter\n", metrics[i].name);
         rk_buf_printf(out, "rillknot_%s %" PRIu64 "\n", metrics[i].name,
-                      rk_counted((enum rk_counter)i));
+                      rk_counter_value((enum rk_counter)i));
     }
 }
--- a/common/counters.h
+++ b/common/counters.h
@@ -12,7 +12,8 @@
     X(CALLS, "calls_total", "Calls taken from callers")                            \
     X(ANSWERS_OK, "answers_ok_total", "Whole answers given to callers")            \
     X(REFUSED_NOT_RUN, "refused_not_run_total", "Refusals with verdict not-run")   \
-    X(REFUSED_MAYBE, "refused_may_have_run_total", "Failures that may have run")   \
+    X(REFUSED_MAY_HAVE_RUN, "refused_may_have_run_total",                          \
+      "Failures that may have run")                                                \
     X(BAD_INPUT, "bad_input_total", "Calls refused as malformed")                  \
     X(ATTEMPTS, "attempts_total", "Attempts sent to upstreams")                    \
     X(RETRIES, "retries_total", "Attempts after the first")                        \
@@ -23,7 +24,8 @@
       "Tokens prefilled again after a move")                                       \
     X(PROMPT_TOKENS, "prompt_tokens_total", "Prompt tokens of model calls")        \
     X(TOKENS, "tokens_total", "Generated tokens passed to callers")                \
-    X(CROSSED, "crossed_answers_total", "Answers dropped: not for this attempt")   \
+    X(MISMATCHED, "crossed_answers_total",                                         \
+      "Answers dropped: not for this attempt")                                     \
     X(FORWARDS, "forwards_total", "Calls forwarded to a peer")                     \
     X(FORWARDED_IN, "forwarded_in_total", "Calls taken from a peer")               \
     X(CLAIMS, "claims_total", "Idempotency keys claimed")                          \
@@ -40,9 +42,9 @@
       "Calls beyond an organisation's quota")                                      \
     X(LATE_REFUSED, "late_refused_total",                                          \
       "Calls refused because their first byte would come too late")                \
-    X(STOPPED, "stopped_total",                                                    \
+    X(QUARANTINED, "stopped_total",                                                \
       "Calls refused because VMs ended under the same request")                    \
-    X(VM_SIGNALS_BAD, "vm_signals_rejected_total",                                 \
+    X(VM_SIGNALS_REJECTED, "vm_signals_rejected_total",                            \
       "Headers by which VMs speak of themselves that can't be read")               \
     X(VMS_REJECTED, "vms_rejected_total",                                          \
       "Entries of the list that name no VM which can be used")                     \
@@ -56,9 +58,9 @@
 };
 
 /* Adds n to a counter. Any thread. */
-void rk_count(enum rk_counter c, uint64_t n);
+void rk_counter_add(enum rk_counter c, uint64_t n);
 /* Returns a counter's value. Any thread. */
-uint64_t rk_counted(enum rk_counter c);
+uint64_t rk_counter_value(enum rk_counter c);
 
 /* Appends all counters in the Prometheus text format, their names prefixed with
  * "rillknot_". Any thread. */
--- a/common/eventlog.c
+++ b/common/eventlog.c
@@ -112,7 +112,7 @@
         report_dropped();
     if (ring.dropped || !ring_add(line, strlen(line))) {
         ring.dropped++;
-        rk_count(RK_C_LOG_DROPPED, 1);
+        rk_counter_add(RK_C_LOG_DROPPED, 1);
     }
     ring_drain();
     pthread_mutex_unlock(&ring.lock);
@@ -162,7 +162,7 @@
 }
 
 void rk_log_event(enum rk_log_level level, const char *event,
-                  const struct rk_field *fields, size_t count)
+                  const struct rk_log_field *fields, size_t count)
 {
     if (!category ||
         !log4c_category_is_priority_enabled(category, levels[level].priority))
--- a/common/http1.c
+++ b/common/http1.c
@@ -78,7 +78,7 @@
     if (r->head_done)
         return 0; /* a trailer */
     if (r->in_value || !h->lines_len) {
-        if (h->lines_len == RK_HEAD_LINES) {
+        if (h->lines_len == RK_HEAD_LINES_MAX) {
             r->too_large = true;
             return -1;
         }
@@ -203,7 +203,7 @@
     http_parser_pause(&r->parser, 0);
 }
 
-bool rk_http1_begun(const struct rk_http1 *r)
+bool rk_http1_has_begun(const struct rk_http1 *r)
 {
     return r->parser.nread > 0 || r->head.text.len > 0;
 }
--- a/common/http1.h
+++ b/common/http1.h
@@ -12,7 +12,7 @@
 
 #include "common/util.h"
 
-#define RK_HEAD_LINES 96 /* most header lines of a head */
+#define RK_HEAD_LINES_MAX 96 /* most header lines of a head */
 
 /* The head of a message: the start line and the header lines. */
 struct rk_head {
@@ -21,7 +21,7 @@
     size_t lines_len;
     struct {
         size_t name, value; /* offsets in text */
-    } lines[RK_HEAD_LINES];
+    } lines[RK_HEAD_LINES_MAX];
     enum http_method method; /* of a request */
     int status;              /* of a response */
     int major, minor;        /* HTTP/major.minor */
@@ -66,7 +66,7 @@
 };
 
 /* Initialises a reader of requests or, if requests is false, of responses. A head
- * of more than head_max bytes or RK_HEAD_LINES lines fails as too large. */
+ * of more than head_max bytes or RK_HEAD_LINES_MAX lines fails as too large. */
 void rk_http1_init(struct rk_http1 *r, bool requests, size_t head_max,
                    const struct rk_http1_ops *ops, void *ctx);
 /* Frees what the reader allocated; r itself is the caller's. */
@@ -84,6 +84,6 @@
 void rk_http1_next(struct rk_http1 *r);
 
 /* Returns whether any byte of the current message was read. */
-bool rk_http1_begun(const struct rk_http1 *r);
+bool rk_http1_has_begun(const struct rk_http1 *r);
 
 #endif
--- a/common/latency.c
+++ b/common/latency.c
@@ -14,9 +14,9 @@
 #define BUCKETS (RK_ARRAY_LEN(bucket_bounds_ms) + 1)
 
 static const char *const metric_names[RK_LATENCY_COUNT] = {
-    [RK_LATENCY_FIRST] = "first_byte_ms",
-    [RK_LATENCY_WHOLE] = "whole_ms",
-    [RK_LATENCY_MISS] = "first_byte_error_ms"};
+    [RK_LATENCY_FIRST_BYTE] = "first_byte_ms",
+    [RK_LATENCY_TOTAL] = "whole_ms",
+    [RK_LATENCY_FIRST_BYTE_ERROR] = "first_byte_error_ms"};
 
 struct series {
     char service[RK_ID_MAX];
@@ -28,7 +28,7 @@
 static struct series series[RK_LATENCY_COUNT][MAX_SERIES];
 static atomic_size_t series_lens[RK_LATENCY_COUNT];
 
-static struct series *find_or_add_series(enum rk_latency metric,
+static struct series *find_or_add_series(enum rk_latency_metric metric,
                                          const char *service, const char *outcome)
 {
     size_t len = atomic_load(&series_lens[metric]);
@@ -46,7 +46,7 @@
     return s;
 }
 
-void rk_latency_observe(enum rk_latency metric, const char *service,
+void rk_latency_observe(enum rk_latency_metric metric, const char *service,
                         const char *outcome, int64_t ms)
 {
     struct series *s = find_or_add_series(metric, service, outcome);
--- a/common/latency.h
+++ b/common/latency.h
@@ -8,11 +8,11 @@
 
 struct rk_buf;
 
-enum rk_latency {
-    RK_LATENCY_FIRST, /* from a call's arrival to the head of its response */
-    RK_LATENCY_WHOLE, /* from a call's arrival to its end, with any outcome */
-    RK_LATENCY_MISS,  /* absolute error of the predicted time to first byte; the
-                         outcome label is "early" or "late" */
+enum rk_latency_metric {
+    RK_LATENCY_FIRST_BYTE, /* from a call's arrival to the head of its response */
+    RK_LATENCY_TOTAL,      /* from a call's arrival to its end, with any outcome */
+    RK_LATENCY_FIRST_BYTE_ERROR, /* absolute error of the predicted time to first
+                        byte; the outcome label is "early" or "late" */
     RK_LATENCY_COUNT
 };
 
@@ -20,7 +20,7 @@
  * histogram has at most 96 series; values of any further labels are counted in the
  * last one. Only one thread of the process may call this: it creates series without
  * a lock. */
-void rk_latency_observe(enum rk_latency what, const char *service,
+void rk_latency_observe(enum rk_latency_metric what, const char *service,
                         const char *outcome, int64_t ms);
 
 /* Appends all series in the Prometheus text format. Any thread. */
--- a/common/loop.c
+++ b/common/loop.c
@@ -18,7 +18,7 @@
 #define IDLE_WAIT_MS    60000
 
 struct dispatch_entry {
-    rk_call_fn *fn;
+    rk_callback_fn *fn;
     void *ctx;
 };
 
@@ -38,7 +38,7 @@
     size_t watches_len;
     struct rk_timer **heap; /* min-heap by due_ms */
     size_t heap_len, heap_cap;
-    rk_call_fn *before_batch, *after_batch;
+    rk_callback_fn *before_batch, *after_batch;
     void *hook_ctx;
     ck_ring_t ring;
     struct dispatch_entry *ring_buf;
@@ -90,15 +90,15 @@
     wake(l);
 }
 
-void rk_loop_set_hooks(struct rk_loop *l, rk_call_fn *before_batch,
-                       rk_call_fn *after_batch, void *ctx)
+void rk_loop_set_hooks(struct rk_loop *l, rk_callback_fn *before_batch,
+                       rk_callback_fn *after_batch, void *ctx)
 {
     l->before_batch = before_batch;
     l->after_batch = after_batch;
     l->hook_ctx = ctx;
 }
 
-bool rk_loop_post(struct rk_loop *l, rk_call_fn *fn, void *ctx)
+bool rk_loop_post(struct rk_loop *l, rk_callback_fn *fn, void *ctx)
 {
     struct dispatch_entry e = {.fn = fn, .ctx = ctx};
     if (atomic_load(&l->stopping))
--- a/common/loop.h
+++ b/common/loop.h
@@ -15,13 +15,13 @@
  * EPOLLOUT, EPOLLERR, EPOLLHUP, EPOLLRDHUP). */
 typedef void rk_fd_fn(void *ctx, int fd, uint32_t events);
 /* Callback of a timer, a hook or a posted function. */
-typedef void rk_call_fn(void *ctx);
+typedef void rk_callback_fn(void *ctx);
 
 /* A one-shot timer, embedded in its owner's struct. Zero-initialise it and set fn
  * and ctx before the first start. The owner must stop it before it frees its
  * memory. */
 struct rk_timer {
-    rk_call_fn *fn;
+    rk_callback_fn *fn;
     void *ctx;
     int64_t due_ms; /* by rk_mono_ms() */
     size_t slot;    /* index in the loop's heap plus one; 0 while stopped */
@@ -50,8 +50,8 @@
 /* Sets functions to call before and after each batch of events and due timers, for
  * instance to enter and leave a read section of a shared snapshot. Either may be
  * NULL. */
-void rk_loop_set_hooks(struct rk_loop *loop, rk_call_fn *before_batch,
-                       rk_call_fn *after_batch, void *ctx);
+void rk_loop_set_hooks(struct rk_loop *loop, rk_callback_fn *before_batch,
+                       rk_callback_fn *after_batch, void *ctx);
 
 /* Calls fn(ctx, ...) whenever one of the events is ready on fd, in place of an
  * earlier watch of fd. events 0 ends the watch. */
@@ -67,6 +67,6 @@
 /* Queues fn(ctx) to run on the loop's thread. Any thread. Returns false if the
  * queue is full or the loop was stopped: fn is not called, and ctx remains the
  * caller's. */
-bool rk_loop_post(struct rk_loop *loop, rk_call_fn *fn, void *ctx);
+bool rk_loop_post(struct rk_loop *loop, rk_callback_fn *fn, void *ctx);
 
 #endif
--- a/common/zip.c
+++ b/common/zip.c
@@ -6,7 +6,7 @@
 /* Level 1 compresses JSON of many similar routes as well as level 6 does. */
 #define COMPRESSION_LEVEL 1
 
-bool rk_zip(struct rk_buf *out, const char *text, size_t len)
+bool rk_zlib_compress(struct rk_buf *out, const char *text, size_t len)
 {
     uLongf size = compressBound(len);
     char *compressed = rk_alloc(1, size);
@@ -17,7 +17,7 @@
     return ok;
 }
 
-char *rk_unzip(const void *data, size_t len, size_t text_len)
+char *rk_zlib_decompress(const void *data, size_t len, size_t text_len)
 {
     uLongf size = text_len;
     char *text = rk_alloc(1, text_len + 1);
--- a/control/claims_io.c
+++ b/control/claims_io.c
@@ -73,11 +73,11 @@
     (void)revision;
     struct op *op = ctx;
     count_unanswered(op->s->io, st);
-    struct rk_slot_read *slots = rk_alloc(len + 1, sizeof(*slots));
+    struct rk_claim_slot_value *slots = rk_alloc(len + 1, sizeof(*slots));
     for (size_t i = 0; i < len; i++) {
         const char *slash = strrchr(objects[i].name, '/');
-        slots[i] = (struct rk_slot_read){.version = objects[i].version,
-                                         .value = objects[i].value};
+        slots[i] = (struct rk_claim_slot_value){.version = objects[i].version,
+                                                .value = objects[i].value};
         slots[i].slot =
             slash ? (unsigned)strtoul(slash + 1, NULL, 10) : RK_CLAIM_SLOTS;
     }
@@ -100,7 +100,7 @@
     struct op *op = ctx;
     count_unanswered(op->s->io, st);
     if (st == RK_OK)
-        rk_count(RK_C_CLAIM_COMMITS, 1);
+        rk_counter_add(RK_C_CLAIM_COMMITS, 1);
     else if (st == RK_ECONFLICT)
         RK_WARN("claims.stepped_down", RK_N("shard", op->s - op->s->io->shards));
     rk_claims_on_written(op->s->claims, st, version, rk_mono_ms(), rk_wall_ms());
@@ -199,7 +199,7 @@
         struct rk_claims *claims = io->shards[i].claims;
         if (!claims)
             continue;
-        rk_claims_set_away(claims, io->unanswered >= MAX_UNANSWERED);
+        rk_claims_set_platform_down(claims, io->unanswered >= MAX_UNANSWERED);
         rk_claims_tick(claims, rk_mono_ms(), rk_wall_ms());
         any_busy = any_busy || rk_claims_busy(claims);
     }
@@ -228,7 +228,7 @@
     struct rk_claims *claims = get_claims(m->io, m->shard);
     switch (m->kind) {
     case MSG_REQUEST:
-        rk_claims_ask(claims, m->ticket, m->key, m->local, rk_mono_ms());
+        rk_claims_request(claims, m->ticket, m->key, m->local, rk_mono_ms());
         schedule_tick(m->io);
         break;
     case MSG_CANCEL:
--- a/control/control.c
+++ b/control/control.c
@@ -60,7 +60,7 @@
     copy_peers(c, v, peer_index);
     for (uint32_t s = 0; s < RK_MAX_SHARDS; s++)
         v->shard_owner[s] = (int64_t)s < v->config->claim_shards
-                                ? peer_index[rk_shard_owner(c->members, s)]
+                                ? peer_index[rk_shard_target(c->members, s)]
                                 : -1;
     return v;
 }
@@ -86,7 +86,7 @@
     int64_t head = rk_changelog_head(c->changelog);
     rk_config_destroy(c->config);
     c->config = rk_config_create(rk_changelog_tree(c->changelog), head);
-    rk_members_set_head(c->members, head);
+    rk_members_set_applied_version(c->members, head);
     RK_EVENT("settings.in_force", RK_N("head", head),
              RK_N("skipped", rk_changelog_skipped(c->changelog)));
     rk_control_schedule_publish(c, true);
--- a/control/control.h
+++ b/control/control.h
@@ -13,8 +13,8 @@
 struct rk_control;
 struct rk_view_cell;
 
-#define RK_MAX_TRAFFIC 16 /* traffic threads */
-#define RK_MAX_SEEDS   64 /* seed addresses */
+#define RK_MAX_TRAFFIC_THREADS 16 /* traffic threads */
+#define RK_MAX_SEEDS           64 /* seed addresses */
 
 struct rk_control_options {
     char id[RK_ID_MAX];                    /* node id */
--- a/control/gossip.c
+++ b/control/gossip.c
@@ -70,7 +70,7 @@
 /* Sends a frame and counts its bytes and those of its 4-byte length. */
 static bool send_frame(struct rk_link *link, Rillknot__Frame *frame)
 {
-    rk_count(RK_C_PEER_BYTES, rillknot__frame__get_packed_size(frame) + 4);
+    rk_counter_add(RK_C_PEER_BYTES, rillknot__frame__get_packed_size(frame) + 4);
     return rk_link_send(link, frame);
 }
 
@@ -89,7 +89,7 @@
     struct rk_digest digest = rk_members_digest(m);
     struct rk_rows rows;
     /* VM rows are not sent to other failure domains. */
-    rk_rows_fill(&rows, m, &g->delta, !to || !strcmp(to->domain, self->domain));
+    rk_rows_encode(&rows, m, &g->delta, !to || !strcmp(to->domain, self->domain));
     rows.gossip.from = (char *)self->id;
     rows.gossip.from_addr = (char *)self->control_addr;
     rows.gossip.reply = reply;
@@ -151,7 +151,7 @@
                          int from)
 {
     struct rk_member m;
-    if (!rk_rows_member(row, &m))
+    if (!rk_rows_decode_member(row, &m))
         return;
     if (!rk_members_merge(g->c->members, &m, from, rk_mono_ms())) {
         /* The member's spare capacity may have changed. */
@@ -166,7 +166,7 @@
 static void merge_vm(struct rk_gossip *g, const Rillknot__VmRow *row, int from)
 {
     struct rk_vm v;
-    if (!rk_rows_vm(row, &v))
+    if (!rk_rows_decode_vm(row, &v))
         return;
     if (!rk_members_merge_vm(g->c->members, &v, from, rk_mono_ms())) {
         rk_control_schedule_publish(g->c, false);
@@ -183,7 +183,7 @@
 {
     int from = rk_members_index(g->c->members, msg->from);
     int64_t now = rk_mono_ms();
-    rk_members_heard(g->c->members, msg->from, now);
+    rk_members_responded(g->c->members, msg->from, now);
     for (size_t i = 0; i < msg->n_members; i++)
         merge_member(g, msg->members[i], from);
     for (size_t i = 0; i < msg->n_vms; i++)
@@ -207,7 +207,7 @@
     if (msg->snapshot[0])
         rk_changelog_restore(log, msg->snapshot);
     for (size_t i = 0; i < msg->n_items; i++)
-        rk_changelog_take(log, msg->items[i]->number, msg->items[i]->text);
+        rk_changelog_append(log, msg->items[i]->number, msg->items[i]->text);
     if (rk_changelog_head(log) > before)
         rk_control_apply_settings(g->c);
     /* A change was pushed that can't be applied before the missing ones. */
@@ -248,7 +248,7 @@
  * on. */
 static struct sent_state initial_sent_state(const struct rk_gossip *g)
 {
-    return (struct sent_state){.high_water = rk_members_mark(g->c->members)};
+    return (struct sent_state){.high_water = rk_members_high_water(g->c->members)};
 }
 
 /* Compares a peer's digests with this node's, after the peer's rows were merged. If
@@ -384,7 +384,7 @@
     if (!out)
         return;
     send_rows(g, out->link, out->id, &out->sent, false);
-    rk_count(RK_C_GOSSIP_ROUNDS, 1);
+    rk_counter_add(RK_C_GOSSIP_ROUNDS, 1);
     if (!out->reply_timer.slot)
         rk_timer_start(g->c->loop, &out->reply_timer, REPLY_TIMEOUT_MS);
 }
@@ -523,7 +523,7 @@
                  RK_N("members", (int64_t)rk_members_count(c->members)));
         rk_control_schedule_publish(c, true);
     }
-    rk_members_forget(c->members, ROW_RETENTION_MS, rk_mono_ms());
+    rk_members_remove_old(c->members, ROW_RETENTION_MS, rk_mono_ms());
     gossip_in_domain(g);
     if (g->rounds % ROUNDS_PER_BRIDGE == 0)
         gossip_across_domains(g);
--- a/control/settings_sync.c
+++ b/control/settings_sync.c
@@ -44,7 +44,7 @@
     for (size_t i = 0; i < len; i++) {
         int64_t n = rk_change_number(objects[i].name);
         gap = gap || n > rk_changelog_head(log) + 1;
-        rk_changelog_take(log, n, objects[i].value);
+        rk_changelog_append(log, n, objects[i].value);
     }
     if (rk_changelog_head(log) > before) {
         rk_control_apply_settings(s->c);
--- a/control/state.h
+++ b/control/state.h
@@ -26,7 +26,7 @@
     struct rk_members *members;
     struct rk_changelog *changelog;
     struct rk_config *config; /* built from the change log */
-    struct rk_traffic *traffic[RK_MAX_TRAFFIC];
+    struct rk_traffic *traffic[RK_MAX_TRAFFIC_THREADS];
     size_t traffic_len;
     struct rk_gossip *gossip;
     struct rk_settings_sync *settings_sync;
--- a/control/vms_sync.c
+++ b/control/vms_sync.c
@@ -140,8 +140,8 @@
     struct load_poll *p = ctx;
     struct rk_control *c = p->s->c;
     if (st == RK_OK) {
-        rk_members_polled(c->members, p->id_hash, (uint64_t)rk_wall_ms(), running,
-                          queued, rk_mono_ms());
+        rk_members_load_polled(c->members, p->id_hash, (uint64_t)rk_wall_ms(),
+                               running, queued, rk_mono_ms());
         rk_control_schedule_publish(c, false);
     }
     free(p);
@@ -153,11 +153,11 @@
 {
     const struct rk_members *m = c->members;
     const struct rk_member *self = rk_members_self(m);
-    uint64_t own_weight = rk_rendezvous(vm->id_hash, self->id);
+    uint64_t own_weight = rk_rendezvous_weight(vm->id_hash, self->id);
     for (size_t i = 1; i < rk_members_count(m); i++) {
         const struct rk_member *o = rk_members_at(m, i);
         if (o->state != RK_MEMBER_DEAD && !strcmp(o->domain, self->domain) &&
-            rk_rendezvous(vm->id_hash, o->id) > own_weight)
+            rk_rendezvous_weight(vm->id_hash, o->id) > own_weight)
             return false;
     }
     return true;
--- a/core/admit.c
+++ b/core/admit.c
@@ -19,7 +19,7 @@
     int64_t vtime; /* virtual time: slot time charged, divided by weight */
 };
 
-struct rk_admit {
+struct rk_fair_queue {
     struct rk_org_queue **orgs;
     size_t orgs_len, orgs_cap;
     int64_t vtime; /* at which new organisations start; never falls */
@@ -95,7 +95,8 @@
 
 /* ---- organisations ---- */
 
-static struct rk_org_queue *find_or_add_org(struct rk_admit *a, const char *org)
+static struct rk_org_queue *find_or_add_org(struct rk_fair_queue *a,
+                                            const char *org)
 {
     for (size_t i = 0; i < a->orgs_len; i++)
         if (!strcmp(a->orgs[i]->org, org))
@@ -122,7 +123,7 @@
 /* Drops organisations without waiting calls, but not before the queue's virtual
  * time has reached theirs: otherwise an organisation could clear its usage by
  * letting its queue run empty for a moment. */
-static void drop_idle_orgs(struct rk_admit *a)
+static void drop_idle_orgs(struct rk_fair_queue *a)
 {
     for (size_t i = 0; i < a->orgs_len;) {
         struct rk_org_queue *q = a->orgs[i];
@@ -135,12 +136,12 @@
     }
 }
 
-struct rk_admit *rk_admit_create(void)
+struct rk_fair_queue *rk_fair_queue_create(void)
 {
-    return rk_alloc(1, sizeof(struct rk_admit));
+    return rk_alloc(1, sizeof(struct rk_fair_queue));
 }
 
-void rk_admit_destroy(struct rk_admit *a)
+void rk_fair_queue_destroy(struct rk_fair_queue *a)
 {
     if (!a)
         return;
@@ -151,7 +152,7 @@
     free(a);
 }
 
-static void push_ready(struct rk_admit *a, struct rk_org_queue *q,
+static void push_ready(struct rk_fair_queue *a, struct rk_org_queue *q,
                        struct rk_waiter *w)
 {
     heap_push(&q->ready, w);
@@ -159,7 +160,7 @@
     a->queued_cost_ms[w->rank] += w->cost_ms;
 }
 
-void rk_admit_push(struct rk_admit *a, struct rk_waiter *w)
+void rk_fair_queue_push(struct rk_fair_queue *a, struct rk_waiter *w)
 {
     assert(!w->heap_index && w->rank >= 0 && w->rank < RK_RANKS);
     struct rk_org_queue *q = find_or_add_org(a, w->org);
@@ -173,7 +174,7 @@
     w->in_deferred = true;
 }
 
-void rk_admit_remove(struct rk_admit *a, struct rk_waiter *w)
+void rk_fair_queue_remove(struct rk_fair_queue *a, struct rk_waiter *w)
 {
     if (!w->heap_index)
         return;
@@ -188,7 +189,8 @@
 
 /* Moves the deferrable calls whose deadline is within their promote_ms to the ready
  * heap. */
-static void promote_due(struct rk_admit *a, struct rk_org_queue *q, int64_t now_ms)
+static void promote_due(struct rk_fair_queue *a, struct rk_org_queue *q,
+                        int64_t now_ms)
 {
     while (q->deferred.len) {
         struct rk_waiter *w = q->deferred.items[0];
@@ -202,7 +204,8 @@
     }
 }
 
-struct rk_waiter *rk_admit_peek(struct rk_admit *a, bool deferred, int64_t now_ms)
+struct rk_waiter *rk_fair_queue_peek(struct rk_fair_queue *a, bool deferred,
+                                     int64_t now_ms)
 {
     struct rk_org_queue *best = NULL, *best_deferred = NULL;
     for (size_t i = 0; i < a->orgs_len; i++) {
@@ -223,22 +226,22 @@
     return deferred && best_deferred ? best_deferred->deferred.items[0] : NULL;
 }
 
-void rk_admit_take(struct rk_admit *a, struct rk_waiter *w)
+void rk_fair_queue_serve(struct rk_fair_queue *a, struct rk_waiter *w)
 {
     struct rk_org_queue *q = w->queue;
-    rk_admit_remove(a, w);
+    rk_fair_queue_remove(a, w);
     if (q->vtime > a->vtime)
         a->vtime = q->vtime;
     q->vtime += (w->cost_ms + 1) * VTIME_SCALE / w->weight;
     drop_idle_orgs(a);
 }
 
-size_t rk_admit_len(const struct rk_admit *a)
+size_t rk_fair_queue_len(const struct rk_fair_queue *a)
 {
     return a->len;
 }
 
-int64_t rk_admit_ahead_ms(const struct rk_admit *a, int rank)
+int64_t rk_fair_queue_cost_ms(const struct rk_fair_queue *a, int rank)
 {
     int64_t ms = 0;
     for (int r = 0; r <= rank; r++)
--- a/core/admit.h
+++ b/core/admit.h
@@ -35,31 +35,32 @@
     struct rk_org_queue *queue;
 };
 
-struct rk_admit;
+struct rk_fair_queue;
 
-struct rk_admit *rk_admit_create(void);
+struct rk_fair_queue *rk_fair_queue_create(void);
 /* Frees the queue, which must be empty. NULL is allowed. */
-void rk_admit_destroy(struct rk_admit *a);
+void rk_fair_queue_destroy(struct rk_fair_queue *a);
 
 /* Queues w, which must not be queued. */
-void rk_admit_push(struct rk_admit *a, struct rk_waiter *w);
+void rk_fair_queue_push(struct rk_fair_queue *a, struct rk_waiter *w);
 /* Takes w out without charging its organisation; does nothing if w isn't queued. */
-void rk_admit_remove(struct rk_admit *a, struct rk_waiter *w);
+void rk_fair_queue_remove(struct rk_fair_queue *a, struct rk_waiter *w);
 
 /* Returns the call that goes next and leaves it in the queue; NULL: none may go.
  * Promotes the deferrable calls whose deadline is near. deferred: whether
  * deferrable calls that were not promoted may go, too; they go only if no other
  * call waits. */
-struct rk_waiter *rk_admit_peek(struct rk_admit *a, bool deferred, int64_t now_ms);
+struct rk_waiter *rk_fair_queue_peek(struct rk_fair_queue *a, bool deferred,
+                                     int64_t now_ms);
 
 /* Takes w out and charges its organisation with w->cost_ms. */
-void rk_admit_take(struct rk_admit *a, struct rk_waiter *w);
+void rk_fair_queue_serve(struct rk_fair_queue *a, struct rk_waiter *w);
 
 /* Returns the number of queued calls, deferrable ones included. */
-size_t rk_admit_len(const struct rk_admit *a);
+size_t rk_fair_queue_len(const struct rk_fair_queue *a);
 
 /* Returns the summed cost in ms of the queued calls of this rank and of more urgent
  * ones, without deferrable calls that were not promoted. */
-int64_t rk_admit_ahead_ms(const struct rk_admit *a, int rank);
+int64_t rk_fair_queue_cost_ms(const struct rk_fair_queue *a, int rank);
 
 #endif
--- a/core/budget.h
+++ b/core/budget.h
@@ -1,29 +1,30 @@
 /* Retry budget (token bucket): bounds retries to a percentage of the calls plus a
  * burst, instead of a count per call, so that retries can't amplify an overload.
- * Does no I/O and reads no clock. A zeroed struct rk_budget is a valid start. */
+ * Does no I/O and reads no clock. A zeroed struct rk_retry_budget is a valid start.
+ */
 #ifndef RK_CORE_BUDGET_H
 #define RK_CORE_BUDGET_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Burst in retries where rk_budget_set_share() is not used. */
-#define RK_BUDGET_BURST 10
+/* Burst in retries where rk_retry_budget_set_share() is not used. */
+#define RK_RETRY_BUDGET_BURST 10
 
 /* A token pays for one retry. Amounts are in hundredths of a token, so that a call
  * earns as many of them as the configured percentage says. */
-struct rk_budget {
+struct rk_retry_budget {
     int64_t tokens_x100; /* tokens times 100 */
-    int64_t cap_x100;    /* most that can be saved; 0: RK_BUDGET_BURST tokens */
-    bool started;        /* the initial tokens were given */
+    int64_t cap_x100; /* most that can be saved; 0: RK_RETRY_BUDGET_BURST tokens */
+    bool started;     /* the initial tokens were given */
 };
 
-#define RK_BUDGET_RETRY_COST 100 /* hundredths of a token */
+#define RK_RETRY_BUDGET_COST 100 /* hundredths of a token */
 
 /* Returns the most that can be saved, in hundredths of a token. */
-static inline int64_t rk_budget_cap(const struct rk_budget *b)
+static inline int64_t rk_retry_budget_cap(const struct rk_retry_budget *b)
 {
-    return b->cap_x100 ? b->cap_x100 : RK_BUDGET_BURST * RK_BUDGET_RETRY_COST;
+    return b->cap_x100 ? b->cap_x100 : RK_RETRY_BUDGET_BURST * RK_RETRY_BUDGET_COST;
 }
 
 /* Sets the cap to this node's share of burst, the retries that all nodes together
@@ -31,43 +32,45 @@
  * At the first call, a node of a first start gets the whole share. A restarted node
  * gets nothing, because its previous incarnation may have used the share: so all
  * nodes together keep to the burst, whichever of them are killed. */
-static inline void rk_budget_set_share(struct rk_budget *b, int64_t burst,
-                                       int nodes, bool first_start)
+static inline void rk_retry_budget_set_share(struct rk_retry_budget *b,
+                                             int64_t burst, int nodes,
+                                             bool first_start)
 {
-    b->cap_x100 = burst * RK_BUDGET_RETRY_COST / (nodes > 0 ? nodes : 1);
-    if (b->cap_x100 < RK_BUDGET_RETRY_COST)
-        b->cap_x100 = RK_BUDGET_RETRY_COST;
+    b->cap_x100 = burst * RK_RETRY_BUDGET_COST / (nodes > 0 ? nodes : 1);
+    if (b->cap_x100 < RK_RETRY_BUDGET_COST)
+        b->cap_x100 = RK_RETRY_BUDGET_COST;
     if (!b->started)
         b->tokens_x100 = first_start ? b->cap_x100 : 0;
     b->started = true;
 }
 
-/* Credits one call with pct hundredths of a token. Without rk_budget_set_share(),
- * the first call also gives the whole cap, unless pct is 0. */
-static inline void rk_budget_earn(struct rk_budget *b, int64_t pct)
+/* Credits one call with pct hundredths of a token. Without
+ * rk_retry_budget_set_share(), the first call also gives the whole cap, unless pct
+ * is 0. */
+static inline void rk_retry_budget_earn(struct rk_retry_budget *b, int64_t pct)
 {
     if (!b->started) {
         b->started = true;
-        b->tokens_x100 = pct ? rk_budget_cap(b) : 0;
+        b->tokens_x100 = pct ? rk_retry_budget_cap(b) : 0;
     }
     b->tokens_x100 += pct;
-    if (b->tokens_x100 > rk_budget_cap(b))
-        b->tokens_x100 = rk_budget_cap(b);
+    if (b->tokens_x100 > rk_retry_budget_cap(b))
+        b->tokens_x100 = rk_retry_budget_cap(b);
 }
 
 /* Returns whether the budget covers a retry; takes nothing. */
-static inline bool rk_budget_has(const struct rk_budget *b)
+static inline bool rk_retry_budget_has(const struct rk_retry_budget *b)
 {
-    return b->tokens_x100 >= RK_BUDGET_RETRY_COST;
+    return b->tokens_x100 >= RK_RETRY_BUDGET_COST;
 }
 
 /* Takes the tokens of one retry. Returns false, and takes nothing, when the budget
  * doesn't cover it: the retry must not be sent. */
-static inline bool rk_budget_spend(struct rk_budget *b)
+static inline bool rk_retry_budget_spend(struct rk_retry_budget *b)
 {
-    if (!rk_budget_has(b))
+    if (!rk_retry_budget_has(b))
         return false;
-    b->tokens_x100 -= RK_BUDGET_RETRY_COST;
+    b->tokens_x100 -= RK_RETRY_BUDGET_COST;
     return true;
 }
 
--- a/core/call.h
+++ b/core/call.h
@@ -1,7 +1,7 @@
 /* A call on its way from a caller or a peer to an upstream or a peer. The code that
  * receives calls (callers/ from callers, serve/forward.c from peers) fills struct
- * rk_request and implements struct rk_sink; the exchange in serve/ runs the call
- * and passes its answer to the sink. */
+ * rk_request and implements struct rk_answer_sink; the exchange in serve/ runs the
+ * call and passes its answer to the sink. */
 #ifndef RK_CORE_CALL_H
 #define RK_CORE_CALL_H
 
@@ -14,9 +14,9 @@
 #include "core/verdict.h"
 
 /* Sizes in bytes, the terminating NUL included. */
-#define RK_PATH_MAX  512
-#define RK_KEY_MAX   128
-#define RK_CTYPE_MAX 96
+#define RK_PATH_MAX         512
+#define RK_KEY_MAX          128
+#define RK_CONTENT_TYPE_MAX 96
 
 #define RK_MAX_HOPS 2 /* forwards between peers that a call may make */
 
@@ -31,7 +31,7 @@
     char method[12];
     char path[RK_PATH_MAX]; /* as it is sent to the upstream */
     char key[RK_KEY_MAX];   /* idempotency key; "" for none */
-    char content_type[RK_CTYPE_MAX];
+    char content_type[RK_CONTENT_TYPE_MAX];
     char *body; /* owned by the request; see rk_request_free() */
     size_t body_len;
     int64_t deadline_in_ms; /* from arrival; 0: as the settings say */
@@ -46,7 +46,7 @@
 
 /* A piece of an answer, valid only while the sink's part() runs. In a stream, each
  * piece is the chunk of one token. */
-struct rk_part {
+struct rk_answer_piece {
     int status; /* HTTP status; set in the first piece */
     const char *content_type;
     int64_t index; /* index of the token; -1: not a stream */
@@ -69,8 +69,8 @@
 
 /* Receiver of an answer: part() is called for each piece, in order, then end()
  * once. Neither is called after the call was cancelled. */
-struct rk_sink {
-    void (*on_answer_piece)(void *ctx, const struct rk_part *part);
+struct rk_answer_sink {
+    void (*on_answer_piece)(void *ctx, const struct rk_answer_piece *part);
     void (*on_answer_end)(void *ctx, const struct rk_outcome *outcome);
 };
 
--- a/core/changes.c
+++ b/core/changes.c
@@ -189,7 +189,7 @@
     return n > 0 && log->kept_number[i] == n ? log->kept[i] : NULL;
 }
 
-bool rk_changelog_take(struct rk_changelog *log, int64_t n, const char *change)
+bool rk_changelog_append(struct rk_changelog *log, int64_t n, const char *change)
 {
     if (n != log->head + 1)
         return false;
--- a/core/changes.h
+++ b/core/changes.h
@@ -60,7 +60,7 @@
 
 /* Applies change n, or skips it if it is invalid, and makes n the head. Returns
  * false, and does nothing, unless n is head + 1. */
-bool rk_changelog_take(struct rk_changelog *log, int64_t n, const char *change);
+bool rk_changelog_append(struct rk_changelog *log, int64_t n, const char *change);
 
 /* Replaces tree and head by those of a snapshot {"head": n, "tree": {...}}. Fails,
  * and changes nothing, with RK_ECONFLICT if its head isn't above the current one,
--- a/core/choice.c
+++ b/core/choice.c
@@ -88,7 +88,7 @@
             fallback = (int)i;
             least_load = load;
         }
-        uint64_t weight = rk_rendezvous(job->prompt->root, r->vms[i].id);
+        uint64_t weight = rk_rendezvous_weight(job->prompt->root, r->vms[i].id);
         if ((double)r->prefilled_tokens[i] + job->prompt->tokens <= bound &&
             (best < 0 || weight > best_weight)) {
             best = (int)i;
@@ -135,8 +135,8 @@
 
 static int choose_by_prefix(struct rk_router *r, struct rk_job *job, int64_t now_ms)
 {
-    rk_prefixes_match(r->prefixes, job->prompt, r->prefilled_tokens,
-                      r->cache_tokens, r->cached, r->vms_len);
+    rk_prefix_index_match(r->prefixes, job->prompt, r->prefilled_tokens,
+                          r->cache_tokens, r->cached, r->vms_len);
     struct holders h = find_holders(r, job, now_ms);
     struct prefix_calls *prefix = rk_router_prefix_calls(r, job);
     /* Each of the other nodes is assumed to have as many calls of this prefix. */
@@ -173,7 +173,7 @@
         if (!is_candidate(r, job, i, now_ms) || (limited && !has_room(v, now_ms)))
             continue;
         double load = rk_router_load(v, now_ms);
-        uint64_t weight = rk_rendezvous((uint64_t)job->submitted_ms, v->id);
+        uint64_t weight = rk_rendezvous_weight((uint64_t)job->submitted_ms, v->id);
         if (best < 0 || load < best_load ||
             (load == best_load && weight > best_weight)) {
             best = (int)i;
@@ -202,7 +202,7 @@
     uint64_t root = job->prompt ? job->prompt->root : 0, best_weight = 0;
     int best = -1;
     for (size_t i = 0; i < r->vms_len; i++) {
-        uint64_t weight = rk_rendezvous(root, r->vms[i].id);
+        uint64_t weight = rk_rendezvous_weight(root, r->vms[i].id);
         if (is_candidate(r, job, i, now_ms) && (best < 0 || weight > best_weight)) {
             best = (int)i;
             best_weight = weight;
--- a/core/claims.c
+++ b/core/claims.c
@@ -56,12 +56,12 @@
     free(c);
 }
 
-size_t rk_claims_keys(const struct rk_claims *c)
+size_t rk_claims_key_count(const struct rk_claims *c)
 {
     return c->entries;
 }
 
-void rk_claims_set_away(struct rk_claims *c, bool away)
+void rk_claims_set_platform_down(struct rk_claims *c, bool away)
 {
     c->platform_down = away;
 }
@@ -310,13 +310,13 @@
     }
     e->state = ENTRY_IN_DOUBT;
     e->in_batch = false;
-    rk_claim_decide_all(c, e, RK_CLAIM_FOREIGN, RK_MAY_HAVE_RUN, NULL, 0,
+    rk_claim_decide_all(c, e, RK_CLAIM_IN_DOUBT, RK_MAY_HAVE_RUN, NULL, 0,
                         "the key may have run under another node");
 }
 
 /* Takes over a slot that was read, and its keys unless they are past the
  * retention. */
-static void load_slot(struct rk_claims *c, const struct rk_slot_read *r,
+static void load_slot(struct rk_claims *c, const struct rk_claim_slot_value *r,
                       int64_t now_ms, int64_t wall_ms)
 {
     struct json_object *o = json_tokener_parse(r->value), *keys = NULL, *v;
@@ -349,8 +349,8 @@
 }
 
 void rk_claims_on_ring(struct rk_claims *c, enum rk_status st,
-                       const struct rk_slot_read *slots, size_t len, int64_t now_ms,
-                       int64_t wall_ms)
+                       const struct rk_claim_slot_value *slots, size_t len,
+                       int64_t now_ms, int64_t wall_ms)
 {
     assert(c->state == OWNER_READING);
     if (st != RK_OK) {
@@ -388,7 +388,7 @@
                         e->has_answer ? &e->answer : NULL, 0, "the key ran before");
         return true;
     case ENTRY_IN_DOUBT:
-        rk_claim_decide(c, key, ticket, RK_CLAIM_FOREIGN, RK_MAY_HAVE_RUN, NULL, 0,
+        rk_claim_decide(c, key, ticket, RK_CLAIM_IN_DOUBT, RK_MAY_HAVE_RUN, NULL, 0,
                         "the key may have run before");
         return true;
     case ENTRY_RUNNING:
@@ -406,8 +406,8 @@
     return false;
 }
 
-void rk_claims_ask(struct rk_claims *c, uint64_t ticket, struct rk_claim_key key,
-                   bool local, int64_t now_ms)
+void rk_claims_request(struct rk_claims *c, uint64_t ticket,
+                       struct rk_claim_key key, bool local, int64_t now_ms)
 {
     if (c->tickets >= c->cfg.max_tickets) {
         rk_claim_decide(c, &key, ticket, RK_CLAIM_REFUSED, RK_MAY_HAVE_RUN, NULL,
@@ -477,7 +477,7 @@
         break;
     case RK_MAY_HAVE_RUN:
         e->state = ENTRY_IN_DOUBT;
-        rk_claim_decide_all(c, e, RK_CLAIM_FOREIGN, RK_MAY_HAVE_RUN, NULL, 0,
+        rk_claim_decide_all(c, e, RK_CLAIM_IN_DOUBT, RK_MAY_HAVE_RUN, NULL, 0,
                             "the call this one joined may have run");
         break;
     }
--- a/core/claims.h
+++ b/core/claims.h
@@ -10,7 +10,7 @@
  * that the old owner would write next, so the next write of the old owner fails:
  * the write is the fence. This doesn't depend on clocks, leases or pauses. A write
  * whose answer was lost is read back before its claims are granted; those that time
- * out meanwhile are refused, or granted from memory (see rk_claims_ask()).
+ * out meanwhile are refused, or granted from memory (see rk_claims_request()).
  *
  * Does no I/O: requests it through ops and gets the answers by rk_claims_on_*().
  * Control thread only. */
@@ -62,7 +62,7 @@
     RK_CLAIM_GRANTED,
     RK_CLAIM_REPLAY,   /* the key ran: send its answer, if there is one */
     RK_CLAIM_MISMATCH, /* the key was used for a different request */
-    RK_CLAIM_FOREIGN,  /* the key may have run, under an earlier owner or here */
+    RK_CLAIM_IN_DOUBT, /* the key may have run, under an earlier owner or here */
     RK_CLAIM_REFUSED,  /* the key was not claimed for this call: don't run it */
 };
 
@@ -115,8 +115,8 @@
  * decision, maybe before this returns. local: if the platform doesn't answer in
  * time, the claim may be granted from memory. Here and below, now_ms is the
  * monotonic clock and wall_ms the wall clock. */
-void rk_claims_ask(struct rk_claims *c, uint64_t ticket, struct rk_claim_key key,
-                   bool local, int64_t now_ms);
+void rk_claims_request(struct rk_claims *c, uint64_t ticket,
+                       struct rk_claim_key key, bool local, int64_t now_ms);
 
 /* Cancels a ticket that was not decided yet; does nothing otherwise. */
 void rk_claims_cancel(struct rk_claims *c, uint64_t ticket);
@@ -136,10 +136,10 @@
 
 /* Sets whether the platform answers none of this node's calls. While it doesn't,
  * claims wait for it only a tenth of the usual time. */
-void rk_claims_set_away(struct rk_claims *c, bool away);
+void rk_claims_set_platform_down(struct rk_claims *c, bool away);
 
 /* A slot as the platform has it. */
-struct rk_slot_read {
+struct rk_claim_slot_value {
     unsigned slot;
     int64_t version;
     const char *value;
@@ -149,14 +149,14 @@
  * RK_ECONFLICT that a slot's version was not the expected one, and RK_ENOTFOUND
  * that the slot read is absent. slots and value are borrowed for the call. */
 void rk_claims_on_ring(struct rk_claims *c, enum rk_status st,
-                       const struct rk_slot_read *slots, size_t len, int64_t now_ms,
-                       int64_t wall_ms);
+                       const struct rk_claim_slot_value *slots, size_t len,
+                       int64_t now_ms, int64_t wall_ms);
 void rk_claims_on_written(struct rk_claims *c, enum rk_status st, int64_t version,
                           int64_t now_ms, int64_t wall_ms);
 void rk_claims_on_slot(struct rk_claims *c, enum rk_status st, int64_t version,
                        const char *value, int64_t now_ms, int64_t wall_ms);
 
 /* Returns the number of keys in memory. */
-size_t rk_claims_keys(const struct rk_claims *c);
+size_t rk_claims_key_count(const struct rk_claims *c);
 
 #endif
--- a/core/completion.c
+++ b/core/completion.c
@@ -10,7 +10,7 @@
 
 /* Adds the contents of all messages to the prompt, separated by blanks. */
 static enum rk_status read_messages(struct json_object *o,
-                                    struct rk_prompt_reader *r)
+                                    struct rk_prompt_builder *r)
 {
     struct json_object *messages = rk_json_get(o, "messages");
     if (!json_object_is_type(messages, json_type_array) ||
@@ -29,7 +29,8 @@
     return RK_OK;
 }
 
-static enum rk_status read_prompt(struct json_object *o, struct rk_prompt_reader *r)
+static enum rk_status read_prompt(struct json_object *o,
+                                  struct rk_prompt_builder *r)
 {
     struct json_object *prompt = rk_json_get(o, "prompt");
     if (!json_object_is_type(prompt, json_type_string))
@@ -72,7 +73,7 @@
         st = rk_fail(RK_EINVAL, "body: expected a JSON object");
         goto done;
     }
-    struct rk_prompt_reader reader;
+    struct rk_prompt_builder reader;
     rk_prompt_begin(&reader, prompt);
     st = read_options(o, out);
     if (st == RK_OK)
--- a/core/config.c
+++ b/core/config.c
@@ -244,8 +244,8 @@
     return rk_config_policy(c, service, "");
 }
 
-const struct rk_policy *rk_config_model(const struct rk_config *c,
-                                        const char *model)
+const struct rk_policy *rk_config_policy_of_model(const struct rk_config *c,
+                                                  const char *model)
 {
     for (size_t i = 0; i < c->policies_len; i++)
         if (c->policies[i].engine && !c->policies[i].call[0] &&
--- a/core/config.h
+++ b/core/config.h
@@ -93,8 +93,8 @@
                                          const char *service, const char *call);
 
 /* Returns the policy of the engine service that serves a model; NULL: none does. */
-const struct rk_policy *rk_config_model(const struct rk_config *c,
-                                        const char *model);
+const struct rk_policy *rk_config_policy_of_model(const struct rk_config *c,
+                                                  const char *model);
 
 /* Returns an organisation by name; NULL: unknown. */
 const struct rk_org *rk_config_org(const struct rk_config *c, const char *name);
--- a/core/dialect.c
+++ b/core/dialect.c
@@ -13,7 +13,8 @@
     return false;
 }
 
-enum rk_header_owner rk_dialect_owner(const struct rk_dialect *d, const char *name)
+enum rk_header_owner rk_dialect_header_owner(const struct rk_dialect *d,
+                                             const char *name)
 {
     /* This node answers "Expect" itself: it reads the whole body before it sends a
      * byte to an upstream. */
@@ -24,8 +25,8 @@
                                    d->resume_after};
     if (is_one_of(reserved, RK_ARRAY_LEN(reserved), name) ||
         is_one_of(d->reserved_headers, d->reserved_headers_len, name))
-        return RK_HEADER_OURS;
+        return RK_HEADER_RESERVED;
     if (is_one_of(callers, RK_ARRAY_LEN(callers), name))
-        return RK_HEADER_CALLERS;
+        return RK_HEADER_CALLER;
     return RK_HEADER_OTHER;
 }
--- a/core/dialect.h
+++ b/core/dialect.h
@@ -53,12 +53,13 @@
 
 /* Whether a header of a caller's request goes to the upstream. */
 enum rk_header_owner {
-    RK_HEADER_CALLERS, /* meant for the upstream: always passed on */
-    RK_HEADER_OURS,    /* reserved for this system: dropped */
-    RK_HEADER_OTHER,   /* passed on, unless it concerns only the connection */
+    RK_HEADER_CALLER,   /* meant for the upstream: always passed on */
+    RK_HEADER_RESERVED, /* reserved for this system: dropped */
+    RK_HEADER_OTHER,    /* passed on, unless it concerns only the connection */
 };
 
 /* Returns to whom a request header belongs; name is compared without case. */
-enum rk_header_owner rk_dialect_owner(const struct rk_dialect *d, const char *name);
+enum rk_header_owner rk_dialect_header_owner(const struct rk_dialect *d,
+                                             const char *name);
 
 #endif
--- a/core/engine.c
+++ b/core/engine.c
@@ -108,7 +108,7 @@
     solve(e);
 }
 
-bool rk_engine_is_sound(const struct rk_engine_estimate *estimate)
+bool rk_engine_is_valid(const struct rk_engine_estimate *estimate)
 {
     const double values[] = {estimate->fixed_ms,           estimate->ktoken_ms,
                              estimate->unloaded_ktoken_ms, estimate->running_ms,
@@ -185,16 +185,16 @@
     update_unloaded(e);
 }
 
-double rk_engine_first_ms(const struct rk_engine *e,
-                          const struct rk_engine_load *load)
+double rk_engine_predict_ms(const struct rk_engine *e,
+                            const struct rk_engine_load *load)
 {
     double x[RK_ENGINE_TERMS];
     terms_of(load, x);
     return dot(e->coef, x);
 }
 
-struct rk_engine_forecast rk_engine_first(const struct rk_engine *e,
-                                          const struct rk_engine_load *load)
+struct rk_engine_forecast rk_engine_predict(const struct rk_engine *e,
+                                            const struct rk_engine_load *load)
 {
     double x[RK_ENGINE_TERMS], variance = 0;
     terms_of(load, x);
@@ -206,7 +206,7 @@
     };
 }
 
-struct rk_engine_estimate rk_engine_learnt(const struct rk_engine *e)
+struct rk_engine_estimate rk_engine_get_estimate(const struct rk_engine *e)
 {
     return (struct rk_engine_estimate){.fixed_ms = e->coef[0],
                                        .ktoken_ms = e->coef[1],
--- a/core/engine.h
+++ b/core/engine.h
@@ -65,12 +65,12 @@
 void rk_engine_learn(struct rk_engine *e, const struct rk_engine_load *load,
                      double first_ms);
 
-/* Returns the expected time to first token in ms; rk_engine_first() also returns
+/* Returns the expected time to first token in ms; rk_engine_predict() also returns
  * its standard error. */
-double rk_engine_first_ms(const struct rk_engine *e,
-                          const struct rk_engine_load *load);
-struct rk_engine_forecast rk_engine_first(const struct rk_engine *e,
-                                          const struct rk_engine_load *load);
+double rk_engine_predict_ms(const struct rk_engine *e,
+                            const struct rk_engine_load *load);
+struct rk_engine_forecast rk_engine_predict(const struct rk_engine *e,
+                                            const struct rk_engine_load *load);
 
 /* Sets the prior to the estimate of peers; ignored if it has no samples. */
 void rk_engine_set_prior(struct rk_engine *e,
@@ -78,11 +78,11 @@
 
 /* Returns whether the values are possible. A peer or the store may send
  * anything. */
-bool rk_engine_is_sound(const struct rk_engine_estimate *estimate);
+bool rk_engine_is_valid(const struct rk_engine_estimate *estimate);
 
 /* Returns the estimate. samples counts this node's own calls only, so estimates of
  * peers are not reported again. */
-struct rk_engine_estimate rk_engine_learnt(const struct rk_engine *e);
+struct rk_engine_estimate rk_engine_get_estimate(const struct rk_engine *e);
 
 /* Returns the prompt tokens/s that an engine with this estimate reads. */
 double rk_engine_read_per_s(const struct rk_engine_estimate *estimate);
--- a/core/events.c
+++ b/core/events.c
@@ -47,8 +47,8 @@
     }
 }
 
-void rk_events_feed(struct rk_events *e, const char *data, size_t len,
-                    rk_event_fn *fn, void *ctx)
+void rk_event_splitter_feed(struct rk_event_splitter *e, const char *data,
+                            size_t len, rk_event_splitter_fn *fn, void *ctx)
 {
     if (e->failed)
         return;
@@ -69,12 +69,12 @@
     rk_buf_consume(&e->partial, at);
 }
 
-void rk_events_restart(struct rk_events *e)
+void rk_event_splitter_restart(struct rk_event_splitter *e)
 {
     e->partial.len = 0;
 }
 
-void rk_events_free(struct rk_events *e)
+void rk_event_splitter_free(struct rk_event_splitter *e)
 {
     rk_buf_free(&e->partial);
 }
--- a/core/events.h
+++ b/core/events.h
@@ -13,7 +13,7 @@
 #define RK_EVENT_MAX    (256 * 1024) /* bytes */
 
 /* A splitter; zeroed, it is ready for use. */
-struct rk_events {
+struct rk_event_splitter {
     struct rk_buf partial;         /* bytes of an event that is not complete yet */
     char last_id[RK_EVENT_ID_MAX]; /* id of the last event that had one */
     bool failed;                   /* the buffer would have exceeded RK_EVENT_MAX */
@@ -22,16 +22,17 @@
 /* Takes one whole event of len bytes, its empty line included, and its id ("": it
  * has none, or a longer one than RK_EVENT_ID_MAX holds). data is borrowed for the
  * call. */
-typedef void rk_event_fn(void *ctx, const char *data, size_t len, const char *id);
+typedef void rk_event_splitter_fn(void *ctx, const char *data, size_t len,
+                                  const char *id);
 
 /* Adds bytes of the stream, and calls fn for each event that they complete. Once
  * e->failed is set, further bytes are ignored. */
-void rk_events_feed(struct rk_events *e, const char *data, size_t len,
-                    rk_event_fn *fn, void *ctx);
+void rk_event_splitter_feed(struct rk_event_splitter *e, const char *data,
+                            size_t len, rk_event_splitter_fn *fn, void *ctx);
 
 /* Drops an incomplete event, because the stream of another VM begins. */
-void rk_events_restart(struct rk_events *e);
+void rk_event_splitter_restart(struct rk_event_splitter *e);
 /* Frees the buffer; the struct itself is the caller's. */
-void rk_events_free(struct rk_events *e);
+void rk_event_splitter_free(struct rk_event_splitter *e);
 
 #endif
--- a/core/following.h
+++ b/core/following.h
@@ -10,22 +10,22 @@
 #include <stdint.h>
 
 /* Interval between two decisions. */
-#define RK_FOLLOWING_TICK_MS 250
+#define RK_WATCH_POLICY_CHECK_MS 250
 /* A watch of the store ends after this time without a change, which confirms
  * that there was none. A watch that hangs must be noticed within the time in
  * which nodes detect lost peers. And an answer that is one watch and one report
  * old must not look like a store that was unavailable for as long as list
  * entries need to expire, 2.4 s: with watches of 2.5 s it did in 1 of 3 runs of
  * a test that ran beside others. */
-#define RK_FOLLOWING_WATCH_MS 1400
+#define RK_WATCH_POLICY_TIMEOUT_MS 1400
 /* A node starts to watch when its knowledge was not confirmed for so long. A
  * watch plus the transfer of its result to peers takes less. */
-#define RK_FOLLOWING_STALE_MS 1950
+#define RK_WATCH_POLICY_STALE_MS 1950
 /* Additional time for each node that ranks before it. */
-#define RK_FOLLOWING_STAGGER_MS 100
+#define RK_WATCH_POLICY_STAGGER_MS 100
 
 /* State of a node on which the decision is based. */
-struct rk_following {
+struct rk_watch_policy_input {
     bool first_start;    /* first start of the deployment: nothing runs yet */
     int64_t up_ms;       /* time since this node's start */
     bool listed;         /* knows which other nodes exist */
@@ -46,6 +46,6 @@
  * knowledge look current, so it must not stop for that. When it did, a domain of
  * 9 nodes, the first two of which the store refused, got no changes for 0.44 of
  * the time; now it is 0.00 of the time (tests/prop_following.cc). */
-bool rk_following_should(const struct rk_following *f);
+bool rk_watch_policy_is_needed(const struct rk_watch_policy_input *f);
 
 #endif
--- a/core/holding.c
+++ b/core/holding.c
@@ -15,21 +15,21 @@
 #define SLOWDOWN_MAX     4.0 /* maximum slowdown of an engine against assumptions */
 #define STOP_SHARE       0.5 /* of the surplus substitutes, stopped at a time */
 
-double rk_holding_need(double read_per_s, double vm_per_s, double running,
-                       double slots)
+double rk_sizing_need(double read_per_s, double vm_per_s, double running,
+                      double slots)
 {
     double by_reading = read_per_s / (vm_per_s * READ_SHARE);
     double by_running = slots > 0 ? running / (slots * RUNNING_SHARE) : 0;
     return by_reading > by_running ? by_reading : by_running;
 }
 
-double rk_holding_most(double quotas_per_s, double vm_per_s)
+double rk_sizing_max_need(double quotas_per_s, double vm_per_s)
 {
-    return rk_holding_need(quotas_per_s, vm_per_s, 0, 0) * SLOWDOWN_MAX;
+    return rk_sizing_need(quotas_per_s, vm_per_s, 0, 0) * SLOWDOWN_MAX;
 }
 
-double rk_holding_smooth(double before, double now, int64_t passed_ms,
-                         double halved_ms)
+double rk_sizing_smooth(double before, double now, int64_t passed_ms,
+                        double halved_ms)
 {
     double remaining = before * exp2(-(double)passed_ms / halved_ms);
     return now > remaining ? now : remaining;
@@ -47,8 +47,8 @@
 
 /* Returns how many more VMs the platform allows in a domain. Reclaimable VMs that
  * cannot be had do not count against its limit. */
-static int free_vms(const struct rk_holding_input *in,
-                    const struct rk_holding_target *targets, size_t i)
+static int free_vms(const struct rk_sizing_input *in,
+                    const struct rk_sizing_target *targets, size_t i)
 {
     int reclaimable = targets[i].reclaimable;
     if (in->all_exhausted)
@@ -58,8 +58,8 @@
 
 /* Returns whether one more reclaimable VM would have to be started in a domain that
  * has none to give. */
-static bool is_exhausted(const struct rk_holding_input *in,
-                         const struct rk_holding_target *targets, size_t i)
+static bool is_exhausted(const struct rk_sizing_input *in,
+                         const struct rk_sizing_target *targets, size_t i)
 {
     return in->domains[i].no_reclaimable &&
            targets[i].reclaimable >= in->domains[i].reclaimable;
@@ -67,8 +67,8 @@
 
 /* Returns the domain for one more reclaimable VM: the one with the fewest, then the
  * cheapest; -1: none. */
-static int next_reclaimable(const struct rk_holding_input *in,
-                            const struct rk_holding_target *targets)
+static int next_reclaimable(const struct rk_sizing_input *in,
+                            const struct rk_sizing_target *targets)
 {
     int best = -1;
     for (size_t i = 0; i < in->domains_len; i++) {
@@ -85,13 +85,13 @@
 
 /* Returns the domain for one more on-demand VM: one that already holds or boots it,
  * or else the cheapest with room; -1: none. */
-static int next_on_demand(const struct rk_holding_input *in,
-                          const struct rk_holding_target *targets)
+static int next_on_demand(const struct rk_sizing_input *in,
+                          const struct rk_sizing_target *targets)
 {
     int best = -1;
     bool best_held = false;
     for (size_t i = 0; i < in->domains_len; i++) {
-        const struct rk_holding_domain *d = &in->domains[i];
+        const struct rk_sizing_domain *d = &in->domains[i];
         bool held = targets[i].on_demand < d->on_demand + d->booting;
         if (free_vms(in, targets, i) <= 0 && !held)
             continue;
@@ -104,8 +104,8 @@
     return best;
 }
 
-static int planned_vms(const struct rk_holding_input *in,
-                       const struct rk_holding_target *targets)
+static int planned_vms(const struct rk_sizing_input *in,
+                       const struct rk_sizing_target *targets)
 {
     int sum = 0;
     for (size_t i = 0; i < in->domains_len; i++)
@@ -113,8 +113,8 @@
     return sum;
 }
 
-static int sum_reclaimable(const struct rk_holding_input *in,
-                           const struct rk_holding_target *targets)
+static int sum_reclaimable(const struct rk_sizing_input *in,
+                           const struct rk_sizing_target *targets)
 {
     int sum = 0;
     for (size_t i = 0; i < in->domains_len; i++)
@@ -123,8 +123,8 @@
 }
 
 /* Returns the minimum number of reclaimable VMs of a domain. */
-static int min_reclaimable(const struct rk_holding_input *in,
-                           const struct rk_holding_target *targets, size_t i)
+static int min_reclaimable(const struct rk_sizing_input *in,
+                           const struct rk_sizing_target *targets, size_t i)
 {
     int minimum = min(RECLAIMABLE_MIN, free_vms(in, targets, i));
     return in->domains[i].no_reclaimable ? min(minimum, in->domains[i].reclaimable)
@@ -134,8 +134,8 @@
 /* While fewer reclaimable VMs are in service than planned, no domain stops any: VMs
  * that make up for a reclaim in another domain stay until that domain's
  * replacements are in service. */
-static void keep_until_replaced(const struct rk_holding_input *in,
-                                struct rk_holding_target *targets)
+static void keep_until_replaced(const struct rk_sizing_input *in,
+                                struct rk_sizing_target *targets)
 {
     int held = 0, needed = sum_reclaimable(in, targets);
     for (size_t i = 0; i < in->domains_len; i++)
@@ -150,7 +150,7 @@
 /* Returns the on-demand VMs to hold above the floor. Once all planned reclaimable
  * VMs are in service, the substitutes are stopped at once: 25 of them for 8 s more
  * cost a hundredth of the value of a minute's calls. */
-static int substitutes(const struct rk_holding_input *in, int floor,
+static int substitutes(const struct rk_sizing_input *in, int floor,
                        int planned_reclaimable, bool cheaper)
 {
     int on_demand = 0, reclaimable = 0;
@@ -173,11 +173,11 @@
 
 /* Raises the targets to what is held. The VMs were ordered for a demand that this
  * process has not observed, or a rollout is moving calls. */
-static void keep_held(const struct rk_holding_input *in,
-                      struct rk_holding_target *targets)
+static void keep_held(const struct rk_sizing_input *in,
+                      struct rk_sizing_target *targets)
 {
     for (size_t i = 0; i < in->domains_len; i++) {
-        const struct rk_holding_domain *d = &in->domains[i];
+        const struct rk_sizing_domain *d = &in->domains[i];
         int on_demand = max(targets[i].on_demand, d->on_demand);
         int reclaimable = max(targets[i].reclaimable, d->reclaimable);
         /* Where the platform allows no more, additions are dropped rather than VMs
@@ -190,12 +190,12 @@
     }
 }
 
-void rk_holding_plan(const struct rk_holding_input *in,
-                     struct rk_holding_target targets[RK_HOLDING_DOMAINS])
+void rk_sizing_plan(const struct rk_sizing_input *in,
+                    struct rk_sizing_target targets[RK_SIZING_DOMAINS])
 {
     bool cheaper = in->spot_price > 0 && in->spot_price < 1;
     int total = (int)ceil(in->need), floor = 0;
-    memset(targets, 0, RK_HOLDING_DOMAINS * sizeof(*targets));
+    memset(targets, 0, RK_SIZING_DOMAINS * sizeof(*targets));
     for (size_t i = 0; i < in->domains_len; i++) {
         targets[i].on_demand = in->min_vms > 1 ? in->min_vms : 1;
         floor += targets[i].on_demand;
--- a/core/lease.c
+++ b/core/lease.c
@@ -10,8 +10,8 @@
     return l->ttl_ms - l->ttl_ms * RK_LEASE_MARGIN_PCT / 100;
 }
 
-void rk_lease_seen(struct rk_lease *l, int64_t version, const char *value,
-                   int64_t now_ms)
+void rk_lease_read_done(struct rk_lease *l, int64_t version, const char *value,
+                        int64_t now_ms)
 {
     bool first = !l->seen_ms;
     /* Versions only rise: a read without a higher version is stale or has nothing
@@ -44,8 +44,8 @@
            !strncmp(l->seen_holder, l->holder, name);
 }
 
-bool rk_lease_wants(struct rk_lease *l, int64_t now_ms,
-                    char value[RK_LEASE_VALUE_MAX], int64_t *expect)
+bool rk_lease_next_write(struct rk_lease *l, int64_t now_ms,
+                         char value[RK_LEASE_VALUE_MAX], int64_t *expect)
 {
     bool renew = l->held && now_ms - l->renewed_ms >= l->ttl_ms / 3;
     bool expired = l->seen_ms && (!l->version || held_by_past_incarnation(l) ||
@@ -69,8 +69,8 @@
     return true;
 }
 
-void rk_lease_written(struct rk_lease *l, enum rk_status st, int64_t version,
-                      int64_t now_ms)
+void rk_lease_write_done(struct rk_lease *l, enum rk_status st, int64_t version,
+                         int64_t now_ms)
 {
     if (st == RK_OK) {
         l->held = true;
--- a/core/lease.h
+++ b/core/lease.h
@@ -41,18 +41,18 @@
 
 /* Processes a read of the object; version 0 if it is absent, and then value is not
  * used. */
-void rk_lease_seen(struct rk_lease *l, int64_t version, const char *value,
-                   int64_t now_ms);
+void rk_lease_read_done(struct rk_lease *l, int64_t version, const char *value,
+                        int64_t now_ms);
 
 /* Returns whether to write the object now, to renew or take the lease. If so, fills
  * value, and *expect with the version on which the write must be conditional. */
-bool rk_lease_wants(struct rk_lease *l, int64_t now_ms,
-                    char value[RK_LEASE_VALUE_MAX], int64_t *expect);
+bool rk_lease_next_write(struct rk_lease *l, int64_t now_ms,
+                         char value[RK_LEASE_VALUE_MAX], int64_t *expect);
 
 /* Processes the result of that write; version is the new one if st is RK_OK. After
  * RK_EUNKNOWN the caller must read the object before anything else. */
-void rk_lease_written(struct rk_lease *l, enum rk_status st, int64_t version,
-                      int64_t now_ms);
+void rk_lease_write_done(struct rk_lease *l, enum rk_status st, int64_t version,
+                         int64_t now_ms);
 
 /* Returns whether orders may be sent now; if so, sets *epoch to their epoch. */
 bool rk_lease_valid(const struct rk_lease *l, int64_t now_ms, int64_t *epoch);
--- a/core/members.c
+++ b/core/members.c
@@ -233,7 +233,7 @@
     return relevant;
 }
 
-void rk_members_set_head(struct rk_members *m, int64_t head)
+void rk_members_set_applied_version(struct rk_members *m, int64_t head)
 {
     struct rk_member *self = &m->members[0];
     assert(head >= self->applied_version);
@@ -269,7 +269,7 @@
         set_state(m, &m->members[i], RK_MEMBER_SUSPECT, -1, now_ms);
 }
 
-void rk_members_heard(struct rk_members *m, const char *id, int64_t now_ms)
+void rk_members_responded(struct rk_members *m, const char *id, int64_t now_ms)
 {
     int i = rk_members_index(m, id);
     /* Clears only this node's own suspicion; the member itself refutes those of
@@ -293,7 +293,7 @@
     return any;
 }
 
-void rk_members_forget(struct rk_members *m, int64_t keep_ms, int64_t now_ms)
+void rk_members_remove_old(struct rk_members *m, int64_t keep_ms, int64_t now_ms)
 {
     size_t before = m->members_len + m->vms_len;
     for (size_t i = 1; i < m->members_len;) {
@@ -384,8 +384,8 @@
         update_load(m, v, load_seq, running, queued, source, now_ms);
 }
 
-void rk_members_polled(struct rk_members *m, uint32_t hash, uint64_t load_seq,
-                       uint32_t running, uint32_t queued, int64_t now_ms)
+void rk_members_load_polled(struct rk_members *m, uint32_t hash, uint64_t load_seq,
+                            uint32_t running, uint32_t queued, int64_t now_ms)
 {
     struct rk_vm *v = vm_by_hash(m, hash, NULL);
     if (!v)
@@ -421,7 +421,7 @@
     }
 }
 
-uint64_t rk_members_mark(const struct rk_members *m)
+uint64_t rk_members_high_water(const struct rk_members *m)
 {
     return m->seq;
 }
--- a/core/members.h
+++ b/core/members.h
@@ -111,27 +111,28 @@
 /* Records a load poll by this node. A change of at most a quarter of the recorded
  * load counts as none, as passing it on costs more than it is worth. An unchanged
  * load is passed on now and then, so that peers know it is still valid. */
-void rk_members_polled(struct rk_members *m, uint32_t id_hash, uint64_t load_seq,
-                       uint32_t running, uint32_t queued, int64_t now_ms);
+void rk_members_load_polled(struct rk_members *m, uint32_t id_hash,
+                            uint64_t load_seq, uint32_t running, uint32_t queued,
+                            int64_t now_ms);
 
 /* Set this node's own attributes. head must not decrease. A spare value that
  * differs by at most a quarter from the last one is ignored, which saves
  * messages. */
-void rk_members_set_head(struct rk_members *m, int64_t head);
+void rk_members_set_applied_version(struct rk_members *m, int64_t head);
 void rk_members_set_spare(struct rk_members *m, uint32_t spare);
 void rk_members_set_leaving(struct rk_members *m);
 
 /* Record that a probe of a member failed, or that the member responded. Calls for
  * unknown members and for this node are ignored. */
 void rk_members_suspect(struct rk_members *m, const char *id, int64_t now_ms);
-void rk_members_heard(struct rk_members *m, const char *id, int64_t now_ms);
+void rk_members_responded(struct rk_members *m, const char *id, int64_t now_ms);
 
 /* Marks members dead that have been suspect for at least timeout_ms. Returns
  * whether there were any. */
 bool rk_members_expire(struct rk_members *m, int64_t timeout_ms, int64_t now_ms);
 
 /* Removes rows of dead members and gone VMs after keep_ms. */
-void rk_members_forget(struct rk_members *m, int64_t keep_ms, int64_t now_ms);
+void rk_members_remove_old(struct rk_members *m, int64_t keep_ms, int64_t now_ms);
 
 /* Rows to send to a peer: those that changed after `mark` and that this peer
  * (index; -1: include all) did not report itself. next_mark is the mark for the
@@ -157,9 +158,10 @@
 
 /* Returns the current change number, the mark for a peer that needs only later
  * changes. */
-uint64_t rk_members_mark(const struct rk_members *m);
+uint64_t rk_members_high_water(const struct rk_members *m);
 
-/* Returns the index of a member, or -1. Indices change in rk_members_forget(). */
+/* Returns the index of a member, or -1. Indices change in rk_members_remove_old().
+ */
 int rk_members_index(const struct rk_members *m, const char *id);
 
 #endif
--- a/core/names.c
+++ b/core/names.c
@@ -14,8 +14,8 @@
 }
 
 /* Returns the slot of a name, or the free slot where it belongs. */
-static size_t slot_of(const struct rk_names *n, const void *rows, size_t row_size,
-                      const char *name)
+static size_t slot_of(const struct rk_name_index *n, const void *rows,
+                      size_t row_size, const char *name)
 {
     size_t slot = rk_hash_str(0, name) & (n->cap - 1);
     while (n->slots[slot] &&
@@ -24,8 +24,8 @@
     return slot;
 }
 
-size_t rk_names_find(const struct rk_names *n, const void *rows, size_t row_size,
-                     const char *name)
+size_t rk_name_index_find(const struct rk_name_index *n, const void *rows,
+                          size_t row_size, const char *name)
 {
     if (!n->len)
         return RK_NO_ROW;
@@ -33,7 +33,8 @@
     return entry ? entry - 1 : RK_NO_ROW;
 }
 
-static void insert(struct rk_names *n, const void *rows, size_t row_size, size_t at)
+static void insert(struct rk_name_index *n, const void *rows, size_t row_size,
+                   size_t at)
 {
     const char *name = name_at(rows, row_size, at);
     n->slots[slot_of(n, rows, row_size, name)] = (uint32_t)at + 1;
@@ -41,7 +42,7 @@
 
 /* Doubles the table and indexes all rows again. At most half of the slots are used,
  * so that each search ends at a free one. */
-static void grow(struct rk_names *n, const void *rows, size_t row_size)
+static void grow(struct rk_name_index *n, const void *rows, size_t row_size)
 {
     free(n->slots);
     n->cap = n->cap ? n->cap * 2 : INITIAL_SLOTS;
@@ -50,7 +51,8 @@
         insert(n, rows, row_size, i);
 }
 
-void rk_names_add(struct rk_names *n, const void *rows, size_t row_size, size_t at)
+void rk_name_index_add(struct rk_name_index *n, const void *rows, size_t row_size,
+                       size_t at)
 {
     if ((n->len + 1) * 2 > n->cap)
         grow(n, rows, row_size);
@@ -58,8 +60,8 @@
     n->len++;
 }
 
-void *rk_names_append(struct rk_names *n, void *rows, size_t *len, size_t *cap,
-                      size_t row_size, const char *name)
+void *rk_name_index_append(struct rk_name_index *n, void *rows, size_t *len,
+                           size_t *cap, size_t row_size, const char *name)
 {
     if (*len == *cap) {
         *cap = *cap ? *cap * 2 : INITIAL_ROWS;
@@ -68,19 +70,19 @@
     char *row = (char *)rows + *len * row_size;
     memset(row, 0, row_size);
     rk_strcpy(row, RK_ID_MAX, name);
-    rk_names_add(n, rows, row_size, (*len)++);
+    rk_name_index_add(n, rows, row_size, (*len)++);
     return rows;
 }
 
-void rk_names_clear(struct rk_names *n)
+void rk_name_index_clear(struct rk_name_index *n)
 {
     if (n->len)
         memset(n->slots, 0, n->cap * sizeof(*n->slots));
     n->len = 0;
 }
 
-void rk_names_free(struct rk_names *n)
+void rk_name_index_free(struct rk_name_index *n)
 {
     free(n->slots);
-    *n = (struct rk_names){0};
+    *n = (struct rk_name_index){0};
 }
--- a/core/org_uses.c
+++ b/core/org_uses.c
@@ -17,11 +17,11 @@
 /* Units change only when calls are admitted or refunded, so a record with unchanged
  * units holds no update. Demand decays without an event and is sent until it is
  * below DEMAND_MIN. */
-bool rk_org_use_is_news(const struct rk_org_use *use, struct rk_tally *told)
+bool rk_org_use_changed(const struct rk_org_use *use, struct rk_totals *told)
 {
-    bool changed = use->units != rk_tally_total(told, use->org);
+    bool changed = use->units != rk_totals_value(told, use->org);
     if (changed)
-        *rk_tally_at(told, use->org) = use->units;
+        *rk_totals_get(told, use->org) = use->units;
     return changed || use->demand_per_s >= DEMAND_MIN;
 }
 
@@ -33,22 +33,23 @@
 
 bool rk_org_uses_has(const struct rk_org_uses *u, const char *org)
 {
-    return rk_names_find(&u->names, u->rows, sizeof(*u->rows), org) != RK_NO_ROW;
+    return rk_name_index_find(&u->names, u->rows, sizeof(*u->rows), org) !=
+           RK_NO_ROW;
 }
 
-struct rk_org_use *rk_org_uses_at(struct rk_org_uses *u, const char *org)
+struct rk_org_use *rk_org_uses_get(struct rk_org_uses *u, const char *org)
 {
-    size_t at = rk_names_find(&u->names, u->rows, sizeof(*u->rows), org);
+    size_t at = rk_name_index_find(&u->names, u->rows, sizeof(*u->rows), org);
     if (at != RK_NO_ROW)
         return &u->rows[at];
-    u->rows = rk_names_append(&u->names, u->rows, &u->len, &u->cap,
-                              sizeof(*u->rows), org);
+    u->rows = rk_name_index_append(&u->names, u->rows, &u->len, &u->cap,
+                                   sizeof(*u->rows), org);
     return &u->rows[u->len - 1];
 }
 
-double rk_org_uses_rise(struct rk_org_uses *u, const char *org, double units)
+double rk_org_uses_set_units(struct rk_org_uses *u, const char *org, double units)
 {
-    struct rk_org_use *row = rk_org_uses_at(u, org);
+    struct rk_org_use *row = rk_org_uses_get(u, org);
     double rise = units - row->units;
     row->units = units;
     return rise;
@@ -57,12 +58,12 @@
 void rk_org_uses_clear(struct rk_org_uses *u)
 {
     u->len = 0;
-    rk_names_clear(&u->names);
+    rk_name_index_clear(&u->names);
 }
 
 void rk_org_uses_free(struct rk_org_uses *u)
 {
     free(u->rows);
-    rk_names_free(&u->names);
+    rk_name_index_free(&u->names);
     *u = (struct rk_org_uses){0};
 }
--- a/core/org_uses.h
+++ b/core/org_uses.h
@@ -22,10 +22,10 @@
     double demand_per_s; /* units/s requested by callers, refused calls included */
     /* Units that all nodes used within the quota window, as far as the reporting
      * node knows, per window slice, newest first. */
-    double used_slices[RK_QUOTA_PARTS];
+    double used_slices[RK_QUOTA_SLICES];
     /* Like known, plus persisted usage from before a restart; set only in reports
      * to the control thread. */
-    double persisted_slices[RK_QUOTA_PARTS];
+    double persisted_slices[RK_QUOTA_SLICES];
 };
 
 /* Returns the record of an organisation among len records, or NULL. */
@@ -37,7 +37,7 @@
 /* Returns whether a record has to be sent to peers that have received all earlier
  * updates. told holds the units per organisation that were sent last; it is updated
  * if the units changed. */
-bool rk_org_use_is_news(const struct rk_org_use *use, struct rk_tally *told);
+bool rk_org_use_changed(const struct rk_org_use *use, struct rk_totals *told);
 
 /* ---- receiving ---- */
 
@@ -45,7 +45,7 @@
 struct rk_org_uses {
     struct rk_org_use *rows;
     size_t len, cap;
-    struct rk_names names;
+    struct rk_name_index names;
 };
 
 /* Starts a new report: sets the demand of every record to 0, as records missing
@@ -55,9 +55,9 @@
 bool rk_org_uses_has(const struct rk_org_uses *u, const char *org);
 /* Returns the record of an organisation, added if it is new. Valid until the next
  * one is added. */
-struct rk_org_use *rk_org_uses_at(struct rk_org_uses *u, const char *org);
+struct rk_org_use *rk_org_uses_get(struct rk_org_uses *u, const char *org);
 /* Sets an organisation's units as reported and returns by how much they rose. */
-double rk_org_uses_rise(struct rk_org_uses *u, const char *org, double units);
+double rk_org_uses_set_units(struct rk_org_uses *u, const char *org, double units);
 /* Removes all records. */
 void rk_org_uses_clear(struct rk_org_uses *u);
 /* Frees what u owns and resets it to empty. */
--- a/core/place.c
+++ b/core/place.c
@@ -65,7 +65,7 @@
         free(v);
     }
     free(p->index);
-    rk_speeds_free(&p->speeds);
+    rk_service_speeds_free(&p->speeds);
     rk_vm_signals_free(&p->signals);
     free(p);
 }
@@ -75,9 +75,10 @@
     return p->vms;
 }
 
-struct rk_speed *rk_place_speed_of(struct rk_place *p, const char *service)
+struct rk_service_speed *rk_place_service_speed(struct rk_place *p,
+                                                const char *service)
 {
-    return rk_speeds_of(&p->speeds, service);
+    return rk_service_speeds_get(&p->speeds, service);
 }
 
 /* ---- rows ---- */
@@ -126,10 +127,10 @@
     struct rk_place_vm *v = rk_alloc(1, sizeof(*v));
     index_reserve(p);
     v->row = *row;
-    v->hash = rk_vm_life(row);
+    v->hash = rk_vm_incarnation_hash(row);
     v->cold_until_ms = now_ms + row->cold_ms;
     v->service_hash = (uint32_t)rk_hash_str(0, row->service);
-    v->speed = rk_speeds_of(&p->speeds, row->service);
+    v->speed = rk_service_speeds_get(&p->speeds, row->service);
     v->signal = rk_vm_signals_find(&p->signals, v->hash);
     v->next = p->vms;
     p->vms = v;
@@ -138,12 +139,12 @@
     return v;
 }
 
-bool rk_vm_is_reborn(const struct rk_vm_row *before, const struct rk_vm_row *now)
+bool rk_vm_is_restarted(const struct rk_vm_row *before, const struct rk_vm_row *now)
 {
     return before->started_ms && now->started_ms > before->started_ms;
 }
 
-uint64_t rk_vm_life(const struct rk_vm_row *row)
+uint64_t rk_vm_incarnation_hash(const struct rk_vm_row *row)
 {
     uint64_t hash = rk_hash_str(0, row->id);
     return row->started_ms
@@ -191,11 +192,11 @@
     struct rk_place_vm *v = rk_place_find(p, row->id);
     if (!v)
         v = add_vm(p, row, now_ms);
-    bool restarted = rk_vm_is_reborn(&v->row, row);
+    bool restarted = rk_vm_is_restarted(&v->row, row);
     if (restarted)
         v = start_incarnation(p, v, row, now_ms);
     v->listed = true;
-    if (rk_vm_is_reborn(row, &v->row))
+    if (rk_vm_is_restarted(row, &v->row))
         return false; /* the row is of a past incarnation */
     bool leaving = v->row.leaving || row->leaving || rk_place_advertises_leaving(v);
     if (leaving && !v->leaving_since_ms)
@@ -235,7 +236,7 @@
 
 /* ---- prefix cache ---- */
 
-void rk_place_parse_parts(struct rk_place_query *q, const char *text)
+void rk_place_parse_segments(struct rk_place_query *q, const char *text)
 {
     uint64_t prefix_hash = 0;
     q->segments_len = 0;
@@ -329,8 +330,9 @@
                         const struct rk_place_vm *v)
 {
     return v->listed && !v->row.leaving && v->service_hash == service_hash &&
-           !(v->signal && rk_vm_signal_bars(v->signal)) && matches_version(q, v) &&
-           !is_excluded(q, v) && !strcmp(v->row.service, q->service);
+           !(v->signal && rk_vm_signal_blocks(v->signal)) &&
+           matches_version(q, v) && !is_excluded(q, v) &&
+           !strcmp(v->row.service, q->service);
 }
 
 /* The VMs that all nodes try first for a prefix: the highest ranked ones by
@@ -391,7 +393,7 @@
 /* Returns the costs that are due to the VM's failures, refusals, pause and full
  * slots, less the bonus for a limit that may have been lifted. */
 static double health_penalty_ms(const struct rk_place_vm *v,
-                                const struct rk_pace *health, int64_t now_ms)
+                                const struct rk_vm_health *health, int64_t now_ms)
 {
     double ms = rk_vm_health_failure_share(health) * FAILURE_COST_MS +
                 rk_vm_health_refusal_share(health) * REFUSAL_COST_MS;
@@ -430,7 +432,7 @@
         .uncached_tokens = load->uncached_tokens * UNREAD_WEIGHT +
                            load->waiting_tokens * WAITING_WEIGHT,
         .running = load->running};
-    return rk_engine_first_ms(&v->speed->engine, &weighted);
+    return rk_engine_predict_ms(&v->speed->engine, &weighted);
 }
 
 static double in_flight_per_slot(const struct rk_place_vm *v)
@@ -447,19 +449,20 @@
                                          const struct preferred *preferred,
                                          int64_t now_ms, double *cost_ms)
 {
-    struct rk_pace health =
+    struct rk_vm_health health =
         rk_vm_health_combined(&v->health, &v->peers_health, now_ms);
-    double slowdown = rk_pace_factor(&health, v->speed->mean_log_ratio);
+    double slowdown = rk_vm_health_slowdown(&health, v->speed->mean_log_ratio);
     double penalty_ms = health_penalty_ms(v, &health, now_ms);
     struct rk_engine_forecast f = {0};
     if (!q->engine) {
-        f.ms = rk_speed_plain(v->speed, in_flight_per_slot(v)) * slowdown;
+        f.ms =
+            rk_service_speed_plain_ms(v->speed, in_flight_per_slot(v)) * slowdown;
         *cost_ms = f.ms + penalty_ms;
         return f;
     }
     struct rk_engine_load load =
         expected_load(p, q, v, cached_share(preferred, v), now_ms);
-    f = rk_engine_first(&v->speed->engine, &load);
+    f = rk_engine_predict(&v->speed->engine, &load);
     f.ms *= slowdown;
     *cost_ms = engine_cost_ms(v, &load) * slowdown + penalty_ms;
     if (preferred_index(preferred, v) < 0)
@@ -467,8 +470,8 @@
     return f;
 }
 
-double rk_place_unread(struct rk_place *p, const struct rk_place_query *q,
-                       const struct rk_place_vm *vm, int64_t now_ms)
+double rk_place_unread_tokens(struct rk_place *p, const struct rk_place_query *q,
+                              const struct rk_place_vm *vm, int64_t now_ms)
 {
     struct preferred preferred;
     find_preferred(p, q, vm->service_hash, &preferred);
@@ -476,8 +479,9 @@
         .uncached_tokens;
 }
 
-int rk_place_home(const struct rk_place *p, const struct rk_place_query *q,
-                  const struct rk_place_vm *vm)
+int rk_place_preferred_index(const struct rk_place *p,
+                             const struct rk_place_query *q,
+                             const struct rk_place_vm *vm)
 {
     struct preferred preferred;
     find_preferred(p, q, vm->service_hash, &preferred);
@@ -487,10 +491,10 @@
 /* A leaving VM may be the source, because it keeps its cache until it is gone.
  * VMs that were started recently may rank before others, but have no prefixes
  * cached yet. */
-const struct rk_place_vm *rk_place_source(const struct rk_place *p,
-                                          const struct rk_place_query *q,
-                                          const struct rk_place_vm *vm,
-                                          int64_t now_ms)
+const struct rk_place_vm *rk_place_copy_source(const struct rk_place *p,
+                                               const struct rk_place_query *q,
+                                               const struct rk_place_vm *vm,
+                                               int64_t now_ms)
 {
     const struct rk_place_vm *best = NULL;
     uint64_t key = affinity_key(q), best_weight = 0;
@@ -546,9 +550,9 @@
                                   .at_ms = now_ms};
 }
 
-void rk_place_sent(struct rk_place *p, struct rk_place_vm *vm,
-                   const struct rk_place_query *q, int64_t now_ms,
-                   struct rk_place_job *job)
+void rk_place_note_sent(struct rk_place *p, struct rk_place_vm *vm,
+                        const struct rk_place_query *q, int64_t now_ms,
+                        struct rk_place_job *job)
 {
     *job = (struct rk_place_job){.engine = q->engine, .sent_ms = now_ms};
     if (q->engine) {
@@ -556,19 +560,20 @@
         find_preferred(p, q, vm->service_hash, &preferred);
         /* The VMs of a canary have not read any prefixes yet, so that none of their
          * prefixes is assumed to be cached. */
-        double share = rk_place_is_trial(vm) ? 0 : cached_share(&preferred, vm);
+        double share = rk_place_is_canary(vm) ? 0 : cached_share(&preferred, vm);
         job->load = expected_load(p, q, vm, share, now_ms);
-        job->expected_ms = rk_engine_first_ms(&vm->speed->engine, &job->load);
+        job->expected_ms = rk_engine_predict_ms(&vm->speed->engine, &job->load);
         cache_segments(p, vm, q, now_ms);
         vm->waiting_tokens += job->load.uncached_tokens;
     } else {
         job->in_flight_per_slot = in_flight_per_slot(vm);
-        job->expected_ms = rk_speed_plain(vm->speed, job->in_flight_per_slot);
+        job->expected_ms =
+            rk_service_speed_plain_ms(vm->speed, job->in_flight_per_slot);
     }
     if (rk_place_canary_stats(vm, q->route, now_ms))
         job->canary_route = q->route;
     if (vm->signal)
-        rk_vm_signal_sent(vm->signal, now_ms);
+        rk_vm_signal_note_sent(vm->signal, now_ms);
     rk_place_mark_active(p, vm);
     vm->calls++;
     vm->running++;
--- a/core/place.h
+++ b/core/place.h
@@ -20,7 +20,7 @@
 
 /* Most prompt segments of a query, and most VMs that it can exclude. */
 #define RK_PLACE_MAX_SEGMENTS 16
-#define RK_PLACE_EXCLUDED     4
+#define RK_PLACE_MAX_EXCLUDED 4
 
 /* A VM as listed by the platform. */
 struct rk_vm_row {
@@ -35,7 +35,7 @@
     bool reclaimable;
     /* For a leaving VM: time until it leaves; -1: unknown. */
     int64_t leaves_in_ms;
-    char version[RK_VERSION_TEXT]; /* version of its software */
+    char version[RK_VERSION_MAX]; /* version of its software */
     /* How much longer it stays slow after its start, as of when it is first listed;
      * 0: not stated. */
     int64_t cold_ms;
@@ -50,7 +50,7 @@
     uint32_t incarnation; /* hash of the incarnation; 0: unknown */
     uint32_t running;
     double waiting_tokens; /* unread prompt tokens of calls without a first token */
-    struct rk_pace health; /* decayed to the time of the report */
+    struct rk_vm_health health; /* decayed to the time of the report */
 };
 
 /* State of a VM. Other files may read it; only the placement writes it. */
@@ -74,9 +74,9 @@
      * that it answered with an error don't count. */
     int losses_in_row;
     int64_t paused_until_ms;
-    struct rk_speed *speed; /* speed of its service; not owned */
+    struct rk_service_speed *speed; /* speed of its service; not owned */
     /* Health as seen by calls of this node, and as reported by peers. */
-    struct rk_pace health, peers_health;
+    struct rk_vm_health health, peers_health;
     const struct rk_place_rollout *rollout; /* rollout of its service; NULL: none */
     int64_t
         leaving_since_ms; /* when its leaving became known; 0: it isn't leaving */
@@ -92,7 +92,7 @@
     /* Announced recently; otherwise no call uses a version that is still limited to
      * a share of the calls or to one VM. */
     bool is_fresh;
-    struct rk_trial_rows seen;
+    struct rk_canary_rows seen;
 };
 
 /* A segment of a prompt. */
@@ -113,14 +113,15 @@
     const char *route; /* name of the route; must stay valid until the call ends */
     bool wants_new_version; /* uses the new version of a service in rollout */
     /* Hashes of the VMs that failed the call. */
-    uint64_t excluded[RK_PLACE_EXCLUDED];
+    uint64_t excluded[RK_PLACE_MAX_EXCLUDED];
     size_t excluded_len;
 };
 
 /* Returns true if now is a later incarnation of the VM than before. */
-bool rk_vm_is_reborn(const struct rk_vm_row *before, const struct rk_vm_row *now);
+bool rk_vm_is_restarted(const struct rk_vm_row *before,
+                        const struct rk_vm_row *now);
 /* Returns a hash of the VM's id and incarnation. */
-uint64_t rk_vm_life(const struct rk_vm_row *row);
+uint64_t rk_vm_incarnation_hash(const struct rk_vm_row *row);
 
 struct rk_place;
 
@@ -150,21 +151,23 @@
 
 /* Returns true if the VM runs a new version that only a share of the calls or one
  * VM uses so far. */
-bool rk_place_is_trial(const struct rk_place_vm *vm);
+bool rk_place_is_canary(const struct rk_place_vm *vm);
 
 /* Returns the number of calls, of all nodes, in flight at VMs that the rollout
  * replaces. */
-double rk_place_old_running(const struct rk_place_rollout *r,
-                            const struct rk_place *p);
+double rk_place_old_version_running(const struct rk_place_rollout *r,
+                                    const struct rk_place *p);
 
 /* Returns true if the query may use the new version when no other VM can take
  * it: when the leader's last rollout announcement is old, the VMs of the old
  * version may be gone by now. */
-bool rk_place_may_move(const struct rk_place *p, const struct rk_place_query *q);
+bool rk_place_may_use_new_version(const struct rk_place *p,
+                                  const struct rk_place_query *q);
 
 /* Returns true if the query should use a new version. To be called once per
  * call, so that all its attempts use the same version. */
-bool rk_place_tries(const struct rk_place *p, const struct rk_place_query *q);
+bool rk_place_wants_new_version(const struct rk_place *p,
+                                const struct rk_place_query *q);
 
 /* Replaces the loads that peers reported. A VM may occur more than once: its
  * rows are added up. Rows of unknown VMs or of other incarnations are ignored. */
@@ -175,16 +178,16 @@
 size_t rk_place_own_loads(const struct rk_place *p, int64_t now_ms,
                           struct rk_vm_load **out);
 /* Calls of this node in flight at all VMs of a service. */
-struct rk_place_in_hand {
+struct rk_place_in_flight {
     uint32_t running;
     uint32_t
         first_byte_received; /* calls in running that have got their first byte */
 };
-struct rk_place_in_hand rk_place_in_hand(const struct rk_place *p,
-                                         const char *service);
+struct rk_place_in_flight rk_place_in_flight(const struct rk_place *p,
+                                             const char *service);
 /* Returns the number of VMs with calls in flight, here or at peers, now or
  * recently. */
-size_t rk_place_busy_len(const struct rk_place *p);
+size_t rk_place_active_len(const struct rk_place *p);
 
 /* Returns the current incarnation of the VM with this id, or NULL if it is
  * unknown. The record belongs to p. */
@@ -192,7 +195,7 @@
 
 /* Parses "ID:TOKENS,...", the segments of a prompt, into the query. Segments
  * beyond RK_PLACE_MAX_SEGMENTS are ignored. */
-void rk_place_parse_parts(struct rk_place_query *q, const char *text);
+void rk_place_parse_segments(struct rk_place_query *q, const char *text);
 
 /* Returns the VM with the lowest cost, or NULL if none can take the call. *first
  * gets the predicted time to the first byte there, without penalties. */
@@ -202,22 +205,23 @@
 
 /* Returns the tokens of the query's prompt that are not cached at the VM and
  * would have to be read. */
-double rk_place_unread(struct rk_place *p, const struct rk_place_query *q,
-                       const struct rk_place_vm *vm, int64_t now_ms);
+double rk_place_unread_tokens(struct rk_place *p, const struct rk_place_query *q,
+                              const struct rk_place_vm *vm, int64_t now_ms);
 
 /* Returns another VM that probably has the query's prefix cached, so that vm can
  * copy what it lacks. Returns NULL if there is none, or if the prefix is too short
  * to be worth a copy. */
-const struct rk_place_vm *rk_place_source(const struct rk_place *p,
-                                          const struct rk_place_query *q,
-                                          const struct rk_place_vm *vm,
-                                          int64_t now_ms);
+const struct rk_place_vm *rk_place_copy_source(const struct rk_place *p,
+                                               const struct rk_place_query *q,
+                                               const struct rk_place_vm *vm,
+                                               int64_t now_ms);
 
 /* Returns the VM's index among the preferred VMs of the query's prefix, or of the
  * request if its shared prefix is short. Returns -1 if it is none of them, and for
  * plain services. */
-int rk_place_home(const struct rk_place *p, const struct rk_place_query *q,
-                  const struct rk_place_vm *vm);
+int rk_place_preferred_index(const struct rk_place *p,
+                             const struct rk_place_query *q,
+                             const struct rk_place_vm *vm);
 
 /* An attempt of a call at a VM, from when it is sent until it ends. */
 struct rk_place_job {
@@ -235,50 +239,52 @@
 };
 
 /* Starts an attempt: counts the call at the VM and fills *job, which the caller
- * owns and passes to rk_place_ended() exactly once. */
-void rk_place_sent(struct rk_place *p, struct rk_place_vm *vm,
-                   const struct rk_place_query *q, int64_t now_ms,
-                   struct rk_place_job *job);
+ * owns and passes to rk_place_note_end() exactly once. */
+void rk_place_note_sent(struct rk_place *p, struct rk_place_vm *vm,
+                        const struct rk_place_query *q, int64_t now_ms,
+                        struct rk_place_job *job);
 /* Records the first byte of the attempt. Further calls for the same attempt do
  * nothing. */
-void rk_place_first(struct rk_place_vm *vm, struct rk_place_job *job,
-                    int64_t now_ms);
+void rk_place_note_first_byte(struct rk_place_vm *vm, struct rk_place_job *job,
+                              int64_t now_ms);
 
 /* How an attempt ended. */
-enum rk_place_end {
+enum rk_place_outcome {
     RK_PLACE_DONE,
     RK_PLACE_ERROR,   /* the VM answered that the call failed */
     RK_PLACE_LOST,    /* the VM was unreachable, unresponsive, or broke off */
     RK_PLACE_REFUSED, /* the VM proved that it did not run the call */
-    RK_PLACE_CALLED_OFF,
+    RK_PLACE_CANCELLED,
 };
 
 /* Records a failure of a VM that is unresponsive, and pauses it for other calls.
  * The job itself goes on waiting. */
-void rk_place_silent(struct rk_place_vm *vm, const struct rk_place_job *job,
-                     int64_t now_ms);
+void rk_place_note_unresponsive(struct rk_place_vm *vm,
+                                const struct rk_place_job *job, int64_t now_ms);
 
 /* Ends an attempt and updates the VM's health and pauses. May free vm if it is no
  * longer listed. */
-void rk_place_ended(struct rk_place *p, struct rk_place_vm *vm,
-                    struct rk_place_job *job, enum rk_place_end end,
-                    int64_t now_ms);
+void rk_place_note_end(struct rk_place *p, struct rk_place_vm *vm,
+                       struct rk_place_job *job, enum rk_place_outcome end,
+                       int64_t now_ms);
 
 /* Returns the speed record of the service, which is created if needed. It
  * belongs to p. */
-struct rk_speed *rk_place_speed_of(struct rk_place *p, const char *service);
+struct rk_service_speed *rk_place_service_speed(struct rk_place *p,
+                                                const char *service);
 
 /* Applies the signals of an answer that the VM sent just now. Returns what
  * changed, as bits RK_VM_..._CHANGED. */
-unsigned rk_place_hear(struct rk_place *p, struct rk_place_vm *vm,
-                       const struct rk_vm_said *said, int64_t now_ms);
+unsigned rk_place_apply_signals(struct rk_place *p, struct rk_place_vm *vm,
+                                const struct rk_vm_advertised *said,
+                                int64_t now_ms);
 /* Merges the signals that the control thread knows, and sets this node's share of
  * each limit. */
 void rk_place_set_signals(struct rk_place *p, const struct rk_vm_signal *rows,
                           size_t len, int64_t now_ms);
 /* Sets the number of nodes in the fleet. They share a newly advertised limit
  * equally until the control thread assigns the shares. */
-void rk_place_set_nodes(struct rk_place *p, int nodes);
+void rk_place_set_node_count(struct rk_place *p, int nodes);
 /* Stores copies of all limits and of signals that changed recently in *out.
  * Returns their number. The caller frees *out. */
 size_t rk_place_copy_signals(const struct rk_place *p, int64_t now_ms,
@@ -288,13 +294,13 @@
 /* Returns the time in ms until the limit or cooldown of some VM of the query's
  * service permits the call. Returns 0 if one permits it now, if there is no such
  * VM, or if no VM has advertised anything. */
-int64_t rk_place_wait_ms(const struct rk_place *p, const struct rk_place_query *q,
-                         int64_t now_ms);
+int64_t rk_place_retry_after_ms(const struct rk_place *p,
+                                const struct rk_place_query *q, int64_t now_ms);
 /* Returns the number of VMs that are in a cooldown for this node. */
-size_t rk_place_resting(const struct rk_place *p, int64_t now_ms);
+size_t rk_place_cooldown_len(const struct rk_place *p, int64_t now_ms);
 /* Drops the signals of VMs from which no answer, and about which no report, was
  * received for 120 s. Limits and leaving signals of listed VMs are kept. */
-void rk_place_forget_signals(struct rk_place *p, int64_t now_ms);
+void rk_place_expire_signals(struct rk_place *p, int64_t now_ms);
 
 /* Returns the linked list (by next) of all VMs. It belongs to p. */
 const struct rk_place_vm *rk_place_vms(const struct rk_place *p);
--- a/core/place_impl.h
+++ b/core/place_impl.h
@@ -22,7 +22,7 @@
     size_t vms_len;
     struct rk_place_vm *active; /* linked list by next_active */
     size_t active_len;
-    struct rk_speeds speeds;
+    struct rk_service_speeds speeds;
     struct rk_vm_signals signals;
     int nodes; /* nodes of the fleet; 0: not known yet */
     struct rk_place_rollout rollouts[RK_ROLLOUTS];
@@ -73,7 +73,7 @@
 /* Returns the statistics in which calls of the route at the VM are counted, or
  * NULL if they are not counted. Calls to a VM that is still slow after its start
  * are not counted. */
-struct rk_trial_seen *rk_place_canary_stats(const struct rk_place_vm *vm,
-                                            const char *route, int64_t now_ms);
+struct rk_canary_stats *rk_place_canary_stats(const struct rk_place_vm *vm,
+                                              const char *route, int64_t now_ms);
 
 #endif
--- a/core/place_jobs.c
+++ b/core/place_jobs.c
@@ -21,8 +21,8 @@
         vm->waiting_tokens = 0;
 }
 
-void rk_place_first(struct rk_place_vm *vm, struct rk_place_job *job,
-                    int64_t now_ms)
+void rk_place_note_first_byte(struct rk_place_vm *vm, struct rk_place_job *job,
+                              int64_t now_ms)
 {
     double took_ms = (double)(now_ms - job->sent_ms);
     if (job->got_first_byte)
@@ -31,14 +31,14 @@
     if (job->resumes_stream)
         return;
     rk_vm_health_note_time(&vm->health, took_ms, job->expected_ms, now_ms);
-    struct rk_trial_seen *canary =
+    struct rk_canary_stats *canary =
         rk_place_canary_stats(vm, job->canary_route, now_ms);
     if (canary)
-        rk_trial_note_time(canary, took_ms, job->expected_ms);
+        rk_canary_add_time(canary, took_ms, job->expected_ms);
     if (job->engine)
         rk_engine_learn(&vm->speed->engine, &job->load, took_ms);
     else
-        rk_speed_plain_learn(vm->speed, job->in_flight_per_slot, took_ms);
+        rk_service_speed_note_plain(vm->speed, job->in_flight_per_slot, took_ms);
 }
 
 /* The duration counts only before the first byte of a new call. A resumed
@@ -48,7 +48,7 @@
 {
     bool timed = !job->got_first_byte && !job->resumes_stream;
     double took_ms = timed ? (double)(now_ms - job->sent_ms) : 0;
-    rk_pace_fail(&vm->health, took_ms, job->expected_ms, now_ms);
+    rk_vm_health_note_failure(&vm->health, took_ms, job->expected_ms, now_ms);
 }
 
 static void pause_vm(struct rk_place_vm *vm, int64_t now_ms)
@@ -60,8 +60,8 @@
     vm->paused_until_ms = now_ms + (ms < PAUSE_MAX_MS ? ms : PAUSE_MAX_MS);
 }
 
-void rk_place_silent(struct rk_place_vm *vm, const struct rk_place_job *job,
-                     int64_t now_ms)
+void rk_place_note_unresponsive(struct rk_place_vm *vm,
+                                const struct rk_place_job *job, int64_t now_ms)
 {
     note_failure(vm, job, now_ms);
     pause_vm(vm, now_ms);
@@ -75,17 +75,18 @@
     return rk_place_is_full(vm) || !rk_place_may_send(vm, now_ms);
 }
 
-void rk_place_ended(struct rk_place *p, struct rk_place_vm *vm,
-                    struct rk_place_job *job, enum rk_place_end end, int64_t now_ms)
+void rk_place_note_end(struct rk_place *p, struct rk_place_vm *vm,
+                       struct rk_place_job *job, enum rk_place_outcome end,
+                       int64_t now_ms)
 {
     vm->calls--;
     vm->running--;
     if (end == RK_PLACE_LOST || end == RK_PLACE_ERROR) {
         note_failure(vm, job, now_ms);
-        struct rk_trial_seen *canary =
+        struct rk_canary_stats *canary =
             rk_place_canary_stats(vm, job->canary_route, now_ms);
         if (canary)
-            rk_trial_note_failure(canary,
+            rk_canary_add_failure(canary,
                                   job->got_first_byte && !job->resumes_stream);
     }
     end_prompt_wait(vm, job);
@@ -104,7 +105,7 @@
             vm->paused_until_ms = now_ms + PAUSE_REFUSED_MS;
         break;
     case RK_PLACE_ERROR:
-    case RK_PLACE_CALLED_OFF:
+    case RK_PLACE_CANCELLED:
         break;
     }
     if (!vm->listed && !vm->calls)
--- a/core/place_loads.c
+++ b/core/place_loads.c
@@ -23,7 +23,7 @@
     p->active_len++;
 }
 
-size_t rk_place_busy_len(const struct rk_place *p)
+size_t rk_place_active_len(const struct rk_place *p)
 {
     return p->active_len;
 }
@@ -54,8 +54,8 @@
         struct rk_place_vm *v = *at;
         v->peers_running = 0;
         v->peers_waiting_tokens = 0;
-        v->peers_health = (struct rk_pace){.at_ms = now_ms};
-        struct rk_pace health = rk_pace_at(&v->health, now_ms);
+        v->peers_health = (struct rk_vm_health){.at_ms = now_ms};
+        struct rk_vm_health health = rk_vm_health_decayed(&v->health, now_ms);
         if (!v->calls && rk_vm_health_weight(&health) < MIN_REPORTED_CALLS)
             remove_active(p, at);
         else
@@ -69,12 +69,12 @@
  * counts as slow only relative to this mean. */
 static void update_mean_log_ratios(struct rk_place *p, int64_t now_ms)
 {
-    for (struct rk_speed *s = p->speeds.first; s; s = s->next) {
+    for (struct rk_service_speed *s = p->speeds.first; s; s = s->next) {
         double log_sum = 0, calls = 0;
         for (const struct rk_place_vm *v = p->active; v; v = v->next_active) {
             if (v->speed != s)
                 continue;
-            struct rk_pace all =
+            struct rk_vm_health all =
                 rk_vm_health_combined(&v->health, &v->peers_health, now_ms);
             log_sum += all.log_sum;
             calls += all.calls;
@@ -103,7 +103,7 @@
         v->peers_running += loads[i].running;
         v->peers_waiting_tokens += loads[i].waiting_tokens;
         v->peers_health.at_ms = now_ms;
-        rk_pace_sum(&v->peers_health, &loads[i].health);
+        rk_vm_health_accumulate(&v->peers_health, &loads[i].health);
     }
     update_mean_log_ratios(p, now_ms);
 }
@@ -114,7 +114,7 @@
     size_t len = 0;
     *out = rk_alloc(p->active_len + 1, sizeof(**out));
     for (const struct rk_place_vm *v = p->active; v; v = v->next_active) {
-        struct rk_pace health = rk_pace_at(&v->health, now_ms);
+        struct rk_vm_health health = rk_vm_health_decayed(&v->health, now_ms);
         if (v->superseded ||
             (v->running <= 0 && rk_vm_health_weight(&health) < MIN_REPORTED_CALLS))
             continue;
@@ -128,10 +128,10 @@
     return len;
 }
 
-struct rk_place_in_hand rk_place_in_hand(const struct rk_place *p,
-                                         const char *service)
+struct rk_place_in_flight rk_place_in_flight(const struct rk_place *p,
+                                             const char *service)
 {
-    struct rk_place_in_hand sum = {0};
+    struct rk_place_in_flight sum = {0};
     for (const struct rk_place_vm *v = p->active; v; v = v->next_active) {
         if (strcmp(v->row.service, service) != 0)
             continue;
--- a/core/place_signals.c
+++ b/core/place_signals.c
@@ -18,25 +18,25 @@
     v->leaving_since_ms = now_ms;
 }
 
-unsigned rk_place_hear(struct rk_place *p, struct rk_place_vm *vm,
-                       const struct rk_vm_said *said, int64_t now_ms)
+unsigned rk_place_apply_signals(struct rk_place *p, struct rk_place_vm *vm,
+                                const struct rk_vm_advertised *said, int64_t now_ms)
 {
     bool has_signals = said->limited || said->leaving || said->cooldown_ms > 0;
     if (!vm->signal && !has_signals)
         return 0;
     if (!vm->signal)
         vm->signal =
-            rk_vm_signals_at(&p->signals, vm->hash, vm->row.domain, now_ms);
+            rk_vm_signals_get_or_add(&p->signals, vm->hash, vm->row.domain, now_ms);
     if (!vm->signal)
         return 0;
-    unsigned changed = rk_vm_signal_hear(vm->signal, said, now_ms);
+    unsigned changed = rk_vm_signal_apply(vm->signal, said, now_ms);
     if (vm->signal->senders == RK_SENDERS_UNKNOWN && p->nodes > 0)
         rk_vm_signal_set_senders(vm->signal, p->nodes, now_ms);
     apply_leaving(vm, now_ms);
     return changed;
 }
 
-void rk_place_set_nodes(struct rk_place *p, int nodes)
+void rk_place_set_node_count(struct rk_place *p, int nodes)
 {
     p->nodes = nodes;
 }
@@ -56,8 +56,8 @@
     size_t before = rk_vm_signals_len(&p->signals);
     unsigned changed = 0;
     for (size_t i = 0; i < len; i++) {
-        struct rk_vm_signal *v = rk_vm_signals_at(&p->signals, rows[i].incarnation,
-                                                  rows[i].domain, now_ms);
+        struct rk_vm_signal *v = rk_vm_signals_get_or_add(
+            &p->signals, rows[i].incarnation, rows[i].domain, now_ms);
         if (!v)
             continue;
         changed |= rk_vm_signal_merge(v, &rows[i], now_ms);
@@ -83,7 +83,7 @@
     return len;
 }
 
-size_t rk_place_resting(const struct rk_place *p, int64_t now_ms)
+size_t rk_place_cooldown_len(const struct rk_place *p, int64_t now_ms)
 {
     size_t len = 0;
     struct lh_entry *e;
@@ -101,8 +101,8 @@
     return !vm->signal || !rk_vm_signal_wait_ms(vm->signal, now_ms);
 }
 
-int64_t rk_place_wait_ms(const struct rk_place *p, const struct rk_place_query *q,
-                         int64_t now_ms)
+int64_t rk_place_retry_after_ms(const struct rk_place *p,
+                                const struct rk_place_query *q, int64_t now_ms)
 {
     int64_t wait_ms = 0;
     if (!rk_vm_signals_len(&p->signals))
@@ -121,13 +121,13 @@
 }
 
 /* Limits and leaving signals of listed VMs don't expire. */
-void rk_place_forget_signals(struct rk_place *p, int64_t now_ms)
+void rk_place_expire_signals(struct rk_place *p, int64_t now_ms)
 {
     if (!rk_vm_signals_len(&p->signals))
         return;
     for (const struct rk_place_vm *v = p->vms; v; v = v->next)
         if (v->listed && v->signal && (v->signal->limited || v->signal->leaving))
             v->signal->last_received_ms = now_ms;
-    rk_vm_signals_forget(&p->signals, now_ms);
+    rk_vm_signals_expire(&p->signals, now_ms);
     relink_signals(p, now_ms);
 }
--- a/core/place_versions.c
+++ b/core/place_versions.c
@@ -85,8 +85,8 @@
     return p->rollouts;
 }
 
-double rk_place_old_running(const struct rk_place_rollout *r,
-                            const struct rk_place *p)
+double rk_place_old_version_running(const struct rk_place_rollout *r,
+                                    const struct rk_place *p)
 {
     double sum = 0;
     for (const struct rk_place_vm *v = p->vms; v; v = v->next)
@@ -99,22 +99,24 @@
  * version. */
 static bool is_limited_phase(const struct rk_rollout_rule *rule)
 {
-    return rule->phase == RK_ROLLOUT_TRIAL || rule->phase == RK_ROLLOUT_LOAD;
+    return rule->phase == RK_ROLLOUT_CANARY || rule->phase == RK_ROLLOUT_LOAD_TEST;
 }
 
-bool rk_place_is_trial(const struct rk_place_vm *vm)
+bool rk_place_is_canary(const struct rk_place_vm *vm)
 {
     return vm->is_new && is_limited_phase(&vm->rollout->rule);
 }
 
-bool rk_place_may_move(const struct rk_place *p, const struct rk_place_query *q)
+bool rk_place_may_use_new_version(const struct rk_place *p,
+                                  const struct rk_place_query *q)
 {
     const struct rk_place_rollout *r =
         find_rollout((struct rk_place *)p, q->service);
-    return r && !r->is_fresh && r->rule.phase != RK_ROLLOUT_GIVEN_BACK;
+    return r && !r->is_fresh && r->rule.phase != RK_ROLLOUT_ROLLED_BACK;
 }
 
-bool rk_place_tries(const struct rk_place *p, const struct rk_place_query *q)
+bool rk_place_wants_new_version(const struct rk_place *p,
+                                const struct rk_place_query *q)
 {
     const struct rk_place_rollout *r =
         find_rollout((struct rk_place *)p, q->service);
@@ -123,17 +125,18 @@
     /* While only a few calls use the new version, a node without a fresh rollout
      * announcement sends it none. */
     return (r->is_fresh || !is_limited_phase(&r->rule)) &&
-           rk_rollout_tries(&r->rule, q->request_hash);
+           rk_rollout_uses_new(&r->rule, q->request_hash);
 }
 
-struct rk_trial_seen *rk_place_canary_stats(const struct rk_place_vm *vm,
-                                            const char *route, int64_t now_ms)
+struct rk_canary_stats *rk_place_canary_stats(const struct rk_place_vm *vm,
+                                              const char *route, int64_t now_ms)
 {
     struct rk_place_rollout *r = (struct rk_place_rollout *)vm->rollout;
     if (!r || !route || now_ms < vm->cold_until_ms ||
-        r->rule.phase == RK_ROLLOUT_TAKEN || r->rule.phase == RK_ROLLOUT_GIVEN_BACK)
+        r->rule.phase == RK_ROLLOUT_COMMITTED ||
+        r->rule.phase == RK_ROLLOUT_ROLLED_BACK)
         return NULL;
-    struct rk_trial_row *row =
-        rk_trial_row_at(&r->seen, route, vm->row.domain, vm->is_new);
+    struct rk_canary_row *row =
+        rk_canary_get_row(&r->seen, route, vm->row.domain, vm->is_new);
     return row ? &row->stats : NULL;
 }
--- a/core/plan.c
+++ b/core/plan.c
@@ -8,7 +8,8 @@
 #define STOP_SLACK     1    /* VMs held beyond the plan before any is stopped */
 #define SWAP_RATIO     1.25 /* price ratio above which a VM is replaced */
 
-double rk_plan_price(const struct rk_plan_input *in, const struct rk_plan_class *c)
+double rk_plan_effective_price(const struct rk_plan_input *in,
+                               const struct rk_plan_class *c)
 {
     double recompute =
         c->reclaims_per_hour * in->tokens_per_reclaim / 1e6 * in->price_per_mtoken;
@@ -30,8 +31,8 @@
         const struct rk_plan_class *c = &in->classes[i];
         if ((on_demand && c->reclaimable) || c->refused_until_ms > in->now_ms)
             continue;
-        if (best < 0 ||
-            rk_plan_price(in, c) < rk_plan_price(in, &in->classes[best]))
+        if (best < 0 || rk_plan_effective_price(in, c) <
+                            rk_plan_effective_price(in, &in->classes[best]))
             best = (int)i;
     }
     return best;
@@ -57,8 +58,9 @@
         int costliest = -1;
         for (size_t i = 0; i < in->classes_len; i++)
             if (!done[i] && in->classes[i].ready &&
-                (costliest < 0 || rk_plan_price(in, &in->classes[i]) >
-                                      rk_plan_price(in, &in->classes[costliest])))
+                (costliest < 0 ||
+                 rk_plan_effective_price(in, &in->classes[i]) >
+                     rk_plan_effective_price(in, &in->classes[costliest])))
                 costliest = (int)i;
         if (costliest < 0)
             return;
@@ -83,11 +85,11 @@
     int cheap = cheapest(in, false);
     if (cheap < 0 || held > out->want_total + STOP_SLACK)
         return;
-    double price = rk_plan_price(in, &in->classes[cheap]) * SWAP_RATIO;
+    double price = rk_plan_effective_price(in, &in->classes[cheap]) * SWAP_RATIO;
     for (size_t i = 0; i < in->classes_len; i++) {
         const struct rk_plan_class *c = &in->classes[i];
         bool may_go = c->ready && (c->reclaimable || on_demand > out->want_floor);
-        if (!may_go || rk_plan_price(in, c) <= price)
+        if (!may_go || rk_plan_effective_price(in, c) <= price)
             continue;
         add_action(out, RK_PLAN_START, cheap,
                    out->want_total + STOP_SLACK + 1 - held);
@@ -124,7 +126,7 @@
         plan_swap(in, out, held, on_demand);
 }
 
-void rk_plan_refused(struct rk_plan_class *c, int64_t now_ms)
+void rk_plan_start_refused(struct rk_plan_class *c, int64_t now_ms)
 {
     int64_t backoff_ms = BACKOFF_MS;
     for (int i = 0; i < c->refusals && backoff_ms < BACKOFF_MAX_MS; i++)
@@ -134,7 +136,7 @@
         now_ms + (backoff_ms < BACKOFF_MAX_MS ? backoff_ms : BACKOFF_MAX_MS);
 }
 
-void rk_plan_started(struct rk_plan_class *c)
+void rk_plan_start_granted(struct rk_plan_class *c)
 {
     c->refusals = 0;
     c->refused_until_ms = 0;
--- a/core/plan.h
+++ b/core/plan.h
@@ -71,15 +71,16 @@
 
 /* Returns the effective price of a VM hour of a class: the weighted sum of its
  * price and the cost of its reclaims. */
-double rk_plan_price(const struct rk_plan_input *in, const struct rk_plan_class *c);
+double rk_plan_effective_price(const struct rk_plan_input *in,
+                               const struct rk_plan_class *c);
 
 /* Computes a plan into *out, which it overwrites. */
 void rk_plan_make(const struct rk_plan_input *in, struct rk_plan *out);
 
 /* Notes a refused start: no start of the class is attempted for a time that doubles
  * with each refusal, up to two minutes. */
-void rk_plan_refused(struct rk_plan_class *c, int64_t now_ms);
+void rk_plan_start_refused(struct rk_plan_class *c, int64_t now_ms);
 /* Notes a successful start: ends the backoff. */
-void rk_plan_started(struct rk_plan_class *c);
+void rk_plan_start_granted(struct rk_plan_class *c);
 
 #endif
--- a/core/prefix.c
+++ b/core/prefix.c
@@ -24,19 +24,19 @@
     struct holder holders[HOLDERS_PER_BLOCK];
 };
 
-struct rk_prefixes {
+struct rk_prefix_index {
     struct block *blocks; /* BUCKETS x BLOCKS_PER_BUCKET */
     uint64_t use_counter;
 };
 
-void rk_prompt_begin(struct rk_prompt_reader *r, struct rk_prompt *out)
+void rk_prompt_begin(struct rk_prompt_builder *r, struct rk_prompt *out)
 {
-    *r = (struct rk_prompt_reader){.prompt = out};
+    *r = (struct rk_prompt_builder){.prompt = out};
     out->blocks_len = out->tokens = 0;
     out->root = 0;
 }
 
-static void end_word(struct rk_prompt_reader *r)
+static void end_word(struct rk_prompt_builder *r)
 {
     struct rk_prompt *p = r->prompt;
     p->tokens++;
@@ -51,7 +51,7 @@
         p->root = r->hash;
 }
 
-void rk_prompt_add(struct rk_prompt_reader *r, const char *text, size_t len)
+void rk_prompt_add(struct rk_prompt_builder *r, const char *text, size_t len)
 {
     for (size_t i = 0; i < len;) {
         size_t start = i;
@@ -69,7 +69,7 @@
     }
 }
 
-void rk_prompt_end(struct rk_prompt_reader *r)
+void rk_prompt_end(struct rk_prompt_builder *r)
 {
     if (r->in_word)
         end_word(r);
@@ -77,14 +77,14 @@
         r->prompt->root = r->prompt->blocks[r->prompt->blocks_len - 1];
 }
 
-struct rk_prefixes *rk_prefixes_create(void)
+struct rk_prefix_index *rk_prefix_index_create(void)
 {
-    struct rk_prefixes *p = rk_alloc(1, sizeof(*p));
+    struct rk_prefix_index *p = rk_alloc(1, sizeof(*p));
     p->blocks = rk_alloc((size_t)BUCKETS * BLOCKS_PER_BUCKET, sizeof(*p->blocks));
     return p;
 }
 
-void rk_prefixes_destroy(struct rk_prefixes *p)
+void rk_prefix_index_destroy(struct rk_prefix_index *p)
 {
     if (!p)
         return;
@@ -92,12 +92,12 @@
     free(p);
 }
 
-static struct block *bucket_of(const struct rk_prefixes *p, uint64_t hash)
+static struct block *bucket_of(const struct rk_prefix_index *p, uint64_t hash)
 {
     return &p->blocks[(hash % BUCKETS) * BLOCKS_PER_BUCKET];
 }
 
-static struct block *find_block(const struct rk_prefixes *p, uint64_t hash)
+static struct block *find_block(const struct rk_prefix_index *p, uint64_t hash)
 {
     struct block *b = bucket_of(p, hash);
     for (size_t i = 0; i < BLOCKS_PER_BUCKET; i++)
@@ -108,7 +108,7 @@
 
 /* Returns the block's entry, or else that of the least recently used block in
  * the bucket, without holders. */
-static struct block *find_or_evict_block(struct rk_prefixes *p, uint64_t hash)
+static struct block *find_or_evict_block(struct rk_prefix_index *p, uint64_t hash)
 {
     struct block *b = find_block(p, hash);
     if (!b) {
@@ -124,9 +124,11 @@
     return b;
 }
 
-void rk_prefixes_match(const struct rk_prefixes *p, const struct rk_prompt *prompt,
-                       const uint64_t *prefilled_tokens,
-                       const uint64_t *cache_tokens, uint32_t *cached, size_t len)
+void rk_prefix_index_match(const struct rk_prefix_index *p,
+                           const struct rk_prompt *prompt,
+                           const uint64_t *prefilled_tokens,
+                           const uint64_t *cache_tokens, uint32_t *cached,
+                           size_t len)
 {
     memset(cached, 0, len * sizeof(*cached));
     for (uint32_t n = 0; n < prompt->blocks_len; n++) {
@@ -166,14 +168,15 @@
     *slot = (struct holder){.vm = vm, .prefilled_tokens = prefilled_tokens};
 }
 
-void rk_prefixes_insert(struct rk_prefixes *p, const struct rk_prompt *prompt,
-                        uint16_t vm, uint64_t prefilled_tokens)
+void rk_prefix_index_insert(struct rk_prefix_index *p,
+                            const struct rk_prompt *prompt, uint16_t vm,
+                            uint64_t prefilled_tokens)
 {
     for (uint32_t n = 0; n < prompt->blocks_len; n++)
         set_holder(find_or_evict_block(p, prompt->blocks[n]), vm, prefilled_tokens);
 }
 
-void rk_prefixes_forget(struct rk_prefixes *p, uint16_t vm)
+void rk_prefix_index_remove_vm(struct rk_prefix_index *p, uint16_t vm)
 {
     for (size_t i = 0; i < (size_t)BUCKETS * BLOCKS_PER_BUCKET; i++)
         for (size_t k = 0; k < HOLDERS_PER_BLOCK; k++)
--- a/core/prefix.h
+++ b/core/prefix.h
@@ -26,39 +26,43 @@
 };
 
 /* State while a prompt is built from text that arrives in pieces. */
-struct rk_prompt_reader {
+struct rk_prompt_builder {
     struct rk_prompt *prompt;
     uint64_t hash;
     uint32_t words_in_block;
     int in_word;
 };
 /* Starts building *out, which the caller owns. */
-void rk_prompt_begin(struct rk_prompt_reader *r, struct rk_prompt *out);
+void rk_prompt_begin(struct rk_prompt_builder *r, struct rk_prompt *out);
 /* Appends a piece of text, which may end within a word. */
-void rk_prompt_add(struct rk_prompt_reader *r, const char *text, size_t len);
+void rk_prompt_add(struct rk_prompt_builder *r, const char *text, size_t len);
 /* Ends the last word and completes the prompt. */
-void rk_prompt_end(struct rk_prompt_reader *r);
+void rk_prompt_end(struct rk_prompt_builder *r);
 
-struct rk_prefixes;
+struct rk_prefix_index;
 
-/* Creates an empty index. Never returns NULL; free with rk_prefixes_destroy(). */
-struct rk_prefixes *rk_prefixes_create(void);
+/* Creates an empty index. Never returns NULL; free with rk_prefix_index_destroy().
+ */
+struct rk_prefix_index *rk_prefix_index_create(void);
 /* Frees the index; NULL is ignored. */
-void rk_prefixes_destroy(struct rk_prefixes *p);
+void rk_prefix_index_destroy(struct rk_prefix_index *p);
 
 /* Fills cached[i] with the number of prompt tokens assumed to be cached at VM i,
  * for i in [0, len). prefilled_tokens[i] and cache_tokens[i] are the tokens
  * prefilled at the VM so far and the size of its cache. */
-void rk_prefixes_match(const struct rk_prefixes *p, const struct rk_prompt *prompt,
-                       const uint64_t *prefilled_tokens,
-                       const uint64_t *cache_tokens, uint32_t *cached, size_t len);
+void rk_prefix_index_match(const struct rk_prefix_index *p,
+                           const struct rk_prompt *prompt,
+                           const uint64_t *prefilled_tokens,
+                           const uint64_t *cache_tokens, uint32_t *cached,
+                           size_t len);
 
 /* Records that the prompt was sent to the VM, so that its blocks are cached there.
  * prefilled_tokens: tokens prefilled at the VM so far, this prompt included. */
-void rk_prefixes_insert(struct rk_prefixes *p, const struct rk_prompt *prompt,
-                        uint16_t vm, uint64_t prefilled_tokens);
+void rk_prefix_index_insert(struct rk_prefix_index *p,
+                            const struct rk_prompt *prompt, uint16_t vm,
+                            uint64_t prefilled_tokens);
 
 /* Removes all blocks of a VM whose cache is gone or unknown. */
-void rk_prefixes_forget(struct rk_prefixes *p, uint16_t vm);
+void rk_prefix_index_remove_vm(struct rk_prefix_index *p, uint16_t vm);
 
 #endif
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -13,7 +13,7 @@
  * predecessor did. */
 #define HARMLESS_MS (60 * RK_MS_PER_S)
 
-uint64_t rk_quarantine_request(const struct rk_request_parts *parts)
+uint64_t rk_quarantine_hash(const struct rk_request_identity *parts)
 {
     const char *const texts[] = {parts->org, parts->method, parts->host,
                                  parts->target};
@@ -24,9 +24,9 @@
     return h ? h : 1;
 }
 
-void rk_quarantine_name(uint64_t request, char out[RK_QUARANTINE_NAME])
+void rk_quarantine_format(uint64_t request, char out[RK_QUARANTINE_NAME_MAX])
 {
-    snprintf(out, RK_QUARANTINE_NAME, "%016" PRIx64, request);
+    snprintf(out, RK_QUARANTINE_NAME_MAX, "%016" PRIx64, request);
 }
 
 struct rk_quarantine_row *rk_quarantine_find(struct rk_quarantine *q,
@@ -40,7 +40,7 @@
 
 /* ---- eviction ---- */
 
-bool rk_quarantine_is_over(const struct rk_quarantine_row *row, int64_t now_ms)
+bool rk_quarantine_is_expired(const struct rk_quarantine_row *row, int64_t now_ms)
 {
     int64_t last_ms =
         row->requested_ms > row->changed_ms ? row->requested_ms : row->changed_ms;
@@ -56,7 +56,7 @@
 void rk_quarantine_expire(struct rk_quarantine *q, int64_t now_ms)
 {
     for (size_t i = q->len; i-- > 0;)
-        if (rk_quarantine_is_over(&q->rows[i], now_ms))
+        if (rk_quarantine_is_expired(&q->rows[i], now_ms))
             remove_row(q, &q->rows[i]);
 }
 
@@ -204,7 +204,7 @@
 /* Returns the suspicion at which a row is stopped. */
 static int limit(const struct rk_quarantine *q, const struct rk_quarantine_row *row)
 {
-    bool crowded = count_other_suspects(q, row) >= RK_QUARANTINE_CROWD;
+    bool crowded = count_other_suspects(q, row) >= RK_QUARANTINE_CROWD_MIN;
     return RK_QUARANTINE_LIMIT + (crowded ? RK_HAD_JUST_BEGUN : 0);
 }
 
@@ -226,9 +226,9 @@
     return s->request == request && now_ms - s->completed_ms < HARMLESS_MS;
 }
 
-bool rk_quarantine_note(struct rk_quarantine *q,
-                        const struct rk_quarantine_row *names, struct rk_vm_end end,
-                        int64_t now_ms)
+bool rk_quarantine_add_end(struct rk_quarantine *q,
+                           const struct rk_quarantine_row *names,
+                           struct rk_vm_end end, int64_t now_ms)
 {
     if (is_harmless(q, names->request, now_ms))
         return false;
@@ -241,7 +241,8 @@
     return judge(q, row);
 }
 
-bool rk_quarantine_stops(struct rk_quarantine *q, uint64_t request, int64_t now_ms)
+bool rk_quarantine_is_stopped(struct rk_quarantine *q, uint64_t request,
+                              int64_t now_ms)
 {
     struct rk_quarantine_row *row = rk_quarantine_find(q, request);
     if (!row || !row->stopped)
@@ -257,7 +258,7 @@
     row->ends_len = 0;
 }
 
-void rk_quarantine_clear(struct rk_quarantine *q, uint64_t request, int64_t now_ms)
+void rk_quarantine_reset(struct rk_quarantine *q, uint64_t request, int64_t now_ms)
 {
     struct rk_quarantine_row *row = rk_quarantine_find(q, request);
     if (!row || (!row->ends_len && !row->stopped))
@@ -267,14 +268,15 @@
     row->own = true;
 }
 
-void rk_quarantine_ran(struct rk_quarantine *q, uint64_t request, int64_t now_ms)
+void rk_quarantine_completed(struct rk_quarantine *q, uint64_t request,
+                             int64_t now_ms)
 {
     q->harmless[request % RK_QUARANTINE_HARMLESS] =
         (struct rk_harmless_request){.request = request, .completed_ms = now_ms};
-    rk_quarantine_clear(q, request, now_ms);
+    rk_quarantine_reset(q, request, now_ms);
 }
 
-bool rk_quarantine_is_near(const struct rk_quarantine_row *row)
+bool rk_quarantine_is_near_limit(const struct rk_quarantine_row *row)
 {
     int sum = 0;
     for (size_t i = 0; i < row->ends_len; i++)
@@ -318,6 +320,6 @@
     }
     /* The peers do not know that the request completed here. */
     if (is_harmless(q, row->request, now_ms))
-        rk_quarantine_clear(q, row->request, now_ms);
+        rk_quarantine_reset(q, row->request, now_ms);
     return changed || newly_stopped;
 }
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -40,7 +40,7 @@
 /* If at least this many other requests have two such ends each, VMs are ending
  * everywhere. A request may then have been present at three ends by chance, so one
  * more end is needed to stop it. */
-#define RK_QUARANTINE_CROWD 3
+#define RK_QUARANTINE_CROWD_MIN 3
 
 /* The end of a VM incarnation that was running a request. */
 struct rk_vm_end {
@@ -85,18 +85,18 @@
 
 /* Fields that identify a request: two calls are the same request if all are
  * equal. */
-struct rk_request_parts {
+struct rk_request_identity {
     const char *org, *method, *host, *target;
     const char *body;
     size_t body_len;
 };
 /* Returns the hash of a request; never 0. */
-uint64_t rk_quarantine_request(const struct rk_request_parts *parts);
+uint64_t rk_quarantine_hash(const struct rk_request_identity *parts);
 
 /* Formats a request hash for logs and the store, as 16 hexadecimal digits and a
  * NUL. */
-#define RK_QUARANTINE_NAME 17
-void rk_quarantine_name(uint64_t request, char out[RK_QUARANTINE_NAME]);
+#define RK_QUARANTINE_NAME_MAX 17
+void rk_quarantine_format(uint64_t request, char out[RK_QUARANTINE_NAME_MAX]);
 
 /* Returns the row of a request, valid until the table next changes, or NULL. */
 struct rk_quarantine_row *rk_quarantine_find(struct rk_quarantine *q,
@@ -106,21 +106,23 @@
  * names: a row of which only request, org and route are read. Returns whether the
  * request is stopped as a result. Ignored if the request was completed here within
  * the last minute. */
-bool rk_quarantine_note(struct rk_quarantine *q,
-                        const struct rk_quarantine_row *names, struct rk_vm_end end,
-                        int64_t now_ms);
+bool rk_quarantine_add_end(struct rk_quarantine *q,
+                           const struct rk_quarantine_row *names,
+                           struct rk_vm_end end, int64_t now_ms);
 
 /* Returns whether the request is stopped, and if so notes that a caller sent it
  * now. */
-bool rk_quarantine_stops(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
+bool rk_quarantine_is_stopped(struct rk_quarantine *q, uint64_t request,
+                              int64_t now_ms);
 
 /* Records that a VM completed the request, or ran it for so long that it cannot be
  * the cause, and clears its row. */
-void rk_quarantine_ran(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
+void rk_quarantine_completed(struct rk_quarantine *q, uint64_t request,
+                             int64_t now_ms);
 
 /* Resets the row of a request, so that it runs again and earlier evidence no longer
  * counts. */
-void rk_quarantine_clear(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
+void rk_quarantine_reset(struct rk_quarantine *q, uint64_t request, int64_t now_ms);
 
 /* Merges a row of another table. own: the row comes from this node. Returns whether
  * anything changed. */
@@ -130,11 +132,11 @@
 
 /* Returns whether a row has at least half the suspicion that stops a request. All
  * nodes keep such rows. */
-bool rk_quarantine_is_near(const struct rk_quarantine_row *row);
+bool rk_quarantine_is_near_limit(const struct rk_quarantine_row *row);
 
 /* Returns whether a row has been neither requested nor changed for so long that it
  * no longer counts. */
-bool rk_quarantine_is_over(const struct rk_quarantine_row *row, int64_t now_ms);
+bool rk_quarantine_is_expired(const struct rk_quarantine_row *row, int64_t now_ms);
 /* Removes expired rows. */
 void rk_quarantine_expire(struct rk_quarantine *q, int64_t now_ms);
 
--- a/core/quota.c
+++ b/core/quota.c
@@ -61,7 +61,7 @@
     q->window_ms = window_ms > 0 ? window_ms : RK_QUOTA_WINDOW_MS;
     q->slack = slack;
     q->nodes_reachable = 1;
-    q->nodes_total = RK_UNKNOWN_NODES;
+    q->nodes_total = RK_ASSUMED_NODES;
     q->lag_ms = REPORT_LAG_MS;
     q->since_ms = since_ms;
     q->unknown_before_ms = since_ms;
@@ -70,7 +70,7 @@
 void rk_quota_free(struct rk_quota *q)
 {
     free(q->orgs);
-    rk_names_free(&q->names);
+    rk_name_index_free(&q->names);
     q->orgs = NULL;
     q->orgs_len = q->orgs_cap = 0;
 }
@@ -84,11 +84,11 @@
  * one is added. */
 static struct rk_quota_org *find_or_add(struct rk_quota *q, const char *name)
 {
-    size_t at = rk_names_find(&q->names, q->orgs, sizeof(*q->orgs), name);
+    size_t at = rk_name_index_find(&q->names, q->orgs, sizeof(*q->orgs), name);
     if (at != RK_NO_ROW)
         return &q->orgs[at];
-    q->orgs = rk_names_append(&q->names, q->orgs, &q->orgs_len, &q->orgs_cap,
-                              sizeof(*q->orgs), name);
+    q->orgs = rk_name_index_append(&q->names, q->orgs, &q->orgs_len, &q->orgs_cap,
+                                   sizeof(*q->orgs), name);
     return &q->orgs[q->orgs_len - 1];
 }
 
@@ -119,7 +119,7 @@
     return total;
 }
 
-double rk_quota_known(const struct rk_quota_org *o)
+double rk_quota_used(const struct rk_quota_org *o)
 {
     return sum(o->used);
 }
@@ -203,7 +203,7 @@
     return o->demand * exp(-(double)(now_ms - o->demand_ms) / DEMAND_TAU_MS);
 }
 
-double rk_quota_asking(const struct rk_quota_org *o, int64_t now_ms)
+double rk_quota_demand(const struct rk_quota_org *o, int64_t now_ms)
 {
     return recent_demand(o, now_ms) * RK_MS_PER_S / DEMAND_TAU_MS;
 }
@@ -214,7 +214,7 @@
                                  const struct rk_quota_org *o, int64_t now_ms)
 {
     double age_ms = (double)(now_ms - q->unknown_before_ms);
-    double seen = rk_quota_asking(o, now_ms) + o->peers_demand;
+    double seen = rk_quota_demand(o, now_ms) + o->peers_demand;
     return fmax(seen / (1 - exp(-age_ms / DEMAND_TAU_MS)), o->restored_asking);
 }
 
@@ -245,13 +245,13 @@
     return fmax(used, restored);
 }
 
-int64_t rk_quota_remembers_ms(const struct rk_quota *q, int64_t now_ms)
+int64_t rk_quota_history_ms(const struct rk_quota *q, int64_t now_ms)
 {
     int64_t age_ms = now_ms - q->since_ms;
     return q->since_ms && age_ms < q->window_ms ? age_ms : q->window_ms;
 }
 
-void rk_quota_remind(struct rk_quota *q, int64_t remembers_ms)
+void rk_quota_peer_history(struct rk_quota *q, int64_t remembers_ms)
 {
     if (remembers_ms >= q->window_ms)
         q->unknown_before_ms = 0;
@@ -262,20 +262,20 @@
 {
     size_t newest = (size_t)(o->bucket % RK_QUOTA_BUCKETS);
     size_t age = (newest + RK_QUOTA_BUCKETS - index) % RK_QUOTA_BUCKETS;
-    size_t slice = age * RK_QUOTA_PARTS / (RK_QUOTA_BUCKETS - 1);
-    return slice < RK_QUOTA_PARTS ? slice : RK_QUOTA_PARTS - 1;
+    size_t slice = age * RK_QUOTA_SLICES / (RK_QUOTA_BUCKETS - 1);
+    return slice < RK_QUOTA_SLICES ? slice : RK_QUOTA_SLICES - 1;
 }
 
-void rk_quota_tell(const struct rk_quota *q, struct rk_quota_org *o,
-                   double slices[RK_QUOTA_PARTS], int64_t now_ms)
+void rk_quota_report(const struct rk_quota *q, struct rk_quota_org *o,
+                     double slices[RK_QUOTA_SLICES], int64_t now_ms)
 {
     advance(q, o, now_ms);
-    memset(slices, 0, RK_QUOTA_PARTS * sizeof(*slices));
+    memset(slices, 0, RK_QUOTA_SLICES * sizeof(*slices));
     for (size_t i = 0; i < RK_QUOTA_BUCKETS; i++)
         slices[slice_of(o, i)] += o->used[i];
 }
 
-bool rk_quota_knows_all(const struct rk_quota *q, int64_t now_ms)
+bool rk_quota_is_complete(const struct rk_quota *q, int64_t now_ms)
 {
     return !q->unknown_before_ms || q->restore_read ||
            now_ms - q->unknown_before_ms >= q->window_ms;
@@ -284,17 +284,19 @@
 /* Adds unknown usage before a start at the latest possible time, which is just
  * before the start. */
 static void add_unknown_usage(const struct rk_quota *q, double before,
-                              double slices[RK_QUOTA_PARTS], int64_t now_ms)
+                              double slices[RK_QUOTA_SLICES], int64_t now_ms)
 {
-    int64_t slice = (now_ms - q->unknown_before_ms) * RK_QUOTA_PARTS / q->window_ms;
-    if (slice < RK_QUOTA_PARTS)
+    int64_t slice =
+        (now_ms - q->unknown_before_ms) * RK_QUOTA_SLICES / q->window_ms;
+    if (slice < RK_QUOTA_SLICES)
         slices[slice] += before;
 }
 
-void rk_quota_keep(const struct rk_quota *q, struct rk_quota_org *o, double quota,
-                   double rate, double slices[RK_QUOTA_PARTS], int64_t now_ms)
+void rk_quota_persist(const struct rk_quota *q, struct rk_quota_org *o,
+                      double quota, double rate, double slices[RK_QUOTA_SLICES],
+                      int64_t now_ms)
 {
-    rk_quota_tell(q, o, slices, now_ms);
+    rk_quota_report(q, o, slices, now_ms);
     if (!q->unknown_before_ms)
         return;
     if (!q->restored) {
@@ -306,13 +308,13 @@
         slices[slice_of(o, i)] += o->restored[i];
 }
 
-void rk_quota_know(struct rk_quota *q, const char *org,
-                   const double slices[RK_QUOTA_PARTS], int64_t now_ms)
+void rk_quota_merge(struct rk_quota *q, const char *org,
+                    const double slices[RK_QUOTA_SLICES], int64_t now_ms)
 {
     struct rk_quota_org *o = find_or_add(q, org);
-    double known[RK_QUOTA_PARTS];
-    size_t buckets[RK_QUOTA_PARTS] = {0};
-    rk_quota_tell(q, o, known, now_ms);
+    double known[RK_QUOTA_SLICES];
+    size_t buckets[RK_QUOTA_SLICES] = {0};
+    rk_quota_report(q, o, known, now_ms);
     for (size_t i = 0; i < RK_QUOTA_BUCKETS; i++)
         buckets[slice_of(o, i)]++;
     for (size_t i = 0; i < RK_QUOTA_BUCKETS; i++) {
@@ -334,7 +336,7 @@
 }
 
 void rk_quota_restore(struct rk_quota *q, const char *org,
-                      const double slices[RK_QUOTA_PARTS], double asking,
+                      const double slices[RK_QUOTA_SLICES], double asking,
                       int64_t age_ms, int64_t now_ms)
 {
     struct rk_quota_org *o = find_or_add(q, org);
@@ -343,22 +345,22 @@
     advance(q, o, now_ms);
     o->restored_asking = asking;
     double all = 0, newest = slices[0] > slices[1] ? slices[0] : slices[1];
-    int64_t slice_ms = q->window_ms / RK_QUOTA_PARTS;
+    int64_t slice_ms = q->window_ms / RK_QUOTA_SLICES;
     /* A persisted record does not say when within a slice the units were used. They
      * are counted as late as possible, so they leave the window up to a slice too
      * late. When they were spread over the slice, a burst left half a slice too
      * soon and 1.08 of a quota was admitted around a kill of all nodes. */
-    for (int64_t i = 0; i < RK_QUOTA_PARTS; i++) {
+    for (int64_t i = 0; i < RK_QUOTA_SLICES; i++) {
         add_restored(q, o, slices[i], age_ms + i * slice_ms);
         all += slices[i];
     }
-    double mean = all / RK_QUOTA_PARTS;
+    double mean = all / RK_QUOTA_SLICES;
     double rate = (newest > mean ? newest : mean) / (double)slice_ms;
     double unsaved_ms = (double)age_ms * UNSAVED_ACTIVE_SHARE + UNREPORTED_MS;
     add_restored(q, o, rate * UNSAVED_SURGE * unsaved_ms, age_ms / 2);
 }
 
-void rk_quota_restored(struct rk_quota *q, int64_t age_ms)
+void rk_quota_restore_done(struct rk_quota *q, int64_t age_ms)
 {
     q->restore_read = true;
     q->restored = age_ms <= RESTORED_MAX_MS;
@@ -379,7 +381,8 @@
     return quota > o->old_quota ? quota : o->old_quota;
 }
 
-void rk_quota_add(struct rk_quota *q, const char *org, double units, int64_t now_ms)
+void rk_quota_add_peers(struct rk_quota *q, const char *org, double units,
+                        int64_t now_ms)
 {
     struct rk_quota_org *o = find_or_add(q, org);
     advance(q, o, now_ms);
@@ -445,7 +448,7 @@
     if (in_restart_grace(q, now_ms) && o->restored_asking > peers_asking)
         peers_asking = o->restored_asking;
     double demand_per_ms =
-        (rk_quota_asking(o, now_ms) + peers_asking) / RK_MS_PER_S;
+        (rk_quota_demand(o, now_ms) + peers_asking) / RK_MS_PER_S;
     double peers_per_ms = peers_rate(o, now_ms); /* follows a rise sooner */
     if (peers_per_ms > demand_per_ms)
         demand_per_ms = peers_per_ms;
@@ -456,7 +459,7 @@
 /* Draws whether a call is among the admitted share, and if not, sets the retry
  * delay. */
 static bool draw_admission(struct rk_quota *q, double share,
-                           struct rk_quota_answer *answer)
+                           struct rk_quota_decision *answer)
 {
     answer->share = share;
     if (share >= 1 || rk_rng_below(&q->rng, DRAW_RANGE) < share * DRAW_RANGE)
@@ -481,8 +484,8 @@
     q->reachable[now % RK_QUOTA_BUCKETS] = share;
 }
 
-void rk_quota_hear(struct rk_quota *q, int nodes_heard, int nodes_total,
-                   int64_t now_ms)
+void rk_quota_set_reachable(struct rk_quota *q, int nodes_heard, int nodes_total,
+                            int64_t now_ms)
 {
     double before = reachable_share(q, now_ms);
     q->nodes_reachable = nodes_heard;
@@ -511,9 +514,10 @@
 }
 
 bool rk_quota_admit(struct rk_quota *q, const char *org, double rate, double burst,
-                    double units, int64_t now_ms, struct rk_quota_answer *answer)
+                    double units, int64_t now_ms, struct rk_quota_decision *answer)
 {
-    *answer = (struct rk_quota_answer){.share = 1, .retry_after_ms = RETRY_MIN_MS};
+    *answer =
+        (struct rk_quota_decision){.share = 1, .retry_after_ms = RETRY_MIN_MS};
     struct rk_quota_org *o = find_or_add(q, org);
     advance(q, o, now_ms);
     record_demand(o, units, now_ms);
--- a/core/quota.h
+++ b/core/quota.h
@@ -17,9 +17,9 @@
 /* One bucket more than a window, as the oldest bucket lies only partly within
  * it. */
 #define RK_QUOTA_BUCKETS   33
-#define RK_QUOTA_PARTS     8    /* window slices in reports between nodes */
+#define RK_QUOTA_SLICES    8    /* window slices in reports between nodes */
 #define RK_QUOTA_WINDOW_MS 8000 /* default, when the deployment sets none */
-#define RK_UNKNOWN_NODES   8    /* assumed until the node list is known */
+#define RK_ASSUMED_NODES   8    /* assumed until the node list is known */
 
 /* Usage and demand of one organisation. */
 struct rk_quota_org {
@@ -49,7 +49,7 @@
     int64_t window_ms;
     struct rk_quota_org *orgs;
     size_t orgs_len, orgs_cap;
-    struct rk_names names;            /* index of orgs */
+    struct rk_name_index names;       /* index of orgs */
     int nodes_reachable, nodes_total; /* both include this node */
     /* Share of the nodes that was reachable, per bucket. */
     double reachable[RK_QUOTA_BUCKETS];
@@ -81,7 +81,7 @@
 void rk_quota_free(struct rk_quota *q);
 
 /* Figures behind an admission decision. */
-struct rk_quota_answer {
+struct rk_quota_decision {
     /* In units: usage known and estimated within the window, usage assumed before a
      * restart, and the limit for both. */
     double used, used_before_restart, limit;
@@ -90,68 +90,70 @@
 };
 
 /* Sets how many nodes are reachable out of all nodes, both including this one. */
-void rk_quota_hear(struct rk_quota *q, int nodes_heard, int nodes_total,
-                   int64_t now_ms);
+void rk_quota_set_reachable(struct rk_quota *q, int nodes_heard, int nodes_total,
+                            int64_t now_ms);
 
 /* Decides whether a call that costs `units` is admitted, and counts it if so. rate:
  * units/s, 0: no limit; burst: units on top of the rate in each window. A lowered
  * quota takes effect after one window; until then the higher one is in force.
  * *answer is filled in either case. */
 bool rk_quota_admit(struct rk_quota *q, const char *org, double rate, double burst,
-                    double units, int64_t now_ms, struct rk_quota_answer *answer);
+                    double units, int64_t now_ms, struct rk_quota_decision *answer);
 
 /* Adds units that peers admitted since their previous report; negative for
  * refunds. */
-void rk_quota_add(struct rk_quota *q, const char *org, double units,
-                  int64_t now_ms);
+void rk_quota_add_peers(struct rk_quota *q, const char *org, double units,
+                        int64_t now_ms);
 
 /* Returns how far back this node's own usage data goes, in ms, at most one
  * window. */
-int64_t rk_quota_remembers_ms(const struct rk_quota *q, int64_t now_ms);
+int64_t rk_quota_history_ms(const struct rk_quota *q, int64_t now_ms);
 
 /* Notes that a peer's usage data goes back remembers_ms. If that is a whole window,
  * nothing has to be assumed about usage before the restart. The peer's usage of
- * every organisation must have been merged by rk_quota_know() before. */
-void rk_quota_remind(struct rk_quota *q, int64_t remembers_ms);
+ * every organisation must have been merged by rk_quota_merge() before. */
+void rk_quota_peer_history(struct rk_quota *q, int64_t remembers_ms);
 
 /* Merges what a peer knows of the usage of all nodes, in units per window slice,
  * newest first. Slices of which this node knows more stay as they are. */
-void rk_quota_know(struct rk_quota *q, const char *org,
-                   const double slices[RK_QUOTA_PARTS], int64_t now_ms);
+void rk_quota_merge(struct rk_quota *q, const char *org,
+                    const double slices[RK_QUOTA_SLICES], int64_t now_ms);
 
 /* Fills slices with what this node knows of the usage of all nodes, in units per
  * window slice, newest first. */
-void rk_quota_tell(const struct rk_quota *q, struct rk_quota_org *o,
-                   double slices[RK_QUOTA_PARTS], int64_t now_ms);
+void rk_quota_report(const struct rk_quota *q, struct rk_quota_org *o,
+                     double slices[RK_QUOTA_SLICES], int64_t now_ms);
 
-/* Like rk_quota_tell(), plus what was used, or may have been used, before this
+/* Like rk_quota_report(), plus what was used, or may have been used, before this
  * node's restart. The result is meant for the store. quota: units per window; rate:
  * units/s. */
-void rk_quota_keep(const struct rk_quota *q, struct rk_quota_org *o, double quota,
-                   double rate, double slices[RK_QUOTA_PARTS], int64_t now_ms);
+void rk_quota_persist(const struct rk_quota *q, struct rk_quota_org *o,
+                      double quota, double rate, double slices[RK_QUOTA_SLICES],
+                      int64_t now_ms);
 
-/* Returns whether rk_quota_keep() reports at least what was used within the window.
- * It does not while the persisted usage has not been read after a restart. */
-bool rk_quota_knows_all(const struct rk_quota *q, int64_t now_ms);
+/* Returns whether rk_quota_persist() reports at least what was used within the
+ * window. It does not while the persisted usage has not been read after a restart.
+ */
+bool rk_quota_is_complete(const struct rk_quota *q, int64_t now_ms);
 
 /* Adds usage persisted before a restart. slices is what all nodes used, in units
  * per window slice, newest first; asking is their demand in units/s; age_ms is the
  * age of this record. Also adds an estimate of what was used after the record was
  * written. All of it counts until a peer reports its own data. */
 void rk_quota_restore(struct rk_quota *q, const char *org,
-                      const double slices[RK_QUOTA_PARTS], double asking,
+                      const double slices[RK_QUOTA_SLICES], double asking,
                       int64_t age_ms, int64_t now_ms);
 
 /* Ends a series of rk_quota_restore() calls. If the record is recent enough
  * (age_ms), only what was restored counts as used before the restart; otherwise up
  * to the whole quota may have been used. */
-void rk_quota_restored(struct rk_quota *q, int64_t age_ms);
+void rk_quota_restore_done(struct rk_quota *q, int64_t age_ms);
 
 /* Returns units used by all nodes within the window, as far as this node knows. */
-double rk_quota_known(const struct rk_quota_org *o);
+double rk_quota_used(const struct rk_quota_org *o);
 
 /* Returns units/s requested at this node, refused calls included. */
-double rk_quota_asking(const struct rk_quota_org *o, int64_t now_ms);
+double rk_quota_demand(const struct rk_quota_org *o, int64_t now_ms);
 
 /* Gives back units that this node admitted for a call that did not run. */
 void rk_quota_refund(struct rk_quota *q, const char *org, double units,
--- a/core/rank.h
+++ b/core/rank.h
@@ -8,11 +8,11 @@
 #ifndef RK_CORE_RANK_H
 #define RK_CORE_RANK_H
 
-#define RK_RANK_LAST 9 /* least urgent rank that engines support */
+#define RK_ENGINE_RANK_MAX 9 /* least urgent rank that engines support */
 
-/* Returns a rank from 0, the most urgent, to RK_RANK_LAST. promised: rank of the
- * call's organisation or route. unread_tokens: prompt tokens that are not cached
- * at the engine. */
-int rk_rank(int promised, double unread_tokens);
+/* Returns a rank from 0, the most urgent, to RK_ENGINE_RANK_MAX. promised: rank of
+ * the call's organisation or route. unread_tokens: prompt tokens that are not
+ * cached at the engine. */
+int rk_engine_rank(int promised, double unread_tokens);
 
 #endif
--- a/core/reclaims.c
+++ b/core/reclaims.c
@@ -16,8 +16,8 @@
     d->retry_at_ms = now_ms + RETRY_MS;
 }
 
-void rk_reclaims_seen(struct rk_reclaims_domain *d, int held, int ordered,
-                      int64_t now_ms)
+void rk_reclaims_observe(struct rk_reclaims_domain *d, int held, int ordered,
+                         int64_t now_ms)
 {
     if (held >= d->peak || now_ms - d->peak_ms > LOST_WITHIN_MS) {
         d->peak = held;
@@ -41,12 +41,12 @@
         domains[i].retry_at_ms = 0;
 }
 
-bool rk_reclaims_may_ask(const struct rk_reclaims_domain *d, int64_t now_ms)
+bool rk_reclaims_may_order(const struct rk_reclaims_domain *d, int64_t now_ms)
 {
     return now_ms >= d->retry_at_ms;
 }
 
-bool rk_reclaims_none(const struct rk_reclaims_domain *domains, size_t len)
+bool rk_reclaims_all_exhausted(const struct rk_reclaims_domain *domains, size_t len)
 {
     for (size_t i = 0; i < len; i++)
         if (!domains[i].exhausted)
--- a/core/reclaims.h
+++ b/core/reclaims.h
@@ -19,8 +19,8 @@
 
 /* Updates a domain from the VM list. held: reclaimable VMs not leaving; ordered:
  * target of the last granted order, -1: none. */
-void rk_reclaims_seen(struct rk_reclaims_domain *d, int held, int ordered,
-                      int64_t now_ms);
+void rk_reclaims_observe(struct rk_reclaims_domain *d, int held, int ordered,
+                         int64_t now_ms);
 
 /* Notes that the platform refused an order for more VMs. */
 void rk_reclaims_refused(struct rk_reclaims_domain *d, int64_t now_ms);
@@ -30,9 +30,10 @@
 void rk_reclaims_granted(struct rk_reclaims_domain *domains, size_t len, size_t at);
 
 /* Returns whether an order for more VMs may be sent now. */
-bool rk_reclaims_may_ask(const struct rk_reclaims_domain *d, int64_t now_ms);
+bool rk_reclaims_may_order(const struct rk_reclaims_domain *d, int64_t now_ms);
 
 /* Returns whether all domains are exhausted. */
-bool rk_reclaims_none(const struct rk_reclaims_domain *domains, size_t len);
+bool rk_reclaims_all_exhausted(const struct rk_reclaims_domain *domains,
+                               size_t len);
 
 #endif
--- a/core/returning.c
+++ b/core/returning.c
@@ -16,8 +16,8 @@
     size->largest += capacity == size->capacity;
 }
 
-int64_t rk_returning_wait_ms(const struct rk_fleet_size *size, int64_t capacity,
-                             double draw)
+int64_t rk_read_delay_ms(const struct rk_fleet_size *size, int64_t capacity,
+                         double draw)
 {
     if (size->nodes <= SMALL_FLEET_NODES)
         return 0;
--- a/core/returning.h
+++ b/core/returning.h
@@ -23,7 +23,7 @@
 
 /* Returns the read delay of a node in ms. capacity: of this node, in thousandths of
  * a core; draw: random number from 0 to 1, drawn independently by each node. */
-int64_t rk_returning_wait_ms(const struct rk_fleet_size *size, int64_t capacity,
-                             double draw);
+int64_t rk_read_delay_ms(const struct rk_fleet_size *size, int64_t capacity,
+                         double draw);
 
 #endif
--- a/core/rollout.c
+++ b/core/rollout.c
@@ -45,8 +45,9 @@
  * running on the old VMs. With 500 ms, streams of 0.6 s were cut off. */
 #define DRAIN_MS 1500
 
-struct rk_rollout_seen *rk_rollout_seen_of(struct rk_rollout_seen *all, size_t len,
-                                           const char *service, const char *version)
+struct rk_rollout_stats *rk_rollout_stats_find(struct rk_rollout_stats *all,
+                                               size_t len, const char *service,
+                                               const char *version)
 {
     for (size_t i = 0; i < len; i++)
         if (!strcmp(all[i].service, service) && !strcmp(all[i].version, version))
@@ -64,17 +65,18 @@
     return NULL;
 }
 
-size_t rk_rollout_add(struct rk_trial_rows *sum, const struct rk_trial_rows *more)
+size_t rk_rollout_add(struct rk_canary_rows *sum, const struct rk_canary_rows *more)
 {
     size_t skipped = 0;
     for (size_t i = 0; i < more->len; i++) {
-        const struct rk_trial_row *row = &more->rows[i];
-        struct rk_trial_row *to =
-            rk_trial_is_sound(&row->stats)
-                ? rk_trial_row_at(sum, row->route, row->domain, row->of_new_version)
+        const struct rk_canary_row *row = &more->rows[i];
+        struct rk_canary_row *to =
+            rk_canary_is_valid(&row->stats)
+                ? rk_canary_get_row(sum, row->route, row->domain,
+                                    row->of_new_version)
                 : NULL;
         if (to)
-            rk_trial_add(&to->stats, &row->stats);
+            rk_canary_merge(&to->stats, &row->stats);
         skipped += !to;
     }
     return skipped;
@@ -94,17 +96,17 @@
     rk_strcpy(r->rule.version, sizeof(r->rule.version), order->version);
     r->rule.revision = revision + 1;
     if (order->state == RK_ROLLOUT_DONE)
-        r->rule.phase = RK_ROLLOUT_TAKEN;
-    if (order->state == RK_ROLLOUT_UNDONE)
-        r->rule.phase = RK_ROLLOUT_GIVEN_BACK;
+        r->rule.phase = RK_ROLLOUT_COMMITTED;
+    if (order->state == RK_ROLLOUT_REVERTED)
+        r->rule.phase = RK_ROLLOUT_ROLLED_BACK;
     if (order->state == RK_ROLLOUT_DONE)
-        r->rule.share = RK_ROLLOUT_ALL;
+        r->rule.share = RK_ROLLOUT_SHARE_ALL;
 }
 
 static bool is_over(const struct rk_rollout *r)
 {
-    return r->rule.phase == RK_ROLLOUT_TAKEN ||
-           r->rule.phase == RK_ROLLOUT_GIVEN_BACK;
+    return r->rule.phase == RK_ROLLOUT_COMMITTED ||
+           r->rule.phase == RK_ROLLOUT_ROLLED_BACK;
 }
 
 /* Returns the time since the order, in ms. */
@@ -130,7 +132,7 @@
 
 /* ---- share of calls ---- */
 
-static void count_calls(const struct rk_trial_rows *t, double *all, double *canary)
+static void count_calls(const struct rk_canary_rows *t, double *all, double *canary)
 {
     *all = *canary = 0;
     for (size_t i = 0; i < t->len; i++) {
@@ -142,7 +144,7 @@
 /* Returns how many calls the new version may still get, if it may use the given
  * part of its bounds. */
 static double remaining_calls(const struct rk_rollout *r,
-                              const struct rk_rollout_view *v, double part)
+                              const struct rk_rollout_input *v, double part)
 {
     double all, canary;
     count_calls(v->canary_rows, &all, &canary);
@@ -159,11 +161,11 @@
 
 static uint32_t to_rule_share(double part)
 {
-    return (uint32_t)(part * RK_ROLLOUT_ALL);
+    return (uint32_t)(part * RK_ROLLOUT_SHARE_ALL);
 }
 
 static bool can_load_test(const struct rk_rollout *r,
-                          const struct rk_rollout_view *v)
+                          const struct rk_rollout_input *v)
 {
     double all, canary;
     count_calls(v->canary_rows, &all, &canary);
@@ -175,7 +177,7 @@
 /* Returns whether one VM gets full load before all calls move. This is unnecessary
  * if each canary VM gets about that much already. */
 static bool needs_load_test(const struct rk_rollout *r,
-                            const struct rk_rollout_view *v)
+                            const struct rk_rollout_input *v)
 {
     bool full_load_in_canary = (double)v->old_vms * CANARY_SHARE_MIN >= 1;
     return !r->load_tested && !full_load_in_canary && can_load_test(r, v);
@@ -184,7 +186,7 @@
 /* Returns when the canary phase ends regardless of its results, in ms since the
  * order, leaving time for the later phases. */
 static double canary_end_ms(const struct rk_rollout *r,
-                            const struct rk_rollout_view *v)
+                            const struct rk_rollout_input *v)
 {
     double all_ms = (double)r->order.duration_ms;
     double after_ms = DRAIN_MS + RESERVE_MS + (needs_load_test(r, v) ? LOAD_MS : 0);
@@ -194,7 +196,7 @@
 /* Returns the share of calls that uses up the canary budget by the end of the
  * phase. The slack lets a small service get meaningful results, too. */
 static double canary_share(const struct rk_rollout *r,
-                           const struct rk_rollout_view *v)
+                           const struct rk_rollout_input *v)
 {
     double all, canary;
     count_calls(v->canary_rows, &all, &canary);
@@ -211,7 +213,7 @@
                 fmin(CANARY_SHARE_MAX, budget / (per_ms * remaining_ms)));
 }
 
-static void update_canary(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void update_canary(struct rk_rollout *r, const struct rk_rollout_input *v)
 {
     double share = canary_share(r, v);
     bool has_budget = remaining_calls(r, v, CANARY_PART) > 0;
@@ -221,7 +223,7 @@
         r->rule.share = new_share;
     r->rule.vms = vms_for_share(share, v->old_vms);
     int64_t since_rotation_ms = v->now_ms - r->rotated_ms;
-    bool suspect = r->finding.verdict == RK_TRIAL_SUSPECT;
+    bool suspect = r->finding.verdict == RK_CANARY_SUSPECT;
     if (since_rotation_ms < (suspect ? ROTATION_MS / 3 : ROTATION_MS))
         return;
     r->rule.rotation++;
@@ -230,9 +232,9 @@
 
 /* ---- phases ---- */
 
-static void begin_load_test(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void begin_load_test(struct rk_rollout *r, const struct rk_rollout_input *v)
 {
-    enter_phase(r, RK_ROLLOUT_LOAD, v->now_ms);
+    enter_phase(r, RK_ROLLOUT_LOAD_TEST, v->now_ms);
     r->load_tested = true;
     r->rule.vms = 1;
     r->rule.rotation++;
@@ -240,20 +242,20 @@
         to_rule_share(fmin(LOAD_SHARE, LOAD_EXCESS / fmax(1, (double)v->old_vms)));
 }
 
-static void begin_cutover(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void begin_cutover(struct rk_rollout *r, const struct rk_rollout_input *v)
 {
-    enter_phase(r, RK_ROLLOUT_SHIFT, v->now_ms);
-    r->rule.share = RK_ROLLOUT_ALL;
+    enter_phase(r, RK_ROLLOUT_CUTOVER, v->now_ms);
+    r->rule.share = RK_ROLLOUT_SHARE_ALL;
     r->rule.vms = 0;
 }
 
 static void roll_back(struct rk_rollout *r, int64_t now_ms)
 {
-    enter_phase(r, RK_ROLLOUT_GIVEN_BACK, now_ms);
+    enter_phase(r, RK_ROLLOUT_ROLLED_BACK, now_ms);
     r->rule.share = 0;
 }
 
-void rk_rollout_drop(struct rk_rollout *r, int64_t now_ms)
+void rk_rollout_cancel(struct rk_rollout *r, int64_t now_ms)
 {
     if (is_over(r))
         return;
@@ -263,7 +265,7 @@
 
 /* Returns whether calls arrived, but next to none of them went to the new
  * version. */
-static bool lacks_canary_calls(const struct rk_rollout_view *v)
+static bool lacks_canary_calls(const struct rk_rollout_input *v)
 {
     double all, canary;
     count_calls(v->canary_rows, &all, &canary);
@@ -272,13 +274,13 @@
 
 /* Returns whether the version was found good after the minimum time. */
 static bool passed_canary(const struct rk_rollout *r,
-                          const struct rk_rollout_view *v)
+                          const struct rk_rollout_input *v)
 {
     return elapsed_share(r, v->now_ms) >= CANARY_MIN &&
-           r->finding.verdict == RK_TRIAL_GOOD;
+           r->finding.verdict == RK_CANARY_GOOD;
 }
 
-static void step_canary(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void step_canary(struct rk_rollout *r, const struct rk_rollout_input *v)
 {
     bool late = elapsed_ms(r, v->now_ms) >= canary_end_ms(r, v);
     update_canary(r, v);
@@ -298,13 +300,13 @@
         begin_cutover(r, v);
 }
 
-static void step_cutover(struct rk_rollout *r, const struct rk_rollout_view *v)
+static void step_cutover(struct rk_rollout *r, const struct rk_rollout_input *v)
 {
     double all_ms = (double)r->order.duration_ms;
     double end_ms = fmin(CUTOVER_END * all_ms, all_ms - RESERVE_MS);
     bool drained = v->old_running <= 0 || elapsed_ms(r, v->now_ms) >= end_ms;
     if (drained && v->now_ms - r->phase_ms >= DRAIN_MS)
-        enter_phase(r, RK_ROLLOUT_TAKEN, v->now_ms);
+        enter_phase(r, RK_ROLLOUT_COMMITTED, v->now_ms);
 }
 
 static bool same_rule(const struct rk_rollout_rule *a,
@@ -314,27 +316,27 @@
            a->rotation == b->rotation;
 }
 
-bool rk_rollout_step(struct rk_rollout *r, const struct rk_rollout_view *v)
+bool rk_rollout_step(struct rk_rollout *r, const struct rk_rollout_input *v)
 {
     struct rk_rollout_rule before = r->rule;
     if (is_over(r))
         return false;
-    r->finding = rk_trial_judge(v->canary_rows, v->new_domains);
-    if (r->finding.verdict == RK_TRIAL_BAD)
+    r->finding = rk_canary_judge(v->canary_rows, v->new_domains);
+    if (r->finding.verdict == RK_CANARY_BAD)
         roll_back(r, v->now_ms);
     switch (r->rule.phase) {
-    case RK_ROLLOUT_TRIAL:
+    case RK_ROLLOUT_CANARY:
         step_canary(r, v);
         break;
-    case RK_ROLLOUT_LOAD:
+    case RK_ROLLOUT_LOAD_TEST:
         if (v->now_ms - r->phase_ms >= LOAD_MS)
             begin_cutover(r, v);
         break;
-    case RK_ROLLOUT_SHIFT:
+    case RK_ROLLOUT_CUTOVER:
         step_cutover(r, v);
         break;
-    case RK_ROLLOUT_TAKEN:
-    case RK_ROLLOUT_GIVEN_BACK:
+    case RK_ROLLOUT_COMMITTED:
+    case RK_ROLLOUT_ROLLED_BACK:
         break;
     }
     if (same_rule(&before, &r->rule))
@@ -346,19 +348,19 @@
 enum rk_rollout_state rk_rollout_state_of(const struct rk_rollout *r)
 {
     switch (r->rule.phase) {
-    case RK_ROLLOUT_TAKEN:
+    case RK_ROLLOUT_COMMITTED:
         return RK_ROLLOUT_DONE;
-    case RK_ROLLOUT_GIVEN_BACK:
-        return RK_ROLLOUT_UNDONE;
+    case RK_ROLLOUT_ROLLED_BACK:
+        return RK_ROLLOUT_REVERTED;
     default:
         return RK_ROLLOUT_RUNNING;
     }
 }
 
-bool rk_rollout_tries(const struct rk_rollout_rule *rule, uint64_t request)
+bool rk_rollout_uses_new(const struct rk_rollout_rule *rule, uint64_t request)
 {
     uint64_t hash = rk_hash(request, rule->version, strlen(rule->version));
-    return hash % RK_ROLLOUT_ALL < rule->share;
+    return hash % RK_ROLLOUT_SHARE_ALL < rule->share;
 }
 
 const char *rk_rollout_phase_str(enum rk_rollout_phase phase)
--- a/core/rollout.h
+++ b/core/rollout.h
@@ -17,17 +17,17 @@
 
 #define RK_ROLLOUTS 4 /* services rolled out at the same time, at most */
 /* All calls, in the unit of shares: hundredths of a percent. */
-#define RK_ROLLOUT_ALL  10000
-#define RK_VERSION_TEXT 32 /* bytes, including the NUL */
+#define RK_ROLLOUT_SHARE_ALL 10000
+#define RK_VERSION_MAX       32 /* bytes, including the NUL */
 
-/* Phases, in their order. RK_ROLLOUT_TRIAL: a small share of the calls goes to the
- * new version. RK_ROLLOUT_LOAD may be skipped. */
+/* Phases, in their order. RK_ROLLOUT_CANARY: a small share of the calls goes to the
+ * new version. RK_ROLLOUT_LOAD_TEST may be skipped. */
 enum rk_rollout_phase {
-    RK_ROLLOUT_TRIAL,
-    RK_ROLLOUT_LOAD,       /* one VM gets as many calls as an old one */
-    RK_ROLLOUT_SHIFT,      /* all new calls move; old VMs finish their calls */
-    RK_ROLLOUT_TAKEN,      /* final: the old VMs are gone */
-    RK_ROLLOUT_GIVEN_BACK, /* final: the new version gets no calls */
+    RK_ROLLOUT_CANARY,
+    RK_ROLLOUT_LOAD_TEST,   /* one VM gets as many calls as an old one */
+    RK_ROLLOUT_CUTOVER,     /* all new calls move; old VMs finish their calls */
+    RK_ROLLOUT_COMMITTED,   /* final: the old VMs are gone */
+    RK_ROLLOUT_ROLLED_BACK, /* final: the new version gets no calls */
 };
 
 /* State of an order, as recorded in the store. */
@@ -35,12 +35,12 @@
     RK_ROLLOUT_ORDERED,
     RK_ROLLOUT_RUNNING,
     RK_ROLLOUT_DONE,
-    RK_ROLLOUT_UNDONE,
+    RK_ROLLOUT_REVERTED,
 };
 /* An operator's order. */
 struct rk_rollout_order {
     char service[RK_ID_MAX];
-    char version[RK_VERSION_TEXT];
+    char version[RK_VERSION_MAX];
     int64_t duration_ms;
     enum rk_rollout_state state; /* state of this version */
 };
@@ -56,29 +56,29 @@
 /* What all nodes apply to the calls of one service. */
 struct rk_rollout_rule {
     char service[RK_ID_MAX];
-    char version[RK_VERSION_TEXT]; /* the new version */
+    char version[RK_VERSION_MAX]; /* the new version */
     enum rk_rollout_phase phase;
-    uint32_t share;    /* of new calls, in units of 1 / RK_ROLLOUT_ALL */
+    uint32_t share;    /* of new calls, in units of 1 / RK_ROLLOUT_SHARE_ALL */
     uint32_t vms;      /* number of new VMs that get them; 0: all */
     uint32_t rotation; /* selects which VMs; each number selects others */
     int64_t revision;  /* incremented with every change of the rule */
 };
 
 /* Results of calls to both versions, as nodes report them to each other. */
-struct rk_rollout_seen {
+struct rk_rollout_stats {
     char service[RK_ID_MAX];
-    char version[RK_VERSION_TEXT];
-    struct rk_trial_rows rows;
+    char version[RK_VERSION_MAX];
+    struct rk_canary_rows rows;
     double old_running; /* calls in flight on old VMs, over all nodes */
 };
 
 /* What the leader bases a decision on. */
-struct rk_rollout_view {
+struct rk_rollout_input {
     int64_t now_ms;
     size_t old_vms, new_vms; /* VMs that accept calls */
     size_t new_domains;      /* failure domains with new VMs */
     double old_running;      /* calls in flight on old VMs */
-    const struct rk_trial_rows *canary_rows;
+    const struct rk_canary_rows *canary_rows;
 };
 
 /* A rollout at the leader. */
@@ -89,21 +89,22 @@
     int64_t ordered_ms; /* when it was ordered, as far as known */
     int64_t rotated_ms; /* when the canary VMs were last changed */
     int64_t phase_ms;   /* when the phase began */
-    bool load_tested;   /* RK_ROLLOUT_LOAD was entered already */
-    struct rk_trial_finding finding;
+    bool load_tested;   /* RK_ROLLOUT_LOAD_TEST was entered already */
+    struct rk_canary_finding finding;
 };
 
 /* Returns the results for a service and version among len entries, or NULL. */
-struct rk_rollout_seen *rk_rollout_seen_of(struct rk_rollout_seen *all, size_t len,
-                                           const char *service,
-                                           const char *version);
+struct rk_rollout_stats *rk_rollout_stats_find(struct rk_rollout_stats *all,
+                                               size_t len, const char *service,
+                                               const char *version);
 /* Returns the rule of a service among len rules, or NULL. */
 const struct rk_rollout_rule *
 rk_rollout_rule_find(const struct rk_rollout_rule *rules, size_t len,
                      const char *service);
 /* Adds rows to a sum. Skips invalid rows and rows without room; returns how many
  * were skipped. */
-size_t rk_rollout_add(struct rk_trial_rows *sum, const struct rk_trial_rows *more);
+size_t rk_rollout_add(struct rk_canary_rows *sum,
+                      const struct rk_canary_rows *more);
 
 /* Starts a rollout, or resumes it. elapsed_ms: time since it was ordered. Continues
  * the revisions of r->rule, so *r must be zeroed or hold an earlier rollout. */
@@ -112,16 +113,16 @@
                       int64_t elapsed_ms);
 
 /* Rolls back after the operator cancelled the order, unless the rollout is over. */
-void rk_rollout_drop(struct rk_rollout *r, int64_t now_ms);
+void rk_rollout_cancel(struct rk_rollout *r, int64_t now_ms);
 
 /* Updates r->rule, which the caller publishes; returns whether it changed. */
-bool rk_rollout_step(struct rk_rollout *r, const struct rk_rollout_view *view);
+bool rk_rollout_step(struct rk_rollout *r, const struct rk_rollout_input *view);
 
 /* Returns the state that the store should record now. */
 enum rk_rollout_state rk_rollout_state_of(const struct rk_rollout *r);
 
 /* Returns whether a rule sends the call with this hash to the new version. */
-bool rk_rollout_tries(const struct rk_rollout_rule *rule, uint64_t request);
+bool rk_rollout_uses_new(const struct rk_rollout_rule *rule, uint64_t request);
 
 /* Returns the name of a phase, as logged. Static. */
 const char *rk_rollout_phase_str(enum rk_rollout_phase phase);
--- a/core/router.c
+++ b/core/router.c
@@ -48,7 +48,7 @@
     r->policy = policy;
     r->nodes = 1;
     r->rng.state = seed;
-    r->prefixes = rk_prefixes_create();
+    r->prefixes = rk_prefix_index_create();
     return r;
 }
 
@@ -57,8 +57,8 @@
     if (!r)
         return;
     for (size_t i = 0; i < r->services_len; i++)
-        rk_admit_destroy(r->services[i].queue);
-    rk_prefixes_destroy(r->prefixes);
+        rk_fair_queue_destroy(r->services[i].queue);
+    rk_prefix_index_destroy(r->prefixes);
     free(r);
 }
 
@@ -87,7 +87,7 @@
             if (r->services_len == MAX_SERVICES)
                 continue;
             s = &r->services[r->services_len++];
-            s->queue = rk_admit_create();
+            s->queue = rk_fair_queue_create();
             s->mean_ms = INITIAL_MEAN_MS;
             s->slot_time_ratio = 1;
         }
@@ -123,7 +123,7 @@
     v->latency_ratio = 1;
     rk_strcpy(v->id, sizeof(v->id), row->id);
     rk_strcpy(v->addr, sizeof(v->addr), row->addr);
-    rk_prefixes_forget(r->prefixes, (uint16_t)i);
+    rk_prefix_index_remove_vm(r->prefixes, (uint16_t)i);
     r->prefilled_tokens[i] = 0;
 }
 
@@ -252,7 +252,7 @@
     }
     if (limit < 1)
         limit = 1;
-    double ahead = (double)rk_admit_ahead_ms(job->svc->queue, job->rank);
+    double ahead = (double)rk_fair_queue_cost_ms(job->svc->queue, job->rank);
     if (busy + 1 <= limit && ahead <= 0)
         return 0;
     /* The slots in use become free one after the other. */
@@ -296,14 +296,14 @@
     struct org *org = find_org(r, job->org);
     if (!org || org->outstanding >= job->org_max) {
         *retry_after_ms = (int64_t)job->svc->mean_ms + MIN_RETRY_AFTER_MS;
-        return RK_SUBMIT_ORG_FULL;
+        return RK_SUBMIT_ORG_LIMIT;
     }
     int64_t wait =
         r->policy == RK_ROUTE_ADAPTIVE ? expected_wait_ms(r, job, now_ms) : 0;
     int64_t allowed = allowed_wait_ms(job, now_ms);
     if (!job->is_retry && wait > (allowed > 0 ? allowed : 0)) {
         *retry_after_ms = wait - (allowed > 0 ? allowed : 0) + MIN_RETRY_AFTER_MS;
-        return RK_SUBMIT_REFUSED;
+        return RK_SUBMIT_WAIT_TOO_LONG;
     }
     org->outstanding++;
     add_outstanding(r, job, 1);
@@ -311,7 +311,7 @@
     job->submitted_ms = now_ms;
     job->vm = -1;
     job->first_byte_seen = false;
-    rk_admit_push(job->svc->queue, &job->waiter);
+    rk_fair_queue_push(job->svc->queue, &job->waiter);
     job->state = RK_JOB_QUEUED;
     return RK_SUBMIT_QUEUED;
 }
@@ -319,7 +319,7 @@
 static void dispatch(struct rk_router *r, struct rk_job *job, int i, int64_t now_ms)
 {
     struct vm *v = &r->vms[i];
-    rk_admit_take(job->svc->queue, &job->waiter);
+    rk_fair_queue_serve(job->svc->queue, &job->waiter);
     job->state = RK_JOB_SENT;
     job->vm = i;
     job->sent_ms = now_ms;
@@ -329,13 +329,13 @@
     if (!job->prompt)
         return;
     if (r->policy != RK_ROUTE_ADAPTIVE)
-        rk_prefixes_match(r->prefixes, job->prompt, r->prefilled_tokens,
-                          r->cache_tokens, r->cached, r->vms_len);
+        rk_prefix_index_match(r->prefixes, job->prompt, r->prefilled_tokens,
+                              r->cache_tokens, r->cached, r->vms_len);
     uint32_t cached = job->prompt->blocks_len ? r->cached[i] : 0;
     job->uncached_tokens = job->prompt->tokens - cached;
     r->prefilled_tokens[i] += job->uncached_tokens;
-    rk_prefixes_insert(r->prefixes, job->prompt, (uint16_t)i,
-                       r->prefilled_tokens[i]);
+    rk_prefix_index_insert(r->prefixes, job->prompt, (uint16_t)i,
+                           r->prefilled_tokens[i]);
 }
 
 static struct rk_job *job_of_waiter(struct rk_waiter *w)
@@ -355,11 +355,12 @@
 {
     for (size_t n = 0; n < r->services_len; n++) {
         struct rk_service *svc = &r->services[n];
-        if (!rk_admit_len(svc->queue))
+        if (!rk_fair_queue_len(svc->queue))
             continue;
         bool allow_deferrable =
             r->policy != RK_ROUTE_ADAPTIVE || has_room_for_deferrable(r, svc);
-        struct rk_waiter *w = rk_admit_peek(svc->queue, allow_deferrable, now_ms);
+        struct rk_waiter *w =
+            rk_fair_queue_peek(svc->queue, allow_deferrable, now_ms);
         if (!w)
             continue;
         struct rk_job *job = job_of_waiter(w);
@@ -389,7 +390,8 @@
     }
 }
 
-void rk_router_first(struct rk_router *r, struct rk_job *job, int64_t now_ms)
+void rk_router_note_first_byte(struct rk_router *r, struct rk_job *job,
+                               int64_t now_ms)
 {
     if (job->state != RK_JOB_SENT || job->first_byte_seen)
         return;
@@ -453,7 +455,7 @@
     if (job->state == RK_JOB_SENT)
         release_vm(r, job, failed, now_ms);
     else
-        rk_admit_remove(job->svc->queue, &job->waiter);
+        rk_fair_queue_remove(job->svc->queue, &job->waiter);
     struct org *org = find_org(r, job->org);
     if (org && org->outstanding)
         org->outstanding--;
@@ -461,18 +463,18 @@
     job->state = RK_JOB_ENDED;
 }
 
-void rk_router_rest(struct rk_router *r, const struct rk_job *job, int64_t rest_ms,
-                    int64_t now_ms)
+void rk_router_set_cooldown(struct rk_router *r, const struct rk_job *job,
+                            int64_t rest_ms, int64_t now_ms)
 {
     struct vm *v = &r->vms[job->vm];
     if (v->paused_until_ms < now_ms + rest_ms)
         v->paused_until_ms = now_ms + rest_ms;
 }
 
-void rk_router_retry(struct rk_router *r, struct rk_job *job, int64_t now_ms)
+void rk_router_requeue(struct rk_router *r, struct rk_job *job, int64_t now_ms)
 {
     assert(job->state == RK_JOB_SENT);
-    if (job->excluded_len < RK_MAX_EXCLUDED)
+    if (job->excluded_len < RK_ROUTER_MAX_EXCLUDED)
         job->excluded[job->excluded_len++] = job->vm;
     release_vm(r, job, true, now_ms);
     job->is_retry = true;
@@ -480,7 +482,7 @@
     /* It has waited in the queue once, so that it is not deferred again, even if it
      * is deferrable. */
     job->waiter.deferrable = false;
-    rk_admit_push(job->svc->queue, &job->waiter);
+    rk_fair_queue_push(job->svc->queue, &job->waiter);
     job->state = RK_JOB_QUEUED;
 }
 
@@ -510,12 +512,12 @@
     return false;
 }
 
-void rk_router_set_nodes(struct rk_router *r, int nodes)
+void rk_router_set_node_count(struct rk_router *r, int nodes)
 {
     r->nodes = nodes > 0 ? nodes : 1;
 }
 
-uint32_t rk_router_spare(const struct rk_router *r)
+uint32_t rk_router_free_slots(const struct rk_router *r)
 {
     double least = UINT32_MAX;
     bool any = false;
@@ -531,21 +533,21 @@
     return any && least > 0 ? (uint32_t)least : 0;
 }
 
-size_t rk_router_waiting(const struct rk_router *r)
+size_t rk_router_queued_len(const struct rk_router *r)
 {
     size_t n = 0;
     for (size_t i = 0; i < r->services_len; i++)
-        n += rk_admit_len(r->services[i].queue);
+        n += rk_fair_queue_len(r->services[i].queue);
     return n;
 }
 
-bool rk_router_in_time(const struct rk_job *job, int64_t now_ms)
+bool rk_router_can_meet_deadline(const struct rk_job *job, int64_t now_ms)
 {
     return now_ms + (int64_t)(expected_slot_ms(job) * MIN_TIME_SHARE) <
            job->deadline_ms;
 }
 
-void rk_router_forgive(struct rk_job *job)
+void rk_router_clear_excluded(struct rk_job *job)
 {
     job->excluded_len = 0;
 }
--- a/core/router.h
+++ b/core/router.h
@@ -23,8 +23,8 @@
 #include "core/members.h"
 #include "core/prefix.h"
 
-#define RK_ROUTER_MAX_VMS 512 /* in the node's own failure domain */
-#define RK_MAX_EXCLUDED   8   /* VMs that a job can exclude */
+#define RK_ROUTER_MAX_VMS      512 /* in the node's own failure domain */
+#define RK_ROUTER_MAX_EXCLUDED 8   /* VMs that a job can exclude */
 
 /* How the router chooses a VM. */
 enum rk_route_policy {
@@ -58,10 +58,10 @@
     /* Time before the deadline at which a deferrable job is promoted, and the
      * longest expected wait with which a job is admitted. */
     int64_t promote_ms, queue_ms;
-    int64_t deadline_ms;           /* by the monotonic clock */
-    struct rk_prompt *prompt;      /* NULL for plain services */
-    int64_t max_tokens;            /* tokens requested; 0 for plain services */
-    int excluded[RK_MAX_EXCLUDED]; /* handles of VMs that failed this call */
+    int64_t deadline_ms;      /* by the monotonic clock */
+    struct rk_prompt *prompt; /* NULL for plain services */
+    int64_t max_tokens;       /* tokens requested; 0 for plain services */
+    int excluded[RK_ROUTER_MAX_EXCLUDED]; /* handles of VMs that failed this call */
     size_t excluded_len;
     bool is_retry; /* was admitted before: not refused for its expected wait */
     /* Set by the router. */
@@ -77,10 +77,10 @@
 /* Result of rk_router_submit(). */
 enum rk_submit {
     RK_SUBMIT_QUEUED,
-    RK_SUBMIT_REFUSED,    /* the expected wait is too long; see retry_after_ms */
-    RK_SUBMIT_ORG_FULL,   /* the organisation has reached its limit of calls */
-    RK_SUBMIT_NO_SERVICE, /* there is no such service */
-    RK_SUBMIT_NO_VM,      /* no usable VM in this failure domain */
+    RK_SUBMIT_WAIT_TOO_LONG, /* the expected wait is too long; see retry_after_ms */
+    RK_SUBMIT_ORG_LIMIT,     /* the organisation has reached its limit of calls */
+    RK_SUBMIT_NO_SERVICE,    /* there is no such service */
+    RK_SUBMIT_NO_VM,         /* no usable VM in this failure domain */
 };
 
 /* Creates a router without services and VMs. Never returns NULL. */
@@ -97,7 +97,7 @@
 /* Sets the number of entry nodes that serve in the failure domain, this one
  * included (initially 1). A balancer in front of them is assumed to spread the
  * calls of a prefix evenly over them. */
-void rk_router_set_nodes(struct rk_router *r, int nodes);
+void rk_router_set_node_count(struct rk_router *r, int nodes);
 
 /* Admits and queues a job. Unless it was queued, *retry_after_ms is the time after
  * which the caller may try again, and the job needs no rk_router_end(). */
@@ -109,7 +109,8 @@
 struct rk_job *rk_router_next(struct rk_router *r, int64_t now_ms);
 
 /* Records that the first token, or first byte of the answer, has arrived. */
-void rk_router_first(struct rk_router *r, struct rk_job *job, int64_t now_ms);
+void rk_router_note_first_byte(struct rk_router *r, struct rk_job *job,
+                               int64_t now_ms);
 
 /* Ends a job in whatever state it is. failed: its VM could not be reached or
  * broke off. Several failures in a row pause the VM for new calls. */
@@ -118,11 +119,11 @@
 
 /* Applies the cooldown that the VM of a sent job requested: no calls for
  * rest_ms. */
-void rk_router_rest(struct rk_router *r, const struct rk_job *job, int64_t rest_ms,
-                    int64_t now_ms);
+void rk_router_set_cooldown(struct rk_router *r, const struct rk_job *job,
+                            int64_t rest_ms, int64_t now_ms);
 
 /* Queues a sent job again, excludes its VM and counts a failure of the VM. */
-void rk_router_retry(struct rk_router *r, struct rk_job *job, int64_t now_ms);
+void rk_router_requeue(struct rk_router *r, struct rk_job *job, int64_t now_ms);
 
 /* Properties of a VM by its handle. They are valid while a job is sent there;
  * the strings belong to the router. A VM counts as leaving when it is not live. */
@@ -135,18 +136,18 @@
 
 /* Returns the number of free slots, as reported to peers: that of the service
  * with the fewest. */
-uint32_t rk_router_spare(const struct rk_router *r);
+uint32_t rk_router_free_slots(const struct rk_router *r);
 
 /* Returns true if a job sent now can still end by its deadline, judged by the
  * duration of past calls. When in doubt it returns true. */
-bool rk_router_in_time(const struct rk_job *job, int64_t now_ms);
+bool rk_router_can_meet_deadline(const struct rk_job *job, int64_t now_ms);
 
 /* Returns the number of queued jobs. While it is not 0, rk_router_next() must be
  * called every few tens of milliseconds, because pauses end and deferrable jobs
  * are promoted without any other event. */
-size_t rk_router_waiting(const struct rk_router *r);
+size_t rk_router_queued_len(const struct rk_router *r);
 
 /* Clears the list of VMs that the job excludes. */
-void rk_router_forgive(struct rk_job *job);
+void rk_router_clear_excluded(struct rk_job *job);
 
 #endif
--- a/core/router_impl.h
+++ b/core/router_impl.h
@@ -34,7 +34,7 @@
 /* A service and its queue. */
 struct rk_service {
     struct rk_policy policy;
-    struct rk_admit *queue;
+    struct rk_fair_queue *queue;
     bool used;
     int live_vms;
     int in_flight;
@@ -64,7 +64,7 @@
     size_t vms_len;
     struct rk_service services[MAX_SERVICES];
     size_t services_len;
-    struct rk_prefixes *prefixes;
+    struct rk_prefix_index *prefixes;
     /* Tokens prefilled at each VM so far. */
     uint64_t prefilled_tokens[RK_ROUTER_MAX_VMS];
     uint64_t cache_tokens[RK_ROUTER_MAX_VMS]; /* cache size of each VM in tokens */
--- a/core/routes.c
+++ b/core/routes.c
@@ -25,7 +25,7 @@
     return items;
 }
 
-struct rk_route *rk_routes_add(struct rk_routes *r)
+struct rk_route *rk_routes_add_route(struct rk_routes *r)
 {
     r->routes =
         append_row(r->routes, &r->routes_len, &r->routes_cap, sizeof(*r->routes));
@@ -65,7 +65,7 @@
     free(r->routes);
     free(r->services);
     free(r->orgs);
-    rk_names_free(&r->org_names);
+    rk_name_index_free(&r->org_names);
     free(r->keys);
     free(r);
 }
@@ -73,7 +73,7 @@
 /* Returns the hash of a host name in lower case, without its port. */
 static uint32_t host_hash(const char *host)
 {
-    char lower[RK_ROUTE_TEXT];
+    char lower[RK_ROUTE_TEXT_MAX];
     size_t n = 0;
     while (host[n] && host[n] != ':' && n < sizeof(lower) - 1) {
         char c = host[n];
@@ -121,7 +121,7 @@
         route->prefix_len = strlen(route->prefix);
     }
     for (size_t i = 0; i < r->orgs_len; i++)
-        rk_names_add(&r->org_names, r->orgs, sizeof(*r->orgs), i);
+        rk_name_index_add(&r->org_names, r->orgs, sizeof(*r->orgs), i);
     for (size_t i = 0; i < r->keys_len; i++)
         r->keys[i].hash = rk_hash_str(0, r->keys[i].key);
     if (r->keys_len)
@@ -183,11 +183,11 @@
 
 const struct rk_org_info *rk_routes_org(const struct rk_routes *r, const char *name)
 {
-    size_t at = rk_names_find(&r->org_names, r->orgs, sizeof(*r->orgs), name);
+    size_t at = rk_name_index_find(&r->org_names, r->orgs, sizeof(*r->orgs), name);
     return at == RK_NO_ROW ? NULL : &r->orgs[at];
 }
 
-double rk_routes_quotas_per_s(const struct rk_routes *r)
+double rk_routes_quota_tokens_per_s(const struct rk_routes *r)
 {
     double sum = r->orgs_len ? 0 : INFINITY;
     for (size_t i = 0; i < r->orgs_len; i++) {
@@ -197,7 +197,7 @@
     return sum;
 }
 
-const char *rk_route_service(const struct rk_route *route, uint32_t pick)
+const char *rk_route_pick_service(const struct rk_route *route, uint32_t pick)
 {
     uint64_t total = 0;
     for (size_t i = 0; i < route->shares_len; i++)
