--- a/core/routes.h
+++ b/core/routes.h
@@ -14,9 +14,9 @@
 #include "core/names.h"
 #include "common/util.h"
 
-#define RK_ROUTE_SHARES  8   /* services of a route */
-#define RK_ROUTE_TEXT    128 /* bytes of a text, the NUL included */
-#define RK_DOMAIN_PRICES 16  /* failure domains with a price */
+#define RK_ROUTE_SHARES_MAX  8   /* services of a route */
+#define RK_ROUTE_TEXT_MAX    128 /* bytes of a text, the NUL included */
+#define RK_DOMAIN_PRICES_MAX 16  /* failure domains with a price */
 
 /* How often a call may run. */
 enum rk_call_kind {
@@ -33,10 +33,10 @@
 
 struct rk_route {
     char name[RK_ID_MAX];
-    char host[RK_ROUTE_TEXT];
-    char prefix[RK_ROUTE_TEXT]; /* of the path */
-    uint32_t host_hash;         /* set by rk_routes_finish() */
-    size_t prefix_len;          /* set by rk_routes_finish() */
+    char host[RK_ROUTE_TEXT_MAX];
+    char prefix[RK_ROUTE_TEXT_MAX]; /* of the path */
+    uint32_t host_hash;             /* set by rk_routes_finish() */
+    size_t prefix_len;              /* set by rk_routes_finish() */
     enum rk_call_kind kind;
     bool resumable;     /* a stream may be continued at another VM */
     bool anonymous;     /* calls need no API key */
@@ -47,7 +47,7 @@
         target_gap_ms; /* target for the longest pause between events; 0: none */
     int rank;          /* 0 is the most urgent */
     int max_attempts;  /* VMs that one request may be sent to */
-    struct rk_route_share shares[RK_ROUTE_SHARES];
+    struct rk_route_share shares[RK_ROUTE_SHARES_MAX];
     size_t shares_len;
 };
 
@@ -70,7 +70,7 @@
     int64_t min_vms, max_vms; /* per failure domain */
     int64_t boot_ms;          /* time that a VM takes to start */
     double spot_price_ratio;  /* of a reclaimable VM, relative to an on-demand VM */
-    struct rk_domain_price prices[RK_DOMAIN_PRICES];
+    struct rk_domain_price prices[RK_DOMAIN_PRICES_MAX];
     size_t prices_len;
 };
 
@@ -86,7 +86,7 @@
 
 /* An API key of an organisation. */
 struct rk_org_key {
-    char key[RK_ROUTE_TEXT];
+    char key[RK_ROUTE_TEXT_MAX];
     uint64_t hash; /* of the key; set by rk_routes_finish() */
     size_t org;    /* index in orgs */
 };
@@ -99,7 +99,7 @@
     int64_t idle_ms;   /* longest silence between requests and within a body */
 };
 
-/* A routing table. Its arrays are filled by rk_routes_add() and the like. */
+/* A routing table. Its arrays are filled by rk_routes_add_route() and the like. */
 struct rk_routes {
     atomic_int refs;
     int64_t version; /* of the settings it was made from */
@@ -110,8 +110,9 @@
     size_t services_len, services_cap;
     struct rk_org_info *orgs;
     size_t orgs_len, orgs_cap;
-    struct rk_names org_names; /* index of orgs; filled by rk_routes_finish() */
-    struct rk_org_key *keys;   /* rk_routes_finish() sorts them by hash */
+    struct rk_name_index
+        org_names;           /* index of orgs; filled by rk_routes_finish() */
+    struct rk_org_key *keys; /* rk_routes_finish() sorts them by hash */
     size_t keys_len, keys_cap;
     bool keys_required; /* there are organisations: calls need an API key, unless
                    their route is anonymous */
@@ -122,7 +123,7 @@
 struct rk_routes *rk_routes_create(void);
 /* Each of these appends a zeroed row and returns it. The pointer is valid until the
  * next row of the same kind is added. */
-struct rk_route *rk_routes_add(struct rk_routes *r);
+struct rk_route *rk_routes_add_route(struct rk_routes *r);
 struct rk_service_info *rk_routes_add_service(struct rk_routes *r);
 struct rk_org_info *rk_routes_add_org(struct rk_routes *r);
 struct rk_org_key *rk_routes_add_key(struct rk_routes *r);
@@ -156,10 +157,10 @@
 /* Returns the sum of all organisations' quotas in tokens/s; INFINITY if an
  * organisation has no quota or one that counts requests, or if there are no
  * organisations. */
-double rk_routes_quotas_per_s(const struct rk_routes *r);
+double rk_routes_quota_tokens_per_s(const struct rk_routes *r);
 
 /* Returns the service for one call, chosen in proportion to the weights. pick: a
  * random number or a hash; equal numbers give the same service. */
-const char *rk_route_service(const struct rk_route *route, uint32_t pick);
+const char *rk_route_pick_service(const struct rk_route *route, uint32_t pick);
 
 #endif
--- a/core/send_budget.c
+++ b/core/send_budget.c
@@ -58,7 +58,7 @@
     return b->round_bytes > waiting_bytes ? b->round_bytes - waiting_bytes : 0;
 }
 
-void rk_send_budget_note(struct rk_send_budget *b, size_t len)
+void rk_send_budget_note_sent(struct rk_send_budget *b, size_t len)
 {
     b->sent_bytes += len;
 }
--- a/core/send_budget.h
+++ b/core/send_budget.h
@@ -21,6 +21,6 @@
  * machine. Returns the bytes that may be sent in the round. */
 size_t rk_send_budget_begin(struct rk_send_budget *b, size_t waiting_bytes);
 /* Records that len bytes were sent in the round. */
-void rk_send_budget_note(struct rk_send_budget *b, size_t len);
+void rk_send_budget_note_sent(struct rk_send_budget *b, size_t len);
 
 #endif
--- a/core/shards.c
+++ b/core/shards.c
@@ -5,7 +5,7 @@
 #include "common/util.h"
 #include "core/members.h"
 
-uint64_t rk_rendezvous(uint64_t number, const char *name)
+uint64_t rk_rendezvous_weight(uint64_t number, const char *name)
 {
     return rk_hash_str(rk_hash(0, &number, sizeof(number)), name);
 }
@@ -26,13 +26,13 @@
     return row->state != RK_MEMBER_DEAD && !row->leaving;
 }
 
-size_t rk_shard_owner(const struct rk_members *m, uint32_t shard)
+size_t rk_shard_target(const struct rk_members *m, uint32_t shard)
 {
     const char *domain = rk_members_self(m)->domain;
-    uint64_t best = rk_rendezvous(shard, domain);
+    uint64_t best = rk_rendezvous_weight(shard, domain);
     for (size_t i = 0; i < rk_members_count(m); i++) {
         const struct rk_member *row = rk_members_at(m, i);
-        uint64_t w = rk_rendezvous(shard, row->domain);
+        uint64_t w = rk_rendezvous_weight(shard, row->domain);
         if (is_serving(row) && w > best) {
             best = w;
             domain = row->domain;
@@ -44,7 +44,7 @@
         const struct rk_member *row = rk_members_at(m, i);
         if (!is_serving(row) || strcmp(row->domain, domain) != 0)
             continue;
-        uint64_t w = rk_rendezvous(shard, row->id);
+        uint64_t w = rk_rendezvous_weight(shard, row->id);
         if (w > best) {
             best = w;
             owner = i;
--- a/core/shards.h
+++ b/core/shards.h
@@ -19,10 +19,10 @@
 /* Returns the index in rk_members of the node that owns the shard, or, if
  * another domain owns it, of the node in that domain to forward a call to.
  * Always succeeds, because this node is always alive to itself. */
-size_t rk_shard_owner(const struct rk_members *m, uint32_t shard);
+size_t rk_shard_target(const struct rk_members *m, uint32_t shard);
 
 /* Returns the rendezvous hashing weight of a name for a number: of the
  * candidates, the one with the highest weight is chosen. */
-uint64_t rk_rendezvous(uint64_t number, const char *name);
+uint64_t rk_rendezvous_weight(uint64_t number, const char *name);
 
 #endif
--- a/core/speeds.c
+++ b/core/speeds.c
@@ -37,12 +37,13 @@
 /* Shorter times are raised to this, because ratios of them are noise. */
 #define RATIO_MIN_MS 5.0
 
-struct rk_speed *rk_speeds_of(struct rk_speeds *s, const char *service)
+struct rk_service_speed *rk_service_speeds_get(struct rk_service_speeds *s,
+                                               const char *service)
 {
-    for (struct rk_speed *at = s->first; at; at = at->next)
+    for (struct rk_service_speed *at = s->first; at; at = at->next)
         if (!strcmp(at->service, service))
             return at;
-    struct rk_speed *speed = rk_alloc(1, sizeof(*speed));
+    struct rk_service_speed *speed = rk_alloc(1, sizeof(*speed));
     rk_strcpy(speed->service, sizeof(speed->service), service);
     rk_engine_init(&speed->engine);
     speed->plain_ms = PLAIN_INITIAL_MS;
@@ -51,22 +52,23 @@
     return speed;
 }
 
-void rk_speeds_free(struct rk_speeds *s)
+void rk_service_speeds_free(struct rk_service_speeds *s)
 {
-    for (struct rk_speed *at = s->first, *next; at; at = next) {
+    for (struct rk_service_speed *at = s->first, *next; at; at = next) {
         next = at->next;
         free(at);
     }
     s->first = NULL;
 }
 
-double rk_speed_plain(const struct rk_speed *s, double in_flight_per_slot)
+double rk_service_speed_plain_ms(const struct rk_service_speed *s,
+                                 double in_flight_per_slot)
 {
     return s->plain_ms * (1 + in_flight_per_slot);
 }
 
-void rk_speed_plain_learn(struct rk_speed *s, double in_flight_per_slot,
-                          double took_ms)
+void rk_service_speed_note_plain(struct rk_service_speed *s,
+                                 double in_flight_per_slot, double took_ms)
 {
     double alone_ms = took_ms / (1 + in_flight_per_slot);
     alone_ms = fmin(alone_ms, s->plain_ms * PLAIN_MAX_RATIO);
@@ -74,20 +76,21 @@
     s->plain_ms = fmax(s->plain_ms, 1);
 }
 
-double rk_vm_health_weight(const struct rk_pace *p)
+double rk_vm_health_weight(const struct rk_vm_health *p)
 {
     return p->calls + p->refused;
 }
 
-static double decay_factor(const struct rk_pace *p, double half_life_ms,
+static double decay_factor(const struct rk_vm_health *p, double half_life_ms,
                            int64_t now_ms)
 {
     return exp2(-(double)(now_ms - p->at_ms) / half_life_ms);
 }
 
-struct rk_pace rk_pace_at(const struct rk_pace *p, int64_t now_ms)
+struct rk_vm_health rk_vm_health_decayed(const struct rk_vm_health *p,
+                                         int64_t now_ms)
 {
-    struct rk_pace now = {.at_ms = now_ms};
+    struct rk_vm_health now = {.at_ms = now_ms};
     if (p->calls > 0) {
         double factor = decay_factor(p, HEALTH_HALF_LIFE_MS, now_ms);
         now.log_sum = p->log_sum * factor;
@@ -99,7 +102,8 @@
     return now;
 }
 
-void rk_pace_sum(struct rk_pace *sum, const struct rk_pace *more)
+void rk_vm_health_accumulate(struct rk_vm_health *sum,
+                             const struct rk_vm_health *more)
 {
     sum->log_sum += more->log_sum;
     sum->failed += more->failed;
@@ -107,23 +111,24 @@
     sum->refused += more->refused;
 }
 
-struct rk_pace rk_vm_health_combined(const struct rk_pace *a,
-                                     const struct rk_pace *b, int64_t now_ms)
+struct rk_vm_health rk_vm_health_combined(const struct rk_vm_health *a,
+                                          const struct rk_vm_health *b,
+                                          int64_t now_ms)
 {
-    struct rk_pace sum = rk_pace_at(a, now_ms);
-    struct rk_pace more = rk_pace_at(b, now_ms);
-    rk_pace_sum(&sum, &more);
+    struct rk_vm_health sum = rk_vm_health_decayed(a, now_ms);
+    struct rk_vm_health more = rk_vm_health_decayed(b, now_ms);
+    rk_vm_health_accumulate(&sum, &more);
     return sum;
 }
 
-bool rk_pace_is_sound(const struct rk_pace *p)
+bool rk_vm_health_is_valid(const struct rk_vm_health *p)
 {
     return p->calls >= 0 && p->calls <= REPORTED_SUM_MAX && p->failed >= 0 &&
            p->failed <= REPORTED_SUM_MAX && p->refused >= 0 &&
            p->refused <= REPORTED_SUM_MAX && fabs(p->log_sum) <= REPORTED_SUM_MAX;
 }
 
-double rk_pace_factor(const struct rk_pace *p, double mean)
+double rk_vm_health_slowdown(const struct rk_vm_health *p, double mean)
 {
     double calls = p->calls + PRIOR_CALLS;
     double log_mean = (p->log_sum - mean * p->calls) / calls;
@@ -131,12 +136,12 @@
     return exp(copysign(fmax(0, fabs(log_mean) - deadband), log_mean));
 }
 
-double rk_vm_health_failure_share(const struct rk_pace *p)
+double rk_vm_health_failure_share(const struct rk_vm_health *p)
 {
     return p->failed / (p->calls + PRIOR_CALLS);
 }
 
-double rk_vm_health_refusal_share(const struct rk_pace *p)
+double rk_vm_health_refusal_share(const struct rk_vm_health *p)
 {
     /* Squared: the rest of a single refusal says little. */
     double refused = p->refused * p->refused;
@@ -150,25 +155,25 @@
     return fmax(-MAX_LOG_RATIO, fmin(MAX_LOG_RATIO, log(ratio)));
 }
 
-void rk_vm_health_note_time(struct rk_pace *p, double took_ms, double expected_ms,
-                            int64_t now_ms)
+void rk_vm_health_note_time(struct rk_vm_health *p, double took_ms,
+                            double expected_ms, int64_t now_ms)
 {
-    *p = rk_pace_at(p, now_ms);
+    *p = rk_vm_health_decayed(p, now_ms);
     p->log_sum += log_ratio(took_ms, expected_ms);
     p->calls += 1;
 }
 
-void rk_pace_fail(struct rk_pace *p, double took_ms, double expected_ms,
-                  int64_t now_ms)
+void rk_vm_health_note_failure(struct rk_vm_health *p, double took_ms,
+                               double expected_ms, int64_t now_ms)
 {
-    *p = rk_pace_at(p, now_ms);
+    *p = rk_vm_health_decayed(p, now_ms);
     p->log_sum += fmax(0, log_ratio(took_ms, expected_ms));
     p->failed += 1;
     p->calls += 1;
 }
 
-void rk_vm_health_note_refusal(struct rk_pace *p, int64_t now_ms)
+void rk_vm_health_note_refusal(struct rk_vm_health *p, int64_t now_ms)
 {
-    *p = rk_pace_at(p, now_ms);
+    *p = rk_vm_health_decayed(p, now_ms);
     p->refused = fmin(p->refused + 1, REFUSED_MAX);
 }
--- a/core/speeds.h
+++ b/core/speeds.h
@@ -13,9 +13,9 @@
 #include "core/engine.h"
 
 /* Speed of a service. */
-struct rk_speed {
+struct rk_service_speed {
     char service[RK_ID_MAX];
-    struct rk_speed *next;
+    struct rk_service_speed *next;
     /* Model of the time to the first token, of an engine service. */
     struct rk_engine engine;
     /* Smoothed time of a plain call that waits for nothing. */
@@ -26,28 +26,30 @@
 };
 
 /* The speeds of all services; zeroed: empty. */
-struct rk_speeds {
-    struct rk_speed *first;
+struct rk_service_speeds {
+    struct rk_service_speed *first;
 };
 
 /* Returns the record of the service, which is created if needed. It stays valid
- * until rk_speeds_free(). */
-struct rk_speed *rk_speeds_of(struct rk_speeds *s, const char *service);
+ * until rk_service_speeds_free(). */
+struct rk_service_speed *rk_service_speeds_get(struct rk_service_speeds *s,
+                                               const char *service);
 /* Frees all records. */
-void rk_speeds_free(struct rk_speeds *s);
+void rk_service_speeds_free(struct rk_service_speeds *s);
 
 /* Returns the expected time in ms of a plain call to a VM with in_flight_per_slot
  * calls in flight per slot. */
-double rk_speed_plain(const struct rk_speed *s, double in_flight_per_slot);
+double rk_service_speed_plain_ms(const struct rk_service_speed *s,
+                                 double in_flight_per_slot);
 /* Records that a plain call took took_ms at a VM with in_flight_per_slot calls in
  * flight per slot when it was sent. */
-void rk_speed_plain_learn(struct rk_speed *s, double in_flight_per_slot,
-                          double took_ms);
+void rk_service_speed_note_plain(struct rk_service_speed *s,
+                                 double in_flight_per_slot, double took_ms);
 
 /* Health of a VM: how long its recent calls took relative to what the speed of
  * its service predicts, and how many failed or were refused. The weight of each
  * call decays exponentially. Sums of several nodes can be added. */
-struct rk_pace {
+struct rk_vm_health {
     double log_sum; /* sum of the logarithms of actual over expected time */
     double failed;  /* calls that failed */
     double calls;   /* all calls except those that the VM refused */
@@ -56,40 +58,43 @@
 };
 
 /* Records a call that took took_ms when expected_ms was predicted. */
-void rk_vm_health_note_time(struct rk_pace *p, double took_ms, double expected_ms,
-                            int64_t now_ms);
+void rk_vm_health_note_time(struct rk_vm_health *p, double took_ms,
+                            double expected_ms, int64_t now_ms);
 /* Records a call that failed after took_ms. If that is later than predicted, it
  * also counts as slow. */
-void rk_pace_fail(struct rk_pace *p, double took_ms, double expected_ms,
-                  int64_t now_ms);
+void rk_vm_health_note_failure(struct rk_vm_health *p, double took_ms,
+                               double expected_ms, int64_t now_ms);
 
 /* Records a call that the VM refused. */
-void rk_vm_health_note_refusal(struct rk_pace *p, int64_t now_ms);
+void rk_vm_health_note_refusal(struct rk_vm_health *p, int64_t now_ms);
 
 /* Returns the sums decayed to now_ms. */
-struct rk_pace rk_pace_at(const struct rk_pace *p, int64_t now_ms);
+struct rk_vm_health rk_vm_health_decayed(const struct rk_vm_health *p,
+                                         int64_t now_ms);
 /* Returns the total of two records, decayed to now_ms. */
-struct rk_pace rk_vm_health_combined(const struct rk_pace *a,
-                                     const struct rk_pace *b, int64_t now_ms);
+struct rk_vm_health rk_vm_health_combined(const struct rk_vm_health *a,
+                                          const struct rk_vm_health *b,
+                                          int64_t now_ms);
 /* Adds more to *sum. Both must have been decayed to about the same time. */
-void rk_pace_sum(struct rk_pace *sum, const struct rk_pace *more);
+void rk_vm_health_accumulate(struct rk_vm_health *sum,
+                             const struct rk_vm_health *more);
 /* Returns true if the values are within bounds. Records from peers must be
  * checked, as they can hold anything. */
-bool rk_pace_is_sound(const struct rk_pace *p);
+bool rk_vm_health_is_valid(const struct rk_vm_health *p);
 
 /* Returns the factor by which the VM is slower (above 1) or faster (below 1)
  * than its service predicts. mean is the mean log ratio of all VMs of the
  * service, which take exp(mean) times the predicted time. The factor is 1 for a
  * VM that is like the others or was not used for long. If all VMs became slow,
  * none counts as slow: the cause is load. */
-double rk_pace_factor(const struct rk_pace *p, double mean);
+double rk_vm_health_slowdown(const struct rk_vm_health *p, double mean);
 /* Returns the share of its calls that fail; 0 while no calls are known, and lower
  * than the actual share while few are. */
-double rk_vm_health_failure_share(const struct rk_pace *p);
+double rk_vm_health_failure_share(const struct rk_vm_health *p);
 /* Returns the share of its calls that the VM refuses. What decay leaves of a single
  * refusal counts little. */
-double rk_vm_health_refusal_share(const struct rk_pace *p);
+double rk_vm_health_refusal_share(const struct rk_vm_health *p);
 /* Returns the number of calls in the sums, after decay. */
-double rk_vm_health_weight(const struct rk_pace *p);
+double rk_vm_health_weight(const struct rk_vm_health *p);
 
 #endif
--- a/core/stream.c
+++ b/core/stream.c
@@ -5,7 +5,8 @@
 
 #define END_MARK "[DONE]"
 
-enum rk_token_fate rk_stream_take(struct rk_stream *s, int64_t index)
+enum rk_token_action rk_token_stream_accept(struct rk_token_stream *s,
+                                            int64_t index)
 {
     if (index < s->next)
         return RK_TOKEN_REPEAT;
@@ -16,8 +17,8 @@
 }
 
 /* Passes a complete line to fn if it is a "data:" line, and empties the buffer. */
-static bool finish_line(struct rk_sse *sse, bool (*fn)(void *ctx, const char *text),
-                        void *ctx)
+static bool finish_line(struct rk_sse_parser *sse,
+                        bool (*fn)(void *ctx, const char *text), void *ctx)
 {
     char *line = sse->line.data ? sse->line.data : "";
     size_t len = sse->line.len;
@@ -32,8 +33,8 @@
     return ok;
 }
 
-bool rk_sse_feed(struct rk_sse *sse, const char *data, size_t len,
-                 bool (*fn)(void *ctx, const char *text), void *ctx)
+bool rk_sse_parser_feed(struct rk_sse_parser *sse, const char *data, size_t len,
+                        bool (*fn)(void *ctx, const char *text), void *ctx)
 {
     sse->line.max = RK_SSE_LINE_MAX;
     while (len && !sse->failed) {
@@ -49,7 +50,7 @@
     return !sse->failed;
 }
 
-void rk_sse_free(struct rk_sse *sse)
+void rk_sse_parser_free(struct rk_sse_parser *sse)
 {
     rk_buf_free(&sse->line);
 }
--- a/core/stream.h
+++ b/core/stream.h
@@ -14,23 +14,24 @@
 #define RK_SSE_LINE_MAX (64 * 1024) /* bytes */
 
 /* What to do with a received token. */
-enum rk_token_fate {
+enum rk_token_action {
     RK_TOKEN_DELIVER, /* it is the next one: pass it on */
     RK_TOKEN_REPEAT,  /* the caller already has it: drop it */
     RK_TOKEN_GAP,     /* tokens before it are missing: give up the attempt */
 };
 
 /* Position of a caller in a stream of tokens. */
-struct rk_stream {
+struct rk_token_stream {
     int64_t next; /* index of the next token to send to the caller */
     bool ended;   /* the end mark was received, and no token is missing */
 };
 
 /* Decides on a received token by its index, and steps on if it is the next one. */
-enum rk_token_fate rk_stream_take(struct rk_stream *s, int64_t index);
+enum rk_token_action rk_token_stream_accept(struct rk_token_stream *s,
+                                            int64_t index);
 
 /* A parser of server-sent events; zeroed, it is ready for use. */
-struct rk_sse {
+struct rk_sse_parser {
     struct rk_buf line; /* a line that is not complete yet */
     bool failed;        /* feeding failed; further bytes are ignored */
 };
@@ -38,10 +39,10 @@
 /* Adds bytes of the stream, and calls fn(ctx, text) for each complete "data:" line.
  * Returns false, now and at all later calls, once a line was longer than
  * RK_SSE_LINE_MAX or fn returned false. */
-bool rk_sse_feed(struct rk_sse *sse, const char *data, size_t len,
-                 bool (*fn)(void *ctx, const char *text), void *ctx);
+bool rk_sse_parser_feed(struct rk_sse_parser *sse, const char *data, size_t len,
+                        bool (*fn)(void *ctx, const char *text), void *ctx);
 /* Frees the buffer; the struct itself is the caller's. */
-void rk_sse_free(struct rk_sse *sse);
+void rk_sse_parser_free(struct rk_sse_parser *sse);
 
 /* One chunk of a completion stream, as the engines send it. */
 struct rk_chunk {
--- a/core/tally.h
+++ b/core/tally.h
@@ -9,28 +9,28 @@
 #include "common/util.h"
 #include "core/names.h"
 
-struct rk_tally_row {
+struct rk_totals_row {
     char name[RK_ID_MAX]; /* must be first: see core/names.h */
     double total;
 };
 
 /* Counters with an index by name. All zero: empty. */
-struct rk_tally {
-    struct rk_tally_row *rows;
+struct rk_totals {
+    struct rk_totals_row *rows;
     size_t len, cap;
-    struct rk_names index;
+    struct rk_name_index index;
 };
 
 /* Returns the counter of a name, added at 0 if it is new. Valid until the next one
  * is added. */
-double *rk_tally_at(struct rk_tally *t, const char *name);
+double *rk_totals_get(struct rk_totals *t, const char *name);
 /* Returns the total of a name; 0 if there is none. */
-double rk_tally_total(const struct rk_tally *t, const char *name);
+double rk_totals_value(const struct rk_totals *t, const char *name);
 /* Sets a counter and returns by how much it rose. */
-double rk_tally_rise(struct rk_tally *t, const char *name, double now);
+double rk_totals_set(struct rk_totals *t, const char *name, double now);
 /* Removes all counters. */
-void rk_tally_clear(struct rk_tally *t);
+void rk_totals_clear(struct rk_totals *t);
 /* Frees what t owns and resets it to empty. */
-void rk_tally_free(struct rk_tally *t);
+void rk_totals_free(struct rk_totals *t);
 
 #endif
--- a/core/trial.c
+++ b/core/trial.c
@@ -34,25 +34,26 @@
 /* This many failures are conclusive wherever they occurred. */
 #define FAILURES_CONCLUSIVE 25
 
-struct rk_trial_row *rk_trial_row_at(struct rk_trial_rows *t, const char *route,
-                                     const char *domain, bool of_new_version)
+struct rk_canary_row *rk_canary_get_row(struct rk_canary_rows *t, const char *route,
+                                        const char *domain, bool of_new_version)
 {
     for (size_t i = 0; i < t->len; i++) {
-        struct rk_trial_row *row = &t->rows[i];
+        struct rk_canary_row *row = &t->rows[i];
         if (row->of_new_version == of_new_version && !strcmp(row->route, route) &&
             !strcmp(row->domain, domain))
             return row;
     }
-    if (t->len == RK_TRIAL_ROWS)
+    if (t->len == RK_CANARY_ROWS)
         return NULL;
-    struct rk_trial_row *row = &t->rows[t->len++];
-    *row = (struct rk_trial_row){.of_new_version = of_new_version};
+    struct rk_canary_row *row = &t->rows[t->len++];
+    *row = (struct rk_canary_row){.of_new_version = of_new_version};
     rk_strcpy(row->route, sizeof(row->route), route);
     rk_strcpy(row->domain, sizeof(row->domain), domain);
     return row;
 }
 
-void rk_trial_note_time(struct rk_trial_seen *s, double seen_ms, double expected_ms)
+void rk_canary_add_time(struct rk_canary_stats *s, double seen_ms,
+                        double expected_ms)
 {
     double log_ratio = log(fmax(seen_ms, 1) / fmax(expected_ms, 1));
     log_ratio = fmax(-LOG_RATIO_MAX, fmin(LOG_RATIO_MAX, log_ratio));
@@ -62,13 +63,14 @@
     s->log_sq += log_ratio * log_ratio;
 }
 
-void rk_trial_note_failure(struct rk_trial_seen *s, bool timed)
+void rk_canary_add_failure(struct rk_canary_stats *s, bool timed)
 {
     s->calls += !timed;
     s->failed++;
 }
 
-void rk_trial_add(struct rk_trial_seen *sum, const struct rk_trial_seen *more)
+void rk_canary_merge(struct rk_canary_stats *sum,
+                     const struct rk_canary_stats *more)
 {
     sum->calls += more->calls;
     sum->failed += more->failed;
@@ -77,12 +79,12 @@
     sum->log_sq += more->log_sq;
 }
 
-int64_t rk_trial_pace_pct(const struct rk_trial_seen *s)
+int64_t rk_canary_latency_pct(const struct rk_canary_stats *s)
 {
     return s->timed > 0 ? (int64_t)(exp(s->log_sum / s->timed) * 100) : 0;
 }
 
-bool rk_trial_is_sound(const struct rk_trial_seen *s)
+bool rk_canary_is_valid(const struct rk_canary_stats *s)
 {
     return s->calls >= 0 && s->calls <= CALLS_MAX && s->failed >= 0 &&
            s->failed <= s->calls && s->timed >= 0 && s->timed <= s->calls &&
@@ -92,8 +94,8 @@
 
 /* ---- evidence ---- */
 
-static double failure_evidence(const struct rk_trial_seen *new_stats,
-                               const struct rk_trial_seen *old_stats)
+static double failure_evidence(const struct rk_canary_stats *new_stats,
+                               const struct rk_canary_stats *old_stats)
 {
     double p0 = (old_stats->failed + 0.5) / (old_stats->calls + 1);
     p0 = fmax(FAILED_SHARE_MIN, fmin(p0, FAILED_SHARE_MAX - FAILED_SHARE_RISE));
@@ -102,7 +104,7 @@
     return new_stats->failed * log(p1 / p0) + succeeded * log((1 - p1) / (1 - p0));
 }
 
-static double variance(const struct rk_trial_seen *s)
+static double variance(const struct rk_canary_stats *s)
 {
     if (s->timed < 2)
         return LOG_VARIANCE_MIN;
@@ -110,8 +112,8 @@
     return fmax(LOG_VARIANCE_MIN, s->log_sq / s->timed - mean * mean);
 }
 
-static double time_evidence(const struct rk_trial_seen *new_stats,
-                            const struct rk_trial_seen *old_stats)
+static double time_evidence(const struct rk_canary_stats *new_stats,
+                            const struct rk_canary_stats *old_stats)
 {
     if (new_stats->timed < 1 || old_stats->timed < 1)
         return 0;
@@ -125,36 +127,37 @@
            (log_difference - log_slowdown / 2);
 }
 
-struct rk_trial_seen rk_trial_sum(const struct rk_trial_rows *t, const char *route,
-                                  bool of_new_version, const char *without)
+struct rk_canary_stats rk_canary_sum(const struct rk_canary_rows *t,
+                                     const char *route, bool of_new_version,
+                                     const char *without)
 {
-    struct rk_trial_seen sum = {0};
+    struct rk_canary_stats sum = {0};
     for (size_t i = 0; i < t->len; i++) {
-        const struct rk_trial_row *row = &t->rows[i];
+        const struct rk_canary_row *row = &t->rows[i];
         bool matches = row->of_new_version == of_new_version &&
                        (!route[0] || !strcmp(row->route, route)) &&
                        (!without[0] || strcmp(row->domain, without) != 0);
         if (matches)
-            rk_trial_add(&sum, &row->stats);
+            rk_canary_merge(&sum, &row->stats);
     }
     return sum;
 }
 
-static double evidence(const struct rk_trial_rows *t, const char *route,
+static double evidence(const struct rk_canary_rows *t, const char *route,
                        bool is_time, const char *without)
 {
-    struct rk_trial_seen new_stats = rk_trial_sum(t, route, true, without);
-    struct rk_trial_seen old_stats = rk_trial_sum(t, route, false, without);
+    struct rk_canary_stats new_stats = rk_canary_sum(t, route, true, without);
+    struct rk_canary_stats old_stats = rk_canary_sum(t, route, false, without);
     /* If the old version got no calls of the route, its results over all routes are
      * used. */
     if (!old_stats.calls)
-        old_stats = rk_trial_sum(t, "", false, without);
+        old_stats = rk_canary_sum(t, "", false, without);
     return is_time ? time_evidence(&new_stats, &old_stats)
                    : failure_evidence(&new_stats, &old_stats);
 }
 
-static void update_worst(const struct rk_trial_rows *t, const char *route,
-                         bool is_time, struct rk_trial_finding *worst)
+static void update_worst(const struct rk_canary_rows *t, const char *route,
+                         bool is_time, struct rk_canary_finding *worst)
 {
     double value = evidence(t, route, is_time, "");
     if (value <= worst->evidence)
@@ -162,20 +165,21 @@
     worst->evidence = value;
     worst->by_time = is_time;
     rk_strcpy(worst->route, sizeof(worst->route), route);
-    worst->new_stats = rk_trial_sum(t, route, true, "");
-    worst->old_stats = rk_trial_sum(t, route, false, "");
+    worst->new_stats = rk_canary_sum(t, route, true, "");
+    worst->old_stats = rk_canary_sum(t, route, false, "");
 }
 
 /* Returns whether the evidence holds without any single domain, or the failures are
  * conclusive by their number. */
-static bool confirmed_elsewhere(const struct rk_trial_rows *t,
-                                const struct rk_trial_finding *worst)
+static bool confirmed_elsewhere(const struct rk_canary_rows *t,
+                                const struct rk_canary_finding *worst)
 {
     if (worst->new_stats.failed >= FAILURES_CONCLUSIVE)
         return true;
     for (size_t i = 0; i < t->len; i++) {
         const char *domain = t->rows[i].domain;
-        struct rk_trial_seen others = rk_trial_sum(t, worst->route, true, domain);
+        struct rk_canary_stats others =
+            rk_canary_sum(t, worst->route, true, domain);
         if (!t->rows[i].of_new_version)
             continue;
         if (others.calls < OTHERS_CALLS_MIN ||
@@ -186,16 +190,16 @@
     return true;
 }
 
-static bool is_good(const struct rk_trial_rows *t)
+static bool is_good(const struct rk_canary_rows *t)
 {
     return evidence(t, "", false, "") <= -GOOD_THRESHOLD &&
            evidence(t, "", true, "") <= -GOOD_THRESHOLD;
 }
 
-struct rk_trial_finding rk_trial_judge(const struct rk_trial_rows *t,
-                                       size_t domains)
+struct rk_canary_finding rk_canary_judge(const struct rk_canary_rows *t,
+                                         size_t domains)
 {
-    struct rk_trial_finding worst = {.evidence = -INFINITY};
+    struct rk_canary_finding worst = {.evidence = -INFINITY};
     for (int is_time = 0; is_time < 2; is_time++) {
         update_worst(t, "", is_time, &worst);
         for (size_t i = 0; i < t->len; i++)
@@ -204,9 +208,9 @@
     }
     if (worst.evidence >= BAD_THRESHOLD)
         worst.verdict = domains < 2 || confirmed_elsewhere(t, &worst)
-                            ? RK_TRIAL_BAD
-                            : RK_TRIAL_SUSPECT;
+                            ? RK_CANARY_BAD
+                            : RK_CANARY_SUSPECT;
     else if (is_good(t))
-        worst.verdict = RK_TRIAL_GOOD;
+        worst.verdict = RK_CANARY_GOOD;
     return worst;
 }
--- a/core/trial.h
+++ b/core/trial.h
@@ -16,11 +16,11 @@
 
 #include "common/util.h"
 
-#define RK_TRIAL_ROWS 96 /* routes times domains, for both versions */
+#define RK_CANARY_ROWS 96 /* routes times domains, for both versions */
 
 /* Results of calls. All members are sums, so those of several nodes can be added
  * up. */
-struct rk_trial_seen {
+struct rk_canary_stats {
     double calls, failed;
     double timed;   /* calls whose time to first byte is known */
     double log_sum; /* sum of ln(observed / expected time to first byte) */
@@ -28,60 +28,63 @@
 };
 
 /* Results of calls of one route to VMs of one version in one failure domain. */
-struct rk_trial_row {
+struct rk_canary_row {
     char route[RK_ID_MAX];
     char domain[RK_ID_MAX];
     bool of_new_version; /* VMs of the new version */
-    struct rk_trial_seen stats;
+    struct rk_canary_stats stats;
 };
 
 /* Results of a rollout, per route, domain and version. All zero: empty. */
-struct rk_trial_rows {
-    struct rk_trial_row rows[RK_TRIAL_ROWS];
+struct rk_canary_rows {
+    struct rk_canary_row rows[RK_CANARY_ROWS];
     size_t len;
 };
 
 /* Returns the row, added if it is new, or NULL if the table is full. */
-struct rk_trial_row *rk_trial_row_at(struct rk_trial_rows *t, const char *route,
-                                     const char *domain, bool of_new_version);
+struct rk_canary_row *rk_canary_get_row(struct rk_canary_rows *t, const char *route,
+                                        const char *domain, bool of_new_version);
 /* Counts a call, with its observed and its expected time to first byte. */
-void rk_trial_note_time(struct rk_trial_seen *s, double seen_ms,
+void rk_canary_add_time(struct rk_canary_stats *s, double seen_ms,
                         double expected_ms);
 /* Counts a failed call. timed: it failed after its first byte, so
- * rk_trial_note_time() has counted it already. */
-void rk_trial_note_failure(struct rk_trial_seen *s, bool timed);
+ * rk_canary_add_time() has counted it already. */
+void rk_canary_add_failure(struct rk_canary_stats *s, bool timed);
 /* Adds more to sum. */
-void rk_trial_add(struct rk_trial_seen *sum, const struct rk_trial_seen *more);
+void rk_canary_merge(struct rk_canary_stats *sum,
+                     const struct rk_canary_stats *more);
 /* Returns the sum of one version's rows of a route ("": all routes), leaving out
  * one domain ("": none). */
-struct rk_trial_seen rk_trial_sum(const struct rk_trial_rows *t, const char *route,
-                                  bool of_new_version, const char *without);
+struct rk_canary_stats rk_canary_sum(const struct rk_canary_rows *t,
+                                     const char *route, bool of_new_version,
+                                     const char *without);
 /* Returns the geometric mean of observed / expected time in percent; 0 if no time
  * is known. */
-int64_t rk_trial_pace_pct(const struct rk_trial_seen *s);
+int64_t rk_canary_latency_pct(const struct rk_canary_stats *s);
 /* Returns whether the values are possible. A peer may send anything. */
-bool rk_trial_is_sound(const struct rk_trial_seen *s);
+bool rk_canary_is_valid(const struct rk_canary_stats *s);
 
-/* Outcome so far. RK_TRIAL_OPEN: not decided yet. */
-enum rk_trial_verdict {
-    RK_TRIAL_OPEN,
-    RK_TRIAL_SUSPECT, /* bad in one domain only; other domains have to confirm it */
-    RK_TRIAL_GOOD,
-    RK_TRIAL_BAD,
+/* Outcome so far. RK_CANARY_UNDECIDED: not decided yet. */
+enum rk_canary_verdict {
+    RK_CANARY_UNDECIDED,
+    RK_CANARY_SUSPECT, /* bad in one domain only; other domains have to confirm it
+                        */
+    RK_CANARY_GOOD,
+    RK_CANARY_BAD,
 };
 
 /* The strongest evidence against the new version, for the log. */
-struct rk_trial_finding {
-    enum rk_trial_verdict verdict;
+struct rk_canary_finding {
+    enum rk_canary_verdict verdict;
     double evidence;       /* ln of the likelihood ratio of bad to good */
     char route[RK_ID_MAX]; /* "": all routes */
     bool by_time;          /* evidence from latency; false: from failures */
-    struct rk_trial_seen new_stats, old_stats; /* results on that route */
+    struct rk_canary_stats new_stats, old_stats; /* results on that route */
 };
 
 /* Judges the new version. domains: number of failure domains with VMs of the new
  * version. */
-struct rk_trial_finding rk_trial_judge(const struct rk_trial_rows *rows,
-                                       size_t domains);
+struct rk_canary_finding rk_canary_judge(const struct rk_canary_rows *rows,
+                                         size_t domains);
 
 #endif
--- a/core/usage.c
+++ b/core/usage.c
@@ -76,7 +76,7 @@
 void rk_usage_merge(struct rk_usage *u, const struct rk_usage_row *row)
 {
     struct rk_usage_row *known = find_or_add(u, row->node, row->window, row->org);
-    bool newer = row->node == RK_USAGE_KEPT && row->since_ms > known->since_ms;
+    bool newer = row->node == RK_USAGE_PERSISTED && row->since_ms > known->since_ms;
     if (newer || row->count > known->count)
         known->count = row->count;
     if (newer || !known->since_ms)
@@ -88,48 +88,48 @@
 {
     if (!u->cap)
         return NULL;
-    uint32_t at = u->index[slot_of(u, RK_USAGE_KEPT, window, org)];
+    uint32_t at = u->index[slot_of(u, RK_USAGE_PERSISTED, window, org)];
     return at ? &u->rows[at - 1] : NULL;
 }
 
 static bool is_persisted(const struct rk_usage_row *row)
 {
-    return row->node == RK_USAGE_KEPT;
+    return row->node == RK_USAGE_PERSISTED;
 }
 
-void rk_usage_sums(const struct rk_usage *u, int64_t window, struct rk_tally *sums)
+void rk_usage_sums(const struct rk_usage *u, int64_t window, struct rk_totals *sums)
 {
-    struct rk_tally later = {0}; /* calls of nodes that started after the record */
+    struct rk_totals later = {0}; /* calls of nodes that started after the record */
     for (size_t i = 0; i < u->len; i++) {
         const struct rk_usage_row *row = &u->rows[i];
         if (row->window != window || is_persisted(row))
             continue;
         const struct rk_usage_row *record = persisted_row(u, window, row->org);
-        *rk_tally_at(sums, row->org) += (double)row->count;
+        *rk_totals_get(sums, row->org) += (double)row->count;
         if (record && row->since_ms > record->since_ms)
-            *rk_tally_at(&later, row->org) += (double)row->count;
+            *rk_totals_get(&later, row->org) += (double)row->count;
     }
     for (size_t i = 0; i < u->len; i++) {
         const struct rk_usage_row *row = &u->rows[i];
         if (row->window != window || !is_persisted(row))
             continue;
-        double all = (double)row->count + rk_tally_total(&later, row->org);
-        double *reported = rk_tally_at(sums, row->org);
+        double all = (double)row->count + rk_totals_value(&later, row->org);
+        double *reported = rk_totals_get(sums, row->org);
         *reported = all > *reported ? all : *reported;
     }
-    rk_tally_free(&later);
+    rk_totals_free(&later);
 }
 
 uint64_t rk_usage_sum(const struct rk_usage *u, int64_t window, const char *org)
 {
-    struct rk_tally sums = {0};
+    struct rk_totals sums = {0};
     rk_usage_sums(u, window, &sums);
-    uint64_t sum = (uint64_t)rk_tally_total(&sums, org);
-    rk_tally_free(&sums);
+    uint64_t sum = (uint64_t)rk_totals_value(&sums, org);
+    rk_totals_free(&sums);
     return sum;
 }
 
-void rk_usage_forget(struct rk_usage *u, int64_t window)
+void rk_usage_remove_before(struct rk_usage *u, int64_t window)
 {
     size_t remaining = 0;
     for (size_t i = 0; i < u->len; i++)
--- a/core/usage.h
+++ b/core/usage.h
@@ -10,10 +10,10 @@
 #include "common/util.h"
 #include "core/tally.h"
 
-/* One node's count. node: hash of its id and incarnation, or RK_USAGE_KEPT for a
- * persisted record of what all nodes had counted, which survives a kill of all
+/* One node's count. node: hash of its id and incarnation, or RK_USAGE_PERSISTED for
+ * a persisted record of what all nodes had counted, which survives a kill of all
  * nodes. */
-#define RK_USAGE_KEPT 0
+#define RK_USAGE_PERSISTED 0
 struct rk_usage_row {
     uint64_t node;
     int64_t window;
@@ -46,10 +46,11 @@
 /* Adds the sums of all organisations with calls in the window to sums, which must
  * be empty. Takes one pass, as the leader has a row per node and organisation that
  * the node serves. */
-void rk_usage_sums(const struct rk_usage *u, int64_t window, struct rk_tally *sums);
+void rk_usage_sums(const struct rk_usage *u, int64_t window,
+                   struct rk_totals *sums);
 
 /* Removes the counts of windows before `window`. */
-void rk_usage_forget(struct rk_usage *u, int64_t window);
+void rk_usage_remove_before(struct rk_usage *u, int64_t window);
 /* Frees what u owns and resets it to empty. */
 void rk_usage_free(struct rk_usage *u);
 
--- a/core/verdict.c
+++ b/core/verdict.c
@@ -12,7 +12,7 @@
     [RK_RAN] = "ran",
 };
 
-int64_t rk_attempt_rest_ms(long http_status, int64_t requested_ms)
+int64_t rk_attempt_cooldown_ms(long http_status, int64_t requested_ms)
 {
     bool refused = http_status == HTTP_UNAVAILABLE || http_status == HTTP_TOO_MANY;
     return refused && requested_ms > 0 ? requested_ms : 0;
@@ -48,7 +48,7 @@
     return RK_MAY_HAVE_RUN;
 }
 
-enum rk_verdict rk_verdict_join(enum rk_verdict a, enum rk_verdict b)
+enum rk_verdict rk_verdict_worst(enum rk_verdict a, enum rk_verdict b)
 {
     return a > b ? a : b;
 }
--- a/core/verdict.h
+++ b/core/verdict.h
@@ -30,7 +30,7 @@
 /* Returns the cooldown in ms that an answer requests by Retry-After, which counts
  * only on a 429 or 503; 0: none. requested_ms: the header's value; below 0: it is
  * unreadable. */
-int64_t rk_attempt_rest_ms(long http_status, int64_t requested_ms);
+int64_t rk_attempt_cooldown_ms(long http_status, int64_t requested_ms);
 
 /* Returns a verdict's text on the wire; static. */
 const char *rk_verdict_str(enum rk_verdict v);
@@ -44,7 +44,7 @@
 
 /* Returns the verdict of a request after two attempts: the one that is worse for a
  * retry. */
-enum rk_verdict rk_verdict_join(enum rk_verdict a, enum rk_verdict b);
+enum rk_verdict rk_verdict_worst(enum rk_verdict a, enum rk_verdict b);
 
 /* Returns whether the request may be sent again. repeatable: its service allows it
  * to run more than once. */
--- a/core/vm_signals.c
+++ b/core/vm_signals.c
@@ -44,8 +44,9 @@
     return table_key(life) != LH_EMPTY && table_key(life) != LH_FREED;
 }
 
-struct rk_vm_signal *rk_vm_signals_at(struct rk_vm_signals *s, uint64_t life,
-                                      const char *domain, int64_t now_ms)
+struct rk_vm_signal *rk_vm_signals_get_or_add(struct rk_vm_signals *s,
+                                              uint64_t life, const char *domain,
+                                              int64_t now_ms)
 {
     struct rk_vm_signal *v = rk_vm_signals_find(s, life);
     if (v)
@@ -77,8 +78,8 @@
 }
 
 /* Senders are the nodes of the highest weight, by rendezvous hashing. */
-int rk_vm_limit_part(const struct rk_vm_signal *v, uint64_t own,
-                     const uint64_t *others, size_t len)
+int rk_vm_limit_senders(const struct rk_vm_signal *v, uint64_t own,
+                        const uint64_t *others, size_t len)
 {
     uint64_t own_weight = node_weight(v, own);
     int senders = sender_count(v->limit_per_s, (int)len + 1), ranked_before = 0;
@@ -96,7 +97,7 @@
     v->senders = senders;
 }
 
-bool rk_vm_signal_bars(const struct rk_vm_signal *v)
+bool rk_vm_signal_blocks(const struct rk_vm_signal *v)
 {
     return v->limited && v->senders <= 0;
 }
@@ -130,7 +131,7 @@
     return cooldown_ms > wait_ms ? cooldown_ms : wait_ms;
 }
 
-void rk_vm_signal_sent(struct rk_vm_signal *v, int64_t now_ms)
+void rk_vm_signal_note_sent(struct rk_vm_signal *v, int64_t now_ms)
 {
     v->sent_ms = now_ms;
 }
@@ -172,7 +173,7 @@
 }
 
 static bool apply_advertised_limit(struct rk_vm_signal *v,
-                                   const struct rk_vm_said *advertised,
+                                   const struct rk_vm_advertised *advertised,
                                    int64_t now_ms)
 {
     if (!advertised->limited && !advertised->unlimited)
@@ -183,8 +184,9 @@
     return changed;
 }
 
-unsigned rk_vm_signal_hear(struct rk_vm_signal *v,
-                           const struct rk_vm_said *advertised, int64_t now_ms)
+unsigned rk_vm_signal_apply(struct rk_vm_signal *v,
+                            const struct rk_vm_advertised *advertised,
+                            int64_t now_ms)
 {
     unsigned changed = 0;
     v->last_received_ms = now_ms;
@@ -194,7 +196,7 @@
         changed |= RK_VM_LEAVING_CHANGED;
     if (advertised->cooldown_ms > 0) {
         if (v->cooldown_until_ms <= now_ms)
-            changed |= RK_VM_REST_CHANGED;
+            changed |= RK_VM_COOLDOWN_CHANGED;
         if (v->cooldown_until_ms < now_ms + advertised->cooldown_ms)
             v->cooldown_until_ms = now_ms + advertised->cooldown_ms;
     }
@@ -219,7 +221,7 @@
 
 /* ---- table ---- */
 
-void rk_vm_signals_forget(struct rk_vm_signals *s, int64_t now_ms)
+void rk_vm_signals_expire(struct rk_vm_signals *s, int64_t now_ms)
 {
     struct lh_entry *e, *next;
     if (!s->by_incarnation)
--- a/core/vm_signals.h
+++ b/core/vm_signals.h
@@ -19,7 +19,7 @@
 #define RK_VM_SIGNALS_MAX 16384
 
 /* Signals of one answer. */
-struct rk_vm_said {
+struct rk_vm_advertised {
     bool limited;
     double limit_per_s; /* requests per second, 0 or more; valid if limited */
     bool unlimited;     /* the answer is the VM's own and names no limit */
@@ -63,37 +63,38 @@
 enum {
     RK_VM_LIMIT_CHANGED = 1,
     RK_VM_LEAVING_CHANGED = 2,
-    RK_VM_REST_CHANGED = 4,
+    RK_VM_COOLDOWN_CHANGED = 4,
 };
 
 /* Returns the record of an incarnation, or NULL if there is none. The table owns
- * it; it is valid until rk_vm_signals_forget() or rk_vm_signals_free(). */
+ * it; it is valid until rk_vm_signals_expire() or rk_vm_signals_free(). */
 struct rk_vm_signal *rk_vm_signals_find(const struct rk_vm_signals *s,
                                         uint64_t life);
 /* Returns the record of an incarnation, which is created if needed. Returns NULL
  * if the table is full, or the hash can't be a key. Ownership as above. */
-struct rk_vm_signal *rk_vm_signals_at(struct rk_vm_signals *s, uint64_t life,
-                                      const char *domain, int64_t now_ms);
+struct rk_vm_signal *rk_vm_signals_get_or_add(struct rk_vm_signals *s,
+                                              uint64_t life, const char *domain,
+                                              int64_t now_ms);
 /* Returns the number of nodes that share the VM's limit, or 0 if this node is
  * not one of them. own is the hash of this node's id, others the hashes of the
  * other nodes that may be chosen. Nodes that know the same set agree on the
  * result. There are a few more senders than requests per second, or all nodes if
  * these are fewer, each of which sends at an even interval, so that all together
  * exceed the limit by at most one request each. */
-int rk_vm_limit_part(const struct rk_vm_signal *v, uint64_t own,
-                     const uint64_t *others, size_t len);
+int rk_vm_limit_senders(const struct rk_vm_signal *v, uint64_t own,
+                        const uint64_t *others, size_t len);
 /* Sets the number of nodes that share the limit, this one included; 0: this one
  * has no share. */
 void rk_vm_signal_set_senders(struct rk_vm_signal *v, int senders, int64_t now_ms);
 /* Returns true if this node may send the VM nothing as long as its signals and
  * shares stay the same. */
-bool rk_vm_signal_bars(const struct rk_vm_signal *v);
+bool rk_vm_signal_blocks(const struct rk_vm_signal *v);
 /* Returns the time in ms until this node may send a request, or, if it has no
  * share in the limit, until another node may. Returns 0 if this node may send
  * now. */
 int64_t rk_vm_signal_wait_ms(const struct rk_vm_signal *v, int64_t now_ms);
 /* Records that this node sends a request now. */
-void rk_vm_signal_sent(struct rk_vm_signal *v, int64_t now_ms);
+void rk_vm_signal_note_sent(struct rk_vm_signal *v, int64_t now_ms);
 /* Returns true if the limit was not confirmed for so long that it may be lifted.
  * The next request should go to this VM to find out. */
 bool rk_vm_signal_is_stale(const struct rk_vm_signal *v, int64_t now_ms);
@@ -105,11 +106,12 @@
                             const struct rk_vm_signal *reported, int64_t now_ms);
 /* Applies the signals of an answer that has just arrived. Returns
  * RK_VM_..._CHANGED bits. */
-unsigned rk_vm_signal_hear(struct rk_vm_signal *v,
-                           const struct rk_vm_said *advertised, int64_t now_ms);
+unsigned rk_vm_signal_apply(struct rk_vm_signal *v,
+                            const struct rk_vm_advertised *advertised,
+                            int64_t now_ms);
 /* Removes records of VMs from which no answer, and about which no report, was
  * received for 120 s and whose cooldown has ended. */
-void rk_vm_signals_forget(struct rk_vm_signals *s, int64_t now_ms);
+void rk_vm_signals_expire(struct rk_vm_signals *s, int64_t now_ms);
 /* Returns the number of records. */
 size_t rk_vm_signals_len(const struct rk_vm_signals *s);
 /* Frees all records and leaves the table empty. */
--- a/engines/attempt.c
+++ b/engines/attempt.c
@@ -22,7 +22,7 @@
     struct rk_engine_handlers handlers;
     void *ctx;
     char request_id[RK_ID_MAX];
-    struct rk_sse sse;
+    struct rk_sse_parser sse;
     struct rk_timer idle_timer;
     int64_t idle_timeout_ms;
     int64_t cooldown_ms; /* from Retry-After; 0: none; -1: unreadable */
@@ -34,7 +34,7 @@
 static void free_attempt(struct rk_engine_attempt *a)
 {
     rk_timer_stop(a->loop, &a->idle_timer);
-    rk_sse_free(&a->sse);
+    rk_sse_parser_free(&a->sse);
     free(a);
 }
 
@@ -74,14 +74,14 @@
     if (a->wrong_request)
         return false;
     rk_timer_start(a->loop, &a->idle_timer, a->idle_timeout_ms);
-    return rk_sse_feed(&a->sse, data, len, on_event, a);
+    return rk_sse_parser_feed(&a->sse, data, len, on_event, a);
 }
 
 static void finish(struct rk_engine_attempt *a, const struct rk_attempt_end *e,
                    bool complete, const char *detail)
 {
     if (a->wrong_request)
-        rk_count(RK_C_CROSSED, 1);
+        rk_counter_add(RK_C_MISMATCHED, 1);
     a->handlers.on_end(a->ctx, e, complete, detail);
     free_attempt(a);
 }
@@ -96,7 +96,7 @@
         .answered = complete || (!res->curl_code && res->status != HTTP_OK &&
                                  !a->wrong_request),
         .http_status = (int)res->status,
-        .cooldown_ms = rk_attempt_rest_ms(res->status, a->cooldown_ms),
+        .cooldown_ms = rk_attempt_cooldown_ms(res->status, a->cooldown_ms),
     };
     const char *detail = a->wrong_request ? "an answer to another request"
                          : a->rejected    ? "a gap in the tokens"
--- a/keeper/keeper.c
+++ b/keeper/keeper.c
@@ -102,10 +102,10 @@
     struct rk_member m;
     struct rk_vm v;
     for (size_t i = 0; i < g->n_members; i++)
-        if (rk_rows_member(g->members[i], &m))
+        if (rk_rows_decode_member(g->members[i], &m))
             rk_members_merge(k->members, &m, -1, now);
     for (size_t i = 0; i < g->n_vms; i++)
-        if (rk_rows_vm(g->vms[i], &v))
+        if (rk_rows_decode_vm(g->vms[i], &v))
             rk_members_merge_vm(k->members, &v, -1, now);
 }
 
@@ -116,7 +116,7 @@
     if (c->snapshot[0])
         rk_changelog_restore(k->changelog, c->snapshot);
     for (size_t i = 0; i < c->n_items; i++)
-        rk_changelog_take(k->changelog, c->items[i]->number, c->items[i]->text);
+        rk_changelog_append(k->changelog, c->items[i]->number, c->items[i]->text);
     int64_t head = rk_changelog_head(k->changelog);
     if (head == before)
         return;
@@ -168,9 +168,9 @@
     struct rk_keeper *k = ctx;
     k->lease_call_pending = false;
     if (st == RK_OK)
-        rk_lease_seen(&k->lease, o->version, o->value, rk_mono_ms());
+        rk_lease_read_done(&k->lease, o->version, o->value, rk_mono_ms());
     else if (st == RK_ENOTFOUND)
-        rk_lease_seen(&k->lease, 0, "", rk_mono_ms());
+        rk_lease_read_done(&k->lease, 0, "", rk_mono_ms());
 }
 
 static void on_lease_written(void *ctx, enum rk_status st, int64_t version)
@@ -178,7 +178,7 @@
     struct rk_keeper *k = ctx;
     bool was_held = k->lease.held;
     k->lease_call_pending = false;
-    rk_lease_written(&k->lease, st, version, rk_mono_ms());
+    rk_lease_write_done(&k->lease, st, version, rk_mono_ms());
     if (!was_held && k->lease.held)
         RK_EVENT("lease.taken", RK_N("epoch", k->lease.held_epoch));
     else if (was_held && !k->lease.held)
@@ -203,7 +203,7 @@
     int64_t expect;
     k->lease.ttl_ms = k->config ? k->config->lease_ms : k->lease.ttl_ms;
     k->lease_call_pending = true;
-    if (rk_lease_wants(&k->lease, rk_mono_ms(), value, &expect))
+    if (rk_lease_next_write(&k->lease, rk_mono_ms(), value, &expect))
         rk_objects_write(k->objects, k->lease_name, expect, value, on_lease_written,
                          k);
     else if (!k->lease.held)
@@ -314,11 +314,11 @@
         s->state = START_ACCEPTED;
         rk_strcpy(s->vm, sizeof(s->vm), vm);
         if (c)
-            rk_plan_started(c);
+            rk_plan_start_granted(c);
     } else {
         s->state = START_FREE;
         if (c)
-            rk_plan_refused(c, rk_mono_ms());
+            rk_plan_start_refused(c, rk_mono_ms());
     }
 }
 
--- a/node/digest.c
+++ b/node/digest.c
@@ -37,7 +37,7 @@
     return best;
 }
 
-const struct member *rk_digest_of_fleet(const struct rk_mesh *m, int64_t now_ms)
+const struct member *rk_digest_fleet_source(const struct rk_mesh *m, int64_t now_ms)
 {
     if (m->bridge)
         return NULL;
@@ -53,9 +53,9 @@
     return best_source(m, domain, false, now_ms, SOURCE_MAX_AGE_MS);
 }
 
-bool rk_digest_counts(const struct member *k, int64_t now_ms)
+bool rk_digest_is_counted(const struct member *k, int64_t now_ms)
 {
-    return k->digest.received_ms && !rk_mesh_is_near(k) &&
+    return k->digest.received_ms && !rk_mesh_is_same_domain(k) &&
            rk_digest_domain_source(k->m, k->domain, now_ms) == k;
 }
 
@@ -64,13 +64,13 @@
 static void set_baseline(struct digest *d)
 {
     d->has_baseline = true;
-    rk_tally_clear(&d->baseline_uses);
-    rk_tally_clear(&d->baseline_reads);
+    rk_totals_clear(&d->baseline_uses);
+    rk_totals_clear(&d->baseline_reads);
     for (size_t i = 0; i < d->uses.len; i++)
-        *rk_tally_at(&d->baseline_uses, d->uses.rows[i].org) =
+        *rk_totals_get(&d->baseline_uses, d->uses.rows[i].org) =
             d->uses.rows[i].units;
     for (size_t i = 0; i < d->services_len; i++)
-        *rk_tally_at(&d->baseline_reads, d->services[i].service) =
+        *rk_totals_get(&d->baseline_reads, d->services[i].service) =
             d->services[i].demand_tokens;
 }
 
@@ -87,8 +87,8 @@
 static double own_read_tokens(const struct rk_mesh *m, const char *service)
 {
     const struct rk_relay_report *r = m->n->report;
-    const struct rk_service_use *own =
-        r ? rk_service_use_find(r->services, r->services_len, service) : NULL;
+    const struct rk_service_load *own =
+        r ? rk_service_load_find(r->services, r->services_len, service) : NULL;
     return own ? own->demand_tokens : 0;
 }
 
@@ -100,9 +100,9 @@
     for (size_t i = 0; r && i < r->quota_usage_len; i++) {
         const struct rk_org_use *own = &r->quota_usage[i];
         if (rk_org_uses_has(&d->uses, own->org))
-            rk_mesh_add_news(
+            rk_mesh_add_peer_use(
                 m, own->org,
-                -rk_tally_rise(&m->baseline_uses, own->org, own->units));
+                -rk_totals_set(&m->baseline_uses, own->org, own->units));
     }
 }
 
@@ -110,10 +110,10 @@
 {
     for (size_t i = 0; i < d->uses.len; i++) {
         const struct rk_org_use *use = &d->uses.rows[i];
-        double increase = use->units - rk_tally_total(&d->baseline_uses, use->org);
+        double increase = use->units - rk_totals_value(&d->baseline_uses, use->org);
         if (!d->fleet)
-            *rk_tally_at(&m->fleet_uses, use->org) += increase;
-        rk_mesh_add_news(m, use->org, increase);
+            *rk_totals_get(&m->fleet_uses, use->org) += increase;
+        rk_mesh_add_peer_use(m, use->org, increase);
     }
     if (d->fleet)
         subtract_own(m, d);
@@ -122,15 +122,15 @@
 static void count_reads(struct rk_mesh *m, const struct digest *d)
 {
     for (size_t i = 0; i < d->services_len; i++) {
-        const struct rk_service_use *use = &d->services[i];
+        const struct rk_service_load *use = &d->services[i];
         double increase =
-            use->demand_tokens - rk_tally_total(&d->baseline_reads, use->service);
+            use->demand_tokens - rk_totals_value(&d->baseline_reads, use->service);
         if (d->fleet)
-            increase -= rk_tally_rise(&m->baseline_reads, use->service,
+            increase -= rk_totals_set(&m->baseline_reads, use->service,
                                       own_read_tokens(m, use->service));
         else
-            *rk_tally_at(&m->fleet_reads, use->service) += increase;
-        *rk_tally_at(&m->peer_reads, use->service) += increase;
+            *rk_totals_get(&m->fleet_reads, use->service) += increase;
+        *rk_totals_get(&m->peer_reads, use->service) += increase;
     }
 }
 
@@ -138,10 +138,10 @@
 {
     const struct rk_relay_report *r = m->n->report;
     for (size_t i = 0; r && i < r->quota_usage_len; i++)
-        rk_tally_rise(&m->baseline_uses, r->quota_usage[i].org,
+        rk_totals_set(&m->baseline_uses, r->quota_usage[i].org,
                       r->quota_usage[i].units);
     for (size_t i = 0; r && i < r->services_len; i++)
-        rk_tally_rise(&m->baseline_reads, r->services[i].service,
+        rk_totals_set(&m->baseline_reads, r->services[i].service,
                       r->services[i].demand_tokens);
 }
 
@@ -168,10 +168,10 @@
     rk_org_uses_begin(&to->uses);
     for (size_t i = 0; i < d->n_uses; i++) {
         const Rillknot__OrgUse *from = d->uses[i];
-        struct rk_org_use *row = rk_org_uses_at(&to->uses, from->org);
+        struct rk_org_use *row = rk_org_uses_get(&to->uses, from->org);
         row->units = from->units;
-        row->demand_per_s = rk_report_asking(from);
-        for (size_t j = 0; j < from->n_known && j < RK_QUOTA_PARTS; j++)
+        row->demand_per_s = rk_report_demand(from);
+        for (size_t j = 0; j < from->n_known && j < RK_QUOTA_SLICES; j++)
             row->used_slices[j] = (double)from->known[j];
     }
 }
@@ -184,10 +184,10 @@
     for (size_t i = 0; i < d->n_services; i++) {
         const Rillknot__ServiceUse *use = d->services[i];
         to->services[i] =
-            (struct rk_service_use){.demand_tokens = use->read_tokens,
-                                    .running = use->running,
-                                    .begun = use->begun,
-                                    .engine = rk_engines_get(use->engine)};
+            (struct rk_service_load){.demand_tokens = use->read_tokens,
+                                     .running = use->running,
+                                     .begun = use->begun,
+                                     .engine = rk_engines_decode(use->engine)};
         rk_strcpy(to->services[i].service, sizeof(to->services[i].service),
                   use->service);
     }
@@ -207,7 +207,7 @@
         if (!row->heard)
             continue;
         if (!k || strcmp(k->addr, row->addr) != 0)
-            k = rk_mesh_learn(m, row->id, row->addr);
+            k = rk_mesh_find_or_add(m, row->id, row->addr);
         rk_strcpy(k->domain, sizeof(k->domain), row->domain);
         if (row->capacity > 0) /* 0: the bridge doesn't know it either */
             k->capacity = row->capacity;
@@ -222,7 +222,7 @@
 static void apply_sender(struct member *k, const Rillknot__Digest *d,
                          int64_t now_ms)
 {
-    rk_mesh_meet(k);
+    rk_mesh_add_contact(k);
     rk_strcpy(k->domain, sizeof(k->domain), d->domain);
     if (d->capacity > 0) /* 0: a node of an earlier version */
         k->capacity = d->capacity;
@@ -233,7 +233,7 @@
     k->unconfirmed = false;
 }
 
-bool rk_digest_take(struct member *k, const Rillknot__Digest *d)
+bool rk_digest_receive(struct member *k, const Rillknot__Digest *d)
 {
     struct digest *to = &k->digest;
     int64_t now_ms = rk_mono_ms();
@@ -256,12 +256,12 @@
     if (d->n_members)
         to->quota_history_ms = d->remembers_ms;
     if (d->vms_told)
-        rk_loads_take(&to->loads, &to->loads_len, d->vms, d->n_vms);
+        rk_loads_decode(&to->loads, &to->loads_len, d->vms, d->n_vms);
     apply_uses(to, d);
     apply_services(to, d);
     apply_members(k->m, d);
     const struct member *counted =
-        to->fleet ? rk_digest_of_fleet(k->m, now_ms)
+        to->fleet ? rk_digest_fleet_source(k->m, now_ms)
                   : rk_digest_domain_source(k->m, k->domain, now_ms);
     if (counted != k || (!to->fleet && !k->m->bridge))
         return false;
@@ -279,6 +279,6 @@
     free(d->loads);
     rk_org_uses_free(&d->uses);
     free(d->services);
-    rk_tally_free(&d->baseline_uses);
-    rk_tally_free(&d->baseline_reads);
+    rk_totals_free(&d->baseline_uses);
+    rk_totals_free(&d->baseline_reads);
 }
--- a/node/digest_tell.c
+++ b/node/digest_tell.c
@@ -37,9 +37,9 @@
     Rillknot__LeaseRow lease;
     struct rk_vm_load *loads; /* by node and VM; by VM after sum_loads() */
     size_t loads_len;
-    struct rk_tally in_flight; /* calls in flight, by service */
-    struct rk_tally begun;     /* of these, calls whose answers have begun */
-    struct rk_tally demand;    /* quota units/s, by organisation */
+    struct rk_totals in_flight; /* calls in flight, by service */
+    struct rk_totals begun;     /* of these, calls whose answers have begun */
+    struct rk_totals demand;    /* quota units/s, by organisation */
     Rillknot__VmUse *vms, **vm_ptrs;
     Rillknot__OrgUse *uses, **use_ptrs;
     uint64_t *known;
@@ -81,11 +81,11 @@
 }
 
 static void add_in_flight(struct digest_builder *p,
-                          const struct rk_service_use *services, size_t len)
+                          const struct rk_service_load *services, size_t len)
 {
     for (size_t i = 0; i < len; i++) {
-        *rk_tally_at(&p->in_flight, services[i].service) += services[i].running;
-        *rk_tally_at(&p->begun, services[i].service) += services[i].begun;
+        *rk_totals_get(&p->in_flight, services[i].service) += services[i].running;
+        *rk_totals_get(&p->begun, services[i].service) += services[i].begun;
     }
 }
 
@@ -100,11 +100,11 @@
         add_in_flight(p, r->services, r->services_len);
     }
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
-        if (rk_mesh_is_near(k) && rk_mesh_is_heard(k, now_ms)) {
+        if (rk_mesh_is_same_domain(k) && rk_mesh_is_reachable_directly(k, now_ms)) {
             p->digest.nodes_heard++;
             add_loads(p, k->loads, k->loads_len);
             add_in_flight(p, k->services, k->services_len);
-        } else if (fleet && rk_digest_counts(k, now_ms)) {
+        } else if (fleet && rk_digest_is_counted(k, now_ms)) {
             p->digest.nodes_heard += (uint32_t)k->digest.nodes_reachable;
             add_loads(p, k->digest.loads, k->digest.loads_len);
             add_in_flight(p, k->digest.services, k->digest.services_len);
@@ -118,7 +118,7 @@
     p->vms = rk_alloc(len + 1, sizeof(*p->vms));
     p->vm_ptrs = rk_alloc(len + 1, sizeof(*p->vm_ptrs));
     for (size_t i = 0; i < len; i++) {
-        rk_loads_put(&p->vms[i], &p->loads[i]);
+        rk_loads_encode(&p->vms[i], &p->loads[i]);
         p->vm_ptrs[i] = &p->vms[i];
     }
     p->digest.n_vms = len;
@@ -141,13 +141,13 @@
     const struct rk_org_use *own =
         r ? rk_org_use_find(r->quota_usage, r->quota_usage_len, p->uses[row].org)
           : NULL;
-    uint64_t *known = &p->known[row * RK_QUOTA_PARTS];
+    uint64_t *known = &p->known[row * RK_QUOTA_SLICES];
     if (!own)
         return;
-    for (size_t j = 0; j < RK_QUOTA_PARTS; j++)
+    for (size_t j = 0; j < RK_QUOTA_SLICES; j++)
         known[j] = (uint64_t)own->used_slices[j];
     p->uses[row].known = known;
-    p->uses[row].n_known = RK_QUOTA_PARTS;
+    p->uses[row].n_known = RK_QUOTA_SLICES;
 }
 
 /* Sums the demand at the nodes that the digest covers. */
@@ -157,23 +157,23 @@
     const struct rk_relay_report *r = m->n->report;
     rk_loads_add_demand(m, fleet, &p->demand, rk_mono_ms());
     for (size_t i = 0; r && i < r->quota_usage_len; i++)
-        *rk_tally_at(&p->demand, r->quota_usage[i].org) +=
+        *rk_totals_get(&p->demand, r->quota_usage[i].org) +=
             r->quota_usage[i].demand_per_s;
 }
 
 static void fill_uses(struct digest_builder *p, const struct rk_mesh *m, bool fleet,
                       bool with_history)
 {
-    const struct rk_tally *uses = fleet ? &m->fleet_uses : &m->domain_uses;
+    const struct rk_totals *uses = fleet ? &m->fleet_uses : &m->domain_uses;
     p->uses = rk_alloc(uses->len + 1, sizeof(*p->uses));
     p->use_ptrs = rk_alloc(uses->len + 1, sizeof(*p->use_ptrs));
-    p->known = rk_alloc(uses->len * RK_QUOTA_PARTS + 1, sizeof(*p->known));
+    p->known = rk_alloc(uses->len * RK_QUOTA_SLICES + 1, sizeof(*p->known));
     add_demand(p, m, fleet);
     for (size_t i = 0; i < uses->len; i++) {
         rillknot__org_use__init(&p->uses[i]);
         p->uses[i].org = uses->rows[i].name;
         p->uses[i].units = uses->rows[i].total;
-        p->uses[i].asking = (float)rk_tally_total(&p->demand, p->uses[i].org);
+        p->uses[i].asking = (float)rk_totals_value(&p->demand, p->uses[i].org);
         if (with_history)
             fill_history(p, m, i);
         p->use_ptrs[i] = &p->uses[i];
@@ -185,7 +185,7 @@
 static void fill_services(struct digest_builder *p, const struct rk_mesh *m,
                           bool fleet)
 {
-    const struct rk_tally *reads = fleet ? &m->fleet_reads : &m->domain_reads;
+    const struct rk_totals *reads = fleet ? &m->fleet_reads : &m->domain_reads;
     p->engines = rk_alloc(reads->len + 1, sizeof(*p->engines));
     p->services = rk_alloc(reads->len + 1, sizeof(*p->services));
     p->service_ptrs = rk_alloc(reads->len + 1, sizeof(*p->service_ptrs));
@@ -194,11 +194,11 @@
         rillknot__service_use__init(use);
         use->service = reads->rows[i].name;
         use->read_tokens = reads->rows[i].total;
-        use->running = (uint32_t)rk_tally_total(&p->in_flight, use->service);
-        use->begun = (uint32_t)rk_tally_total(&p->begun, use->service);
-        struct rk_engine_estimate e = rk_engines_of(m, use->service, fleet);
+        use->running = (uint32_t)rk_totals_value(&p->in_flight, use->service);
+        use->begun = (uint32_t)rk_totals_value(&p->begun, use->service);
+        struct rk_engine_estimate e = rk_engines_mean(m, use->service, fleet);
         if (e.samples > 0) {
-            rk_engines_put(&p->engines[i], &e);
+            rk_engines_encode(&p->engines[i], &e);
             use->engine = &p->engines[i];
         }
         p->service_ptrs[i] = use;
@@ -211,8 +211,8 @@
  * reports what it observed itself, for other domains what it received. */
 static bool is_reported_reachable(const struct member *k, int64_t now_ms)
 {
-    if (rk_mesh_is_near(k) && k->m->bridge)
-        return rk_mesh_is_heard(k, now_ms);
+    if (rk_mesh_is_same_domain(k) && k->m->bridge)
+        return rk_mesh_is_reachable_directly(k, now_ms);
     return (k->reported_ms || k->last_received_ms) && rk_mesh_is_alive(k, now_ms);
 }
 
@@ -234,7 +234,7 @@
 {
     if (!k->id[0] || !k->domain[0])
         return false;
-    if (rk_mesh_is_near(k))
+    if (rk_mesh_is_same_domain(k))
         return true;
     return fleet && (k->bridge || members == ALL_MEMBERS);
 }
@@ -281,14 +281,14 @@
     p->digest.capacity = rk_mesh_capacity(m);
     p->digest.slow = m->slow;
     p->digest.takes_changes = true;
-    p->digest.hears_store = rk_sync_hears_store(n->sync);
+    p->digest.hears_store = rk_sync_store_reachable(n->sync);
     p->digest.settings_version = rk_sync_version(n->sync);
     p->digest.list_revision = rk_sync_list_revision(n->sync);
     p->digest.store_age_ms = rk_sync_age_ms(n->sync);
     p->digest.nodes_total = (uint32_t)rk_mesh_total(m);
     p->digest.remembers_ms = n->report ? n->report->quota_history_ms : 0;
     const char *value;
-    if (rk_duty_keeper_newest(n->leader, &p->lease.version, &value)) {
+    if (rk_leader_newest_lease(n->leader, &p->lease.version, &value)) {
         p->lease.value = (char *)value;
         p->digest.lease = &p->lease;
     }
@@ -308,9 +308,9 @@
 static void free_builder(struct digest_builder *p)
 {
     free(p->loads);
-    rk_tally_free(&p->in_flight);
-    rk_tally_free(&p->begun);
-    rk_tally_free(&p->demand);
+    rk_totals_free(&p->in_flight);
+    rk_totals_free(&p->begun);
+    rk_totals_free(&p->demand);
     free(p->vms);
     free(p->vm_ptrs);
     free(p->uses);
@@ -332,16 +332,16 @@
     for (size_t i = 0; r && i < r->quota_usage_len; i++) {
         const char *org = r->quota_usage[i].org;
         double increase =
-            rk_tally_rise(&m->included_uses, org, r->quota_usage[i].units);
-        *rk_tally_at(&m->domain_uses, org) += increase;
-        *rk_tally_at(&m->fleet_uses, org) += increase;
+            rk_totals_set(&m->included_uses, org, r->quota_usage[i].units);
+        *rk_totals_get(&m->domain_uses, org) += increase;
+        *rk_totals_get(&m->fleet_uses, org) += increase;
     }
     for (size_t i = 0; r && i < r->services_len; i++) {
         const char *service = r->services[i].service;
-        double increase = rk_tally_rise(&m->included_reads, service,
+        double increase = rk_totals_set(&m->included_reads, service,
                                         r->services[i].demand_tokens);
-        *rk_tally_at(&m->domain_reads, service) += increase;
-        *rk_tally_at(&m->fleet_reads, service) += increase;
+        *rk_totals_get(&m->domain_reads, service) += increase;
+        *rk_totals_get(&m->fleet_reads, service) += increase;
     }
 }
 
@@ -349,10 +349,10 @@
 {
     const struct rk_relay_report *r = m->n->report;
     for (size_t i = 0; r && i < r->quota_usage_len; i++)
-        rk_tally_rise(&m->included_uses, r->quota_usage[i].org,
+        rk_totals_set(&m->included_uses, r->quota_usage[i].org,
                       r->quota_usage[i].units);
     for (size_t i = 0; r && i < r->services_len; i++)
-        rk_tally_rise(&m->included_reads, r->services[i].service,
+        rk_totals_set(&m->included_reads, r->services[i].service,
                       r->services[i].demand_tokens);
     for (struct member *k = m->contacts; k; k = k->next_contact) {
         k->incarnation = 0; /* its next report becomes the baseline */
@@ -378,7 +378,7 @@
 static bool wants_domain_digest(const struct member *k, const void *ctx)
 {
     (void)ctx;
-    return !rk_mesh_is_near(k) && k->bridge;
+    return !rk_mesh_is_same_domain(k) && k->bridge;
 }
 
 /* Sends a digest of this domain to the bridges of the others. */
@@ -410,7 +410,8 @@
 {
     size_t len = 0;
     for (struct member *k = m->contacts; k; k = k->next_contact)
-        if (rk_mesh_is_near(k) && !k->bridge && rk_mesh_takes(k->link))
+        if (rk_mesh_is_same_domain(k) && !k->bridge &&
+            rk_mesh_link_is_ready(k->link))
             nodes[len++] = k;
     qsort(nodes, len, sizeof(*nodes), by_digest_round);
     return len;
@@ -438,7 +439,7 @@
         k->link_state.digest_round = m->digest_rounds;
         sent += frame.len;
     }
-    rk_send_budget_note(&m->full_digest_budget, sent);
+    rk_send_budget_note_sent(&m->full_digest_budget, sent);
     rk_packed_frame_free(&frame);
     return at;
 }
@@ -483,7 +484,7 @@
     int64_t now_ms = rk_mono_ms();
     bool sent_recently = state->members_sent_ms &&
                          now_ms - state->members_sent_ms < MEMBERS_RETRY_MS;
-    if (sent_recently || !rk_mesh_takes(link))
+    if (sent_recently || !rk_mesh_link_is_ready(link))
         return;
     state->members_sent_ms = now_ms;
     struct rk_packed_frame frame = pack_fleet(m, false, ALL_MEMBERS);
--- a/node/duties.c
+++ b/node/duties.c
@@ -58,14 +58,14 @@
 };
 
 struct window {
-    struct rk_duty_keeper *k;
+    struct rk_leader *k;
     int64_t number; /* wall time divided by the size of a window */
     enum window_state state;
     int64_t retry_at_ms; /* no attempt before this time */
     char *counts;        /* JSON text, as the store has it */
 };
 
-struct rk_duty_keeper {
+struct rk_leader {
     struct rk_node *n;
     struct rk_lease lease;
     char holder[RK_ID_MAX]; /* this process as lease holder: "ID/INCARNATION" */
@@ -86,7 +86,7 @@
 /* ---- the lease ---- */
 
 /* Updates was_held, and logs when this node has acquired or lost the lease. */
-static void update_held(struct rk_duty_keeper *k)
+static void update_held(struct rk_leader *k)
 {
     int64_t epoch;
     bool held = rk_lease_valid(&k->lease, rk_mono_ms(), &epoch);
@@ -103,11 +103,10 @@
              RK_N("seen_epoch", k->lease.epoch));
 }
 
-static void apply_lease_object(struct rk_duty_keeper *k,
-                               const struct rk_store_object *o)
+static void apply_lease_object(struct rk_leader *k, const struct rk_store_object *o)
 {
     const char *value = o && o->spec ? json_object_to_json_string(o->spec) : "{}";
-    rk_lease_seen(&k->lease, o ? o->revision : 0, value, rk_mono_ms());
+    rk_lease_read_done(&k->lease, o ? o->revision : 0, value, rk_mono_ms());
     rk_strcpy(k->read_value, sizeof(k->read_value), o ? value : "");
     k->must_read = false;
 }
@@ -115,7 +114,7 @@
 static void on_lease_read(void *ctx, enum rk_status st,
                           const struct rk_store_object *o)
 {
-    struct rk_duty_keeper *k = ctx;
+    struct rk_leader *k = ctx;
     k->lease_busy = false;
     if (st == RK_OK && o)
         apply_lease_object(k, o);
@@ -127,11 +126,11 @@
 static void on_lease_written(void *ctx, enum rk_status st,
                              const struct rk_store_object *o)
 {
-    struct rk_duty_keeper *k = ctx;
+    struct rk_leader *k = ctx;
     k->lease_busy = false;
     if (st == RK_OK && !o)
         st = RK_EUNKNOWN;
-    rk_lease_written(&k->lease, st, o ? o->revision : 0, rk_mono_ms());
+    rk_lease_write_done(&k->lease, st, o ? o->revision : 0, rk_mono_ms());
     if (st == RK_ECONFLICT && o)
         apply_lease_object(k, o);
     else if (st != RK_OK)
@@ -139,7 +138,7 @@
     update_held(k);
 }
 
-static void read_lease(struct rk_duty_keeper *k)
+static void read_lease(struct rk_leader *k)
 {
     struct rk_store *store = k->n->store;
     k->lease_busy = true;
@@ -148,7 +147,7 @@
 
 /* Returns how long the lease has to stay unchanged before this node may take it; at
  * the leader, the lease's duration. */
-static int64_t takeover_wait_ms(const struct rk_duty_keeper *k)
+static int64_t takeover_wait_ms(const struct rk_leader *k)
 {
     int64_t ms = (int64_t)k->n->file.lease_ms;
     if (k->lease.held)
@@ -162,17 +161,17 @@
 /* Returns whether this node is a candidate for the lease. In a large fleet only the
  * bridges are, unless the lease has stayed unchanged for three lease durations, as
  * if there were no bridge. */
-static bool is_candidate(const struct rk_duty_keeper *k)
+static bool is_candidate(const struct rk_leader *k)
 {
     int64_t since_ms = k->lease.seen_ms ? k->lease.seen_ms : k->started_ms;
-    bool listed = rk_mesh_is_listed(k->n->mesh) ||
+    bool listed = rk_mesh_has_node_list(k->n->mesh) ||
                   rk_mono_ms() - k->started_ms > NODE_LIST_WAIT_MS;
-    return k->was_held || (listed && rk_mesh_stands(k->n->mesh)) ||
+    return k->was_held || (listed && rk_mesh_is_candidate(k->n->mesh)) ||
            rk_mono_ms() - since_ms > 3 * (int64_t)k->n->file.lease_ms;
 }
 
 /* Reads, renews or takes the lease if that is due. */
-static void update_lease(struct rk_duty_keeper *k)
+static void update_lease(struct rk_leader *k)
 {
     struct rk_store *store = k->n->store;
     if (k->lease_busy || !is_candidate(k))
@@ -185,7 +184,7 @@
     int64_t expect;
     /* Only the decision to write depends on the longer waiting time. */
     k->lease.ttl_ms = takeover_wait_ms(k);
-    bool must_write = rk_lease_wants(&k->lease, rk_mono_ms(), value, &expect);
+    bool must_write = rk_lease_next_write(&k->lease, rk_mono_ms(), value, &expect);
     k->lease.ttl_ms = (int64_t)k->n->file.lease_ms;
     if (!must_write || (k->n->leaving && !k->was_held))
         return;
@@ -199,8 +198,8 @@
                            k);
 }
 
-bool rk_duty_keeper_lease(const struct rk_duty_keeper *k, int64_t *version,
-                          const char **value)
+bool rk_leader_own_lease(const struct rk_leader *k, int64_t *version,
+                         const char **value)
 {
     int64_t epoch;
     if (!rk_lease_valid(&k->lease, rk_mono_ms(), &epoch))
@@ -210,29 +209,28 @@
     return true;
 }
 
-void rk_duty_keeper_seen(struct rk_duty_keeper *k, int64_t version,
-                         const char *value)
+void rk_leader_note_lease(struct rk_leader *k, int64_t version, const char *value)
 {
     if (!k->lease_busy) {
         bool newer = version > k->lease.version;
-        rk_lease_seen(&k->lease, version, value, rk_mono_ms());
+        rk_lease_read_done(&k->lease, version, value, rk_mono_ms());
         if (newer)
             rk_strcpy(k->read_value, sizeof(k->read_value), value);
     }
     update_held(k);
 }
 
-bool rk_duty_keeper_newest(const struct rk_duty_keeper *k, int64_t *version,
-                           const char **value)
+bool rk_leader_newest_lease(const struct rk_leader *k, int64_t *version,
+                            const char **value)
 {
-    if (rk_duty_keeper_lease(k, version, value))
+    if (rk_leader_own_lease(k, version, value))
         return true;
     *version = k->lease.version;
     *value = k->read_value;
     return k->lease.version && k->read_value[0];
 }
 
-void rk_duty_keeper_holder(const struct rk_duty_keeper *k, char id[RK_ID_MAX])
+void rk_leader_id(const struct rk_leader *k, char id[RK_ID_MAX])
 {
     rk_strcpy(id, RK_ID_MAX, k->lease.seen_holder);
     id[strcspn(id, "/")] = '\0';
@@ -240,7 +238,7 @@
 
 /* The platform has seen a higher fencing token, so there is a newer leader: gives
  * the lease up. */
-static void handle_refusal(struct rk_duty_keeper *k, const char *duty,
+static void handle_refusal(struct rk_leader *k, const char *duty,
                            const char *detail)
 {
     RK_WARN("duty.refused", RK_S("duty", duty), RK_N("epoch", k->lease.held_epoch),
@@ -251,7 +249,7 @@
     update_held(k);
 }
 
-static bool get_token(const struct rk_duty_keeper *k, struct rk_duty_token *out)
+static bool get_token(const struct rk_leader *k, struct rk_leader_token *out)
 {
     out->leader = k->n->file.id;
     return rk_lease_valid(&k->lease, rk_mono_ms(), &out->fence);
@@ -260,28 +258,28 @@
 /* ---- usage ---- */
 
 /* Returns a window's counts by organisation as JSON text, owned by the caller. */
-static char *format_counts(const struct rk_duty_keeper *k, int64_t window)
+static char *format_counts(const struct rk_leader *k, int64_t window)
 {
     const struct rk_routes *routes = rk_sync_routes(k->n->sync);
     struct rk_buf b = {0};
-    struct rk_tally sums = {0};
+    struct rk_totals sums = {0};
     rk_usage_sums(&k->n->usage, window, &sums);
     rk_buf_addstr(&b, "{");
     for (size_t i = 0; routes && i < routes->orgs_len; i++) {
         const char *org = routes->orgs[i].name;
         rk_buf_addstr(&b, i ? "," : "");
         rk_buf_json_str(&b, org);
-        rk_buf_printf(&b, ":%.0f", rk_tally_total(&sums, org));
+        rk_buf_printf(&b, ":%.0f", rk_totals_value(&sums, org));
     }
     rk_buf_addstr(&b, "}");
-    rk_tally_free(&sums);
+    rk_totals_free(&sums);
     return b.data;
 }
 
 static void on_usage_reported(void *ctx, enum rk_status st, const char *detail)
 {
     struct window *w = ctx;
-    struct rk_duty_keeper *k = w->k;
+    struct rk_leader *k = w->k;
     RK_EVENT("usage.reported", RK_N("window", w->number),
              RK_S("status", rk_status_str(st)), RK_S("counts", w->counts));
     w->state = st == RK_OK ? WINDOW_REPORTED : WINDOW_STORED;
@@ -292,9 +290,9 @@
 
 static void report_window(struct window *w)
 {
-    struct rk_duty_keeper *k = w->k;
-    struct rk_duties *duties = k->n->duties;
-    struct rk_duty_token t;
+    struct rk_leader *k = w->k;
+    struct rk_leader_api *duties = k->n->duties;
+    struct rk_leader_token t;
     if (!get_token(k, &t))
         return;
     w->state = WINDOW_REPORTING;
@@ -343,7 +341,7 @@
 }
 
 /* Returns the slot of a window; NULL: an older window still uses it. */
-static struct window *window_slot(struct rk_duty_keeper *k, int64_t number)
+static struct window *window_slot(struct rk_leader *k, int64_t number)
 {
     struct window *w = &k->windows[(size_t)number % RECENT_WINDOWS];
     if (w->number == number)
@@ -358,13 +356,13 @@
 /* Returns the least delay in ms between a window's end and its report. */
 static int64_t report_wait_ms(const struct rk_node *n)
 {
-    bool unreachable = rk_mesh_heard(n->mesh) < rk_mesh_total(n->mesh);
+    bool unreachable = rk_mesh_reachable_count(n->mesh) < rk_mesh_total(n->mesh);
     return unreachable ? REPORT_DELAY_UNREACHABLE_MS : REPORT_DELAY_MS;
 }
 
 /* Returns whether to report a window that ended since_end_ms ago. Reports wait for
  * counts that are still on their way, but not until they would be late. */
-static bool is_due(const struct rk_duty_keeper *k, int64_t since_end_ms)
+static bool is_due(const struct rk_leader *k, int64_t since_end_ms)
 {
     const struct rk_node *n = k->n;
     if (since_end_ms >= rk_s_to_ms(n->file.usage_late_s) - REPORT_MARGIN_MS)
@@ -373,12 +371,12 @@
            rk_mono_ms() - k->acquired_ms >= COUNTS_COLLECTED_MS;
 }
 
-static void report_due_windows(struct rk_duty_keeper *k)
+static void report_due_windows(struct rk_leader *k)
 {
     struct rk_node *n = k->n;
-    struct rk_duty_token t;
+    struct rk_leader_token t;
     if (!rk_sync_routes(n->sync) || !get_token(k, &t) ||
-        !rk_remember_is_read(n->persist))
+        !rk_persist_is_read(n->persist))
         return;
     int64_t size_ms = rk_s_to_ms(n->file.usage_window_s);
     int64_t wall_ms = rk_wall_ms(), now_ms = rk_mono_ms();
@@ -403,37 +401,37 @@
 /* Returns whether another node is the leader, as far as is known here: it is
  * reachable and has renewed its lease lately. A leader renews it three times in a
  * lease's duration. */
-static bool has_reachable_leader(const struct rk_duty_keeper *k)
+static bool has_reachable_leader(const struct rk_leader *k)
 {
     char id[RK_ID_MAX];
-    rk_duty_keeper_holder(k, id);
+    rk_leader_id(k, id);
     int64_t since_renewal_ms = rk_mono_ms() - k->lease.seen_ms;
-    return rk_mesh_hears(k->n->mesh, id) &&
+    return rk_mesh_is_reachable(k->n->mesh, id) &&
            since_renewal_ms < k->lease.ttl_ms * 2 / 3;
 }
 
 static void on_tick(void *ctx)
 {
-    struct rk_duty_keeper *k = ctx;
+    struct rk_leader *k = ctx;
     rk_timer_start(k->n->loop, &k->tick, TICK_MS);
     update_lease(k);
     update_held(k);
     report_due_windows(k);
-    struct rk_duty_token t;
+    struct rk_leader_token t;
     bool held = get_token(k, &t);
     rk_orders_tick(k->orders, held ? &t : NULL);
     rk_rollouts_tick(k->n->rollouts, held ? &t : NULL);
     if (held) {
-        rk_remember_tick(k->n->persist);
-        rk_quarantines_hold(k->n->quarantines);
-    } else if (!has_reachable_leader(k) && rk_mesh_is_first(k->n->mesh)) {
-        rk_remember_stand_in(k->n->persist);
+        rk_persist_tick(k->n->persist);
+        rk_quarantines_check_store(k->n->quarantines);
+    } else if (!has_reachable_leader(k) && rk_mesh_is_acting_leader(k->n->mesh)) {
+        rk_persist_tick_acting(k->n->persist);
     }
     int64_t window = rk_wall_ms() / rk_s_to_ms(k->n->file.usage_window_s);
-    rk_usage_forget(&k->n->usage, window - RECENT_WINDOWS);
+    rk_usage_remove_before(&k->n->usage, window - RECENT_WINDOWS);
 }
 
-void rk_duty_keeper_look(struct rk_duty_keeper *k)
+void rk_leader_schedule_tick(struct rk_leader *k)
 {
     if (k->was_held)
         rk_timer_start(k->n->loop, &k->tick, CHANGE_DELAY_MS);
@@ -441,9 +439,9 @@
 
 /* ---- creation ---- */
 
-struct rk_duty_keeper *rk_duty_keeper_create(struct rk_node *n)
+struct rk_leader *rk_leader_create(struct rk_node *n)
 {
-    struct rk_duty_keeper *k = rk_alloc(1, sizeof(*k));
+    struct rk_leader *k = rk_alloc(1, sizeof(*k));
     k->n = n;
     k->orders = rk_orders_create(n);
     k->started_ms = rk_mono_ms();
@@ -460,12 +458,12 @@
     return k;
 }
 
-void rk_duty_keeper_start(struct rk_duty_keeper *k)
+void rk_leader_start(struct rk_leader *k)
 {
     rk_timer_start(k->n->loop, &k->tick, k->jitter_ms);
 }
 
-void rk_duty_keeper_destroy(struct rk_duty_keeper *k)
+void rk_leader_destroy(struct rk_leader *k)
 {
     rk_timer_stop(k->n->loop, &k->tick);
     for (size_t i = 0; i < RECENT_WINDOWS; i++)
--- a/node/engines.c
+++ b/node/engines.c
@@ -6,8 +6,8 @@
 #include "common/eventlog.h"
 #include "node/mesh_impl.h"
 
-void rk_engines_put(Rillknot__EngineEstimate *out,
-                    const struct rk_engine_estimate *e)
+void rk_engines_encode(Rillknot__EngineEstimate *out,
+                       const struct rk_engine_estimate *e)
 {
     rillknot__engine_estimate__init(out);
     out->fixed_ms = (float)e->fixed_ms;
@@ -18,7 +18,7 @@
     out->samples = (float)e->samples;
 }
 
-struct rk_engine_estimate rk_engines_get(const Rillknot__EngineEstimate *in)
+struct rk_engine_estimate rk_engines_decode(const Rillknot__EngineEstimate *in)
 {
     struct rk_engine_estimate e = {0};
     if (!in)
@@ -29,17 +29,18 @@
                                     .running_ms = in->running_ms,
                                     .error_ms = in->error_ms,
                                     .samples = in->samples};
-    if (rk_engine_is_sound(&e))
+    if (rk_engine_is_valid(&e))
         return e;
     RK_WARN("engines.rejected", RK_S("from", "peer"));
     return (struct rk_engine_estimate){0};
 }
 
 static void merge_service(struct rk_engine_estimate *sum,
-                          const struct rk_service_use *services, size_t len,
+                          const struct rk_service_load *services, size_t len,
                           const char *service)
 {
-    const struct rk_service_use *use = rk_service_use_find(services, len, service);
+    const struct rk_service_load *use =
+        rk_service_load_find(services, len, service);
     if (use)
         rk_engine_merge(sum, &use->engine);
 }
@@ -53,16 +54,17 @@
     if (r)
         merge_service(sum, r->services, r->services_len, service);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (rk_mesh_is_heard(k, now_ms) && (m->direct || rk_mesh_is_near(k)))
+        if (rk_mesh_is_reachable_directly(k, now_ms) &&
+            (m->direct || rk_mesh_is_same_domain(k)))
             merge_service(sum, k->services, k->services_len, service);
 }
 
-struct rk_engine_estimate rk_engines_of(const struct rk_mesh *m,
-                                        const char *service, bool fleet)
+struct rk_engine_estimate rk_engines_mean(const struct rk_mesh *m,
+                                          const char *service, bool fleet)
 {
     struct rk_engine_estimate sum = {0};
     int64_t now_ms = rk_mono_ms();
-    const struct member *source = fleet ? rk_digest_of_fleet(m, now_ms) : NULL;
+    const struct member *source = fleet ? rk_digest_fleet_source(m, now_ms) : NULL;
     if (source) {
         merge_service(&sum, source->digest.services, source->digest.services_len,
                       service);
@@ -71,7 +73,7 @@
     merge_domain(&sum, m, service, now_ms);
     for (const struct member *k = m->contacts; k && fleet && !m->direct;
          k = k->next_contact)
-        if (!rk_mesh_is_near(k) && rk_digest_counts(k, now_ms))
+        if (!rk_mesh_is_same_domain(k) && rk_digest_is_counted(k, now_ms))
             merge_service(&sum, k->digest.services, k->digest.services_len,
                           service);
     return sum;
@@ -85,8 +87,8 @@
     for (size_t i = 0; i < len; i++) {
         if (!routes->services[i].engine)
             continue;
-        struct rk_service_use *use = &p->services[p->services_len++];
+        struct rk_service_load *use = &p->services[p->services_len++];
         rk_strcpy(use->service, sizeof(use->service), routes->services[i].name);
-        use->engine = rk_engines_of(m, use->service, true);
+        use->engine = rk_engines_mean(m, use->service, true);
     }
 }
--- a/node/enrol.c
+++ b/node/enrol.c
@@ -57,7 +57,7 @@
     if (!addr[0] || rk_mesh_is_self(m, o->name, addr))
         return;
     bool known = rk_mesh_find(m, o->name) != NULL;
-    struct member *k = rk_mesh_learn(m, o->name, addr);
+    struct member *k = rk_mesh_find_or_add(m, o->name, addr);
     if (!k->domain[0])
         rk_strcpy(k->domain, sizeof(k->domain), rk_json_str(o->spec, "domain"));
     if (!k->capacity)
@@ -68,7 +68,7 @@
 
 static void schedule_list(struct rk_mesh *m)
 {
-    m->lists_left = rk_mesh_count(m) < RK_MESH_DIRECT ? m->lists_left - 1 : 0;
+    m->lists_left = rk_mesh_count(m) < RK_MESH_DIRECT_MAX ? m->lists_left - 1 : 0;
     int64_t wait_ms = m->lists_left > 0 ? LIST_INTERVAL_MS : LIST_CHECK_MS;
     int64_t jitter = rk_rng_below(&m->n->rng, LIST_INTERVAL_MS);
     rk_timer_start(m->n->loop, &m->registration_timer, wait_ms + jitter);
@@ -107,7 +107,7 @@
         add_listed_node(m, &objects[i]);
     RK_EVENT("mesh.enrolled", RK_N("nodes", (int64_t)len));
     rk_mesh_elect(m, rk_mono_ms());
-    rk_mesh_dial(m, rk_mono_ms());
+    rk_mesh_connect(m, rk_mono_ms());
     schedule_list(m);
 }
 
@@ -206,8 +206,8 @@
  * of the nodes before that. */
 static void register_restarted(struct rk_mesh *m)
 {
-    int64_t wait_ms = rk_returning_wait_left_ms(m->n);
-    if (rk_returning_is_told(m->n))
+    int64_t wait_ms = rk_read_delay_left_ms(m->n);
+    if (rk_read_delay_has_digests(m->n))
         read_own_entry(m);
     else if (wait_ms > 0)
         rk_timer_start(m->n->loop, &m->registration_timer,
@@ -228,13 +228,13 @@
         register_restarted(m);
 }
 
-void rk_mesh_turn(struct rk_mesh *m)
+void rk_mesh_read_delay_changed(struct rk_mesh *m)
 {
     if (!m->registered && m->registration_timer.slot)
         rk_timer_start(m->n->loop, &m->registration_timer, 0);
 }
 
-void rk_enrol_init(struct rk_mesh *m)
+void rk_registration_init(struct rk_mesh *m)
 {
     m->registration_retry_ms = REGISTER_MIN_MS;
     m->lists_left = m->n->file.first_start ? LIST_READS : 1;
@@ -242,7 +242,7 @@
         (struct rk_timer){.fn = on_registration_timer, .ctx = m};
 }
 
-void rk_enrol_start(struct rk_mesh *m)
+void rk_registration_start(struct rk_mesh *m)
 {
     rk_timer_start(m->n->loop, &m->registration_timer, 0);
 }
--- a/node/follow.c
+++ b/node/follow.c
@@ -14,18 +14,18 @@
  * the answers arrive. */
 #define BURST_MS 200
 
-static void call_store(struct rk_follow *f);
+static void call_store(struct rk_store_watch *f);
 
 /* Returns the time at which the current answer was up to date. Receiving it may
  * take seconds: a watch's answer counts from its first byte, a list from its
  * request. */
-static int64_t answer_time_ms(const struct rk_follow *f)
+static int64_t answer_time_ms(const struct rk_store_watch *f)
 {
     int64_t first_byte_ms = f->n->store->first_byte_at_ms;
     return first_byte_ms && !f->listing ? first_byte_ms : f->call_started_ms;
 }
 
-static void note_answer(struct rk_follow *f, enum rk_status st)
+static void note_answer(struct rk_store_watch *f, enum rk_status st)
 {
     bool lost = st != RK_OK && st != RK_EGONE;
     if (!lost) {
@@ -39,7 +39,7 @@
              RK_S("status", rk_status_str(st)), RK_N("at", f->revision));
 }
 
-static void retry_later(struct rk_follow *f)
+static void retry_later(struct rk_store_watch *f)
 {
     int64_t jitter = rk_rng_below(&f->n->rng, (uint32_t)f->retry_ms + 1);
     rk_timer_start(f->n->loop, &f->timer, f->retry_ms / 2 + jitter);
@@ -50,7 +50,7 @@
  * watch sends every missed change, and all of them again after a time-out: 25
  * versions of settings with 1,400 routes are 8 MB, which a node with a link of 10
  * Mbit/s did not receive until the store dropped that history, 20 s later. */
-static void list_next(struct rk_follow *f)
+static void list_next(struct rk_store_watch *f)
 {
     if (f->list_when_behind)
         f->revision = 0;
@@ -59,7 +59,7 @@
 static void on_answer(void *ctx, enum rk_status st,
                       const struct rk_store_object *objects, size_t len, int64_t at)
 {
-    struct rk_follow *f = ctx;
+    struct rk_store_watch *f = ctx;
     f->busy = false;
     note_answer(f, st);
     if (st == RK_EGONE) {
@@ -92,12 +92,12 @@
         call_store(f);
 }
 
-static int64_t watch_duration_ms(const struct rk_follow *f)
+static int64_t watch_duration_ms(const struct rk_store_watch *f)
 {
-    return f->lost ? WATCH_LOST_MS : RK_FOLLOWING_WATCH_MS;
+    return f->lost ? WATCH_LOST_MS : RK_WATCH_POLICY_TIMEOUT_MS;
 }
 
-static void call_store(struct rk_follow *f)
+static void call_store(struct rk_store_watch *f)
 {
     struct rk_store *store = f->n->store;
     if (f->busy || !f->enabled)
@@ -118,13 +118,13 @@
     call_store(ctx);
 }
 
-void rk_follow_init(struct rk_follow *f)
+void rk_store_watch_init(struct rk_store_watch *f)
 {
     f->retry_ms = RETRY_FIRST_MS;
     f->timer = (struct rk_timer){.fn = on_timer, .ctx = f};
 }
 
-void rk_follow_set(struct rk_follow *f, bool on)
+void rk_store_watch_enable(struct rk_store_watch *f, bool on)
 {
     if (f->enabled == on)
         return;
@@ -135,19 +135,19 @@
         rk_timer_stop(f->n->loop, &f->timer);
 }
 
-void rk_follow_skip(struct rk_follow *f, int64_t at)
+void rk_store_watch_skip_to(struct rk_store_watch *f, int64_t at)
 {
     if (at > f->revision)
         f->revision = at;
 }
 
-void rk_follow_forget(struct rk_follow *f)
+void rk_store_watch_relist(struct rk_store_watch *f)
 {
     if (!f->busy)
         list_next(f);
 }
 
-void rk_follow_destroy(struct rk_follow *f)
+void rk_store_watch_destroy(struct rk_store_watch *f)
 {
     rk_timer_stop(f->n->loop, &f->timer);
 }
--- a/node/follow.h
+++ b/node/follow.h
@@ -9,7 +9,7 @@
 #include "node/state.h"
 #include "objects/store.h"
 
-struct rk_follow {
+struct rk_store_watch {
     /* Set by the caller. */
     struct rk_node *n;
     const char *kind;
@@ -28,7 +28,7 @@
     int64_t revision;    /* the store's revision that is known; 0: none yet */
     int64_t answered_ms; /* the last answer was up to date then; 0: never */
     bool lost;           /* the store's last answer was an error or a time-out */
-    bool enabled;        /* watching, by rk_follow_set() */
+    bool enabled;        /* watching, by rk_store_watch_enable() */
     /* Private. */
     bool busy, listing;      /* a call is in progress; it is a list */
     int64_t call_started_ms; /* when that call was made */
@@ -37,15 +37,15 @@
 };
 
 /* The caller has set its members before; all others are zero. */
-void rk_follow_init(struct rk_follow *f);
+void rk_store_watch_init(struct rk_store_watch *f);
 /* Starts or stops watching. A call in progress is not interrupted. */
-void rk_follow_set(struct rk_follow *f, bool on);
+void rk_store_watch_enable(struct rk_store_watch *f, bool on);
 /* Skips changes up to a revision of the store, as a peer sent them. */
-void rk_follow_skip(struct rk_follow *f, int64_t at);
+void rk_store_watch_skip_to(struct rk_store_watch *f, int64_t at);
 /* Makes the next call a list, for a kind with list_when_behind and unless a call is
  * in progress: peers have newer objects, of a revision that isn't known here. */
-void rk_follow_forget(struct rk_follow *f);
+void rk_store_watch_relist(struct rk_store_watch *f);
 /* Stops the timer. A call to the store may still be in progress. */
-void rk_follow_destroy(struct rk_follow *f);
+void rk_store_watch_destroy(struct rk_store_watch *f);
 
 #endif
--- a/node/loads.c
+++ b/node/loads.c
@@ -7,7 +7,7 @@
 #include "common/eventlog.h"
 #include "node/mesh_impl.h"
 
-void rk_loads_put(Rillknot__VmUse *out, struct rk_vm_load *load)
+void rk_loads_encode(Rillknot__VmUse *out, struct rk_vm_load *load)
 {
     rillknot__vm_use__init(out);
     out->id = load->id;
@@ -20,20 +20,20 @@
     out->life = load->incarnation;
 }
 
-static struct rk_pace decode_health(const Rillknot__VmUse *from)
+static struct rk_vm_health decode_health(const Rillknot__VmUse *from)
 {
-    const struct rk_pace health = {.log_sum = from->pace_log_sum,
-                                   .failed = from->pace_failed,
-                                   .calls = from->pace_calls,
-                                   .refused = from->pace_refused};
-    if (rk_pace_is_sound(&health))
+    const struct rk_vm_health health = {.log_sum = from->pace_log_sum,
+                                        .failed = from->pace_failed,
+                                        .calls = from->pace_calls,
+                                        .refused = from->pace_refused};
+    if (rk_vm_health_is_valid(&health))
         return health;
     RK_WARN("pace.rejected", RK_S("vm", from->id));
-    return (struct rk_pace){0};
+    return (struct rk_vm_health){0};
 }
 
-void rk_loads_take(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **from,
-                   size_t from_len)
+void rk_loads_decode(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **from,
+                     size_t from_len)
 {
     *loads = rk_realloc(*loads, (from_len + 1) * sizeof(**loads));
     *len = from_len;
@@ -51,7 +51,7 @@
 {
     sum->running += more->running;
     sum->waiting_tokens += more->waiting_tokens;
-    rk_pace_sum(&sum->health, &more->health);
+    rk_vm_health_accumulate(&sum->health, &more->health);
 }
 
 static void append_loads(struct rk_relay_peers *p, const struct rk_vm_load *loads,
@@ -91,16 +91,17 @@
 }
 
 /* Returns whether a member's own report is counted for load and demand. For quota
- * usage, see rk_report_counts(). */
+ * usage, see rk_report_is_counted(). */
 static bool is_report_counted(const struct member *k, int64_t now_ms)
 {
-    return rk_mesh_is_heard(k, now_ms) && (k->m->direct || rk_mesh_is_near(k));
+    return rk_mesh_is_reachable_directly(k, now_ms) &&
+           (k->m->direct || rk_mesh_is_same_domain(k));
 }
 
 void rk_loads_fill(const struct rk_mesh *m, struct rk_relay_peers *p,
                    int64_t now_ms)
 {
-    const struct member *source = rk_digest_of_fleet(m, now_ms);
+    const struct member *source = rk_digest_fleet_source(m, now_ms);
     if (source) {
         append_loads(p, source->digest.loads, source->digest.loads_len);
         subtract_own(m, p);
@@ -109,15 +110,16 @@
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
         if (is_report_counted(k, now_ms))
             append_loads(p, k->loads, k->loads_len);
-        else if (!m->direct && rk_digest_counts(k, now_ms))
+        else if (!m->direct && rk_digest_is_counted(k, now_ms))
             append_loads(p, k->digest.loads, k->digest.loads_len);
     }
 }
 
-static struct rk_in_flight in_flight_of(const struct rk_service_use *services,
+static struct rk_in_flight in_flight_of(const struct rk_service_load *services,
                                         size_t len, const char *service)
 {
-    const struct rk_service_use *use = rk_service_use_find(services, len, service);
+    const struct rk_service_load *use =
+        rk_service_load_find(services, len, service);
     return use ? (struct rk_in_flight){use->running, use->begun}
                : (struct rk_in_flight){0};
 }
@@ -137,7 +139,7 @@
                                        int64_t now_ms)
 {
     const struct rk_relay_report *r = m->n->report;
-    const struct member *source = rk_digest_of_fleet(m, now_ms);
+    const struct member *source = rk_digest_fleet_source(m, now_ms);
     struct rk_in_flight sum = {0};
     if (source) {
         struct rk_in_flight own = {0};
@@ -152,37 +154,37 @@
         if (is_report_counted(k, now_ms))
             add_in_flight(&sum,
                           in_flight_of(k->services, k->services_len, service));
-        else if (!m->direct && rk_digest_counts(k, now_ms))
+        else if (!m->direct && rk_digest_is_counted(k, now_ms))
             add_in_flight(&sum, in_flight_of(k->digest.services,
                                              k->digest.services_len, service));
     }
     return sum;
 }
 
-static void add_demand(struct rk_tally *sum, const struct rk_org_use *uses,
+static void add_demand(struct rk_totals *sum, const struct rk_org_use *uses,
                        size_t len, double sign)
 {
     for (size_t i = 0; i < len; i++)
         if (uses[i].demand_per_s > 0)
-            *rk_tally_at(sum, uses[i].org) += sign * uses[i].demand_per_s;
+            *rk_totals_get(sum, uses[i].org) += sign * uses[i].demand_per_s;
 }
 
-void rk_loads_add_demand(const struct rk_mesh *m, bool fleet, struct rk_tally *sum,
+void rk_loads_add_demand(const struct rk_mesh *m, bool fleet, struct rk_totals *sum,
                          int64_t now_ms)
 {
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
         if (is_report_counted(k, now_ms))
             add_demand(sum, k->uses.rows, k->uses.len, 1);
-        else if (fleet && !m->direct && rk_digest_counts(k, now_ms))
+        else if (fleet && !m->direct && rk_digest_is_counted(k, now_ms))
             add_demand(sum, k->digest.uses.rows, k->digest.uses.len, 1);
     }
 }
 
-void rk_loads_peers_asking(const struct rk_mesh *m, struct rk_tally *sum,
-                           int64_t now_ms)
+void rk_loads_add_peer_demand(const struct rk_mesh *m, struct rk_totals *sum,
+                              int64_t now_ms)
 {
     const struct rk_relay_report *r = m->n->report;
-    const struct member *source = rk_digest_of_fleet(m, now_ms);
+    const struct member *source = rk_digest_fleet_source(m, now_ms);
     if (!source) {
         rk_loads_add_demand(m, true, sum, now_ms);
         return;
@@ -195,10 +197,10 @@
             sum->rows[i].total = 0; /* own demand rose since that digest */
 }
 
-void rk_mesh_add_asking(const struct rk_mesh *m, struct rk_tally *sum)
+void rk_mesh_add_demand(const struct rk_mesh *m, struct rk_totals *sum)
 {
     const struct rk_relay_report *r = m->n->report;
-    rk_loads_peers_asking(m, sum, rk_mono_ms());
+    rk_loads_add_peer_demand(m, sum, rk_mono_ms());
     if (r)
         add_demand(sum, r->quota_usage, r->quota_usage_len, 1);
 }
--- a/node/members.c
+++ b/node/members.c
@@ -28,7 +28,7 @@
     return m->members_len;
 }
 
-bool rk_mesh_is_heard(const struct member *k, int64_t now_ms)
+bool rk_mesh_is_reachable_directly(const struct member *k, int64_t now_ms)
 {
     return k->last_received_ms && now_ms - k->last_received_ms < UNREACHABLE_MS;
 }
@@ -39,7 +39,7 @@
  * so that it doesn't expire while no bridge sends one. */
 bool rk_mesh_is_alive(const struct member *k, int64_t now_ms)
 {
-    if (rk_mesh_is_heard(k, now_ms))
+    if (rk_mesh_is_reachable_directly(k, now_ms))
         return true;
     if (!k->last_received_ms && !k->reported_ms)
         return now_ms - k->added_ms < GRACE_MS;
@@ -49,10 +49,10 @@
         return k->reported_ms > now_ms - NEAR_REPORT_MS;
     return k->reported_ms >
            k->m->fleet_members_ms -
-               (rk_mesh_is_near(k) ? NEAR_REPORT_MS : FAR_REPORT_MS);
+               (rk_mesh_is_same_domain(k) ? NEAR_REPORT_MS : FAR_REPORT_MS);
 }
 
-bool rk_mesh_is_near(const struct member *k)
+bool rk_mesh_is_same_domain(const struct member *k)
 {
     return !strcmp(k->domain, k->m->n->file.failure_domain);
 }
@@ -103,7 +103,7 @@
     return k;
 }
 
-bool rk_mesh_hears_life(struct member *k, uint64_t incarnation)
+bool rk_mesh_accepts_incarnation(struct member *k, uint64_t incarnation)
 {
     size_t len = k->past_len < PAST_INCARNATIONS ? k->past_len : PAST_INCARNATIONS;
     if (k->last_incarnation == incarnation)
@@ -118,7 +118,7 @@
     return true;
 }
 
-void rk_mesh_meet(struct member *k)
+void rk_mesh_add_contact(struct member *k)
 {
     if (k->is_contact)
         return;
@@ -167,7 +167,8 @@
     lh_table_free(m->by_id);
 }
 
-struct member *rk_mesh_learn(struct rk_mesh *m, const char *id, const char *addr)
+struct member *rk_mesh_find_or_add(struct rk_mesh *m, const char *id,
+                                   const char *addr)
 {
     struct member *k = id[0] ? rk_mesh_find(m, id) : NULL;
     if (!k)
@@ -193,18 +194,18 @@
 {
     int count = 1;
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
-        if (m->direct || rk_mesh_is_near(k))
-            count += rk_mesh_is_heard(k, now_ms);
-        else if (rk_digest_counts(k, now_ms))
+        if (m->direct || rk_mesh_is_same_domain(k))
+            count += rk_mesh_is_reachable_directly(k, now_ms);
+        else if (rk_digest_is_counted(k, now_ms))
             count += k->digest.nodes_reachable;
     }
     return count;
 }
 
-int rk_mesh_heard(const struct rk_mesh *m)
+int rk_mesh_reachable_count(const struct rk_mesh *m)
 {
     int64_t now_ms = rk_mono_ms();
-    const struct member *source = rk_digest_of_fleet(m, now_ms);
+    const struct member *source = rk_digest_fleet_source(m, now_ms);
     return source ? source->digest.nodes_reachable : count_reachable(m, now_ms);
 }
 
@@ -226,11 +227,11 @@
 
 int rk_mesh_reported_total(const struct rk_mesh *m)
 {
-    const struct member *source = rk_digest_of_fleet(m, rk_mono_ms());
+    const struct member *source = rk_digest_fleet_source(m, rk_mono_ms());
     return source ? source->digest.nodes_total : 0;
 }
 
-struct rk_fleet_size rk_mesh_size(const struct rk_mesh *m)
+struct rk_fleet_size rk_mesh_fleet_size(const struct rk_mesh *m)
 {
     struct rk_fleet_size size = {0};
     int64_t now_ms = rk_mono_ms();
@@ -246,7 +247,7 @@
 int rk_mesh_total(const struct rk_mesh *m)
 {
     int count = m->direct ? count_total(m, rk_mono_ms()) : m->total;
-    return m->has_node_list || count > RK_UNKNOWN_NODES ? count : RK_UNKNOWN_NODES;
+    return m->has_node_list || count > RK_ASSUMED_NODES ? count : RK_ASSUMED_NODES;
 }
 
 /* Returns whether this node normally gets messages from the member itself. The
@@ -254,9 +255,11 @@
 static bool is_direct_peer(const struct member *k)
 {
     const struct rk_mesh *m = k->m;
-    if (rk_mesh_count(m) < RK_MESH_DIRECT) /* m->direct may not be elected yet */
+    if (rk_mesh_count(m) <
+        RK_MESH_DIRECT_MAX) /* m->direct may not be elected yet */
         return true;
-    return rk_mesh_is_near(k) ? m->bridge || k->bridge : m->bridge && k->bridge;
+    return rk_mesh_is_same_domain(k) ? m->bridge || k->bridge
+                                     : m->bridge && k->bridge;
 }
 
 static void log_peer(const struct member *k, const char *event)
@@ -348,7 +351,7 @@
     for (size_t i = 0; i < *len; i++)
         if (!strcmp(all[i].domain, domain))
             return &all[i];
-    if (*len == RK_DOMAIN_PRICES)
+    if (*len == RK_DOMAIN_PRICES_MAX)
         return NULL;
     struct bridges *b = &all[(*len)++];
     *b = (struct bridges){0};
@@ -370,11 +373,11 @@
 {
     const struct rank_key self =
         rank_key_of(rk_mesh_capacity(m), m->slow, rk_hash_str(0, m->n->file.id));
-    struct bridges all[RK_DOMAIN_PRICES];
+    struct bridges all[RK_DOMAIN_PRICES_MAX];
     size_t len = 0;
     struct bridges *b = bridges_of(all, &len, m->n->file.failure_domain);
     bool was_direct = m->direct;
-    m->direct = rk_mesh_count(m) < RK_MESH_DIRECT;
+    m->direct = rk_mesh_count(m) < RK_MESH_DIRECT_MAX;
     m->total = count_total(m, now_ms);
     m->rank = 0;
     m->has_store_watch = false;
@@ -386,7 +389,7 @@
             continue;
         if ((b = bridges_of(all, &len, k->domain)))
             insert_node(b, c);
-        if (!rk_mesh_is_near(k) || !precedes(c, self))
+        if (!rk_mesh_is_same_domain(k) || !precedes(c, self))
             continue;
         m->rank++;
         m->has_store_watch = m->has_store_watch || k->store_reachable;
@@ -408,12 +411,12 @@
     return m->direct || (m->bridge && !m->rank) ? -1 : m->rank;
 }
 
-bool rk_mesh_is_served(const struct rk_mesh *m)
+bool rk_mesh_has_store_watch(const struct rk_mesh *m)
 {
     return m->has_store_watch;
 }
 
-bool rk_mesh_is_listed(const struct rk_mesh *m)
+bool rk_mesh_has_node_list(const struct rk_mesh *m)
 {
     return m->has_node_list;
 }
@@ -428,27 +431,28 @@
     return m->bridge;
 }
 
-bool rk_mesh_stands(const struct rk_mesh *m)
+bool rk_mesh_is_candidate(const struct rk_mesh *m)
 {
     return m->direct || m->bridge;
 }
 
-bool rk_mesh_hears(const struct rk_mesh *m, const char *id)
+bool rk_mesh_is_reachable(const struct rk_mesh *m, const char *id)
 {
     const struct member *k = id[0] ? rk_mesh_find(m, id) : NULL;
     return k && (k->last_received_ms || k->reported_ms) &&
            rk_mesh_is_alive(k, rk_mono_ms());
 }
 
-bool rk_mesh_is_first(const struct rk_mesh *m)
+bool rk_mesh_is_acting_leader(const struct rk_mesh *m)
 {
     int64_t now_ms = rk_mono_ms();
     uint64_t own = rk_hash_str(0, m->n->file.id);
-    if (!rk_mesh_stands(m) || 2 * rk_mesh_heard(m) <= rk_mesh_total(m))
+    if (!rk_mesh_is_candidate(m) ||
+        2 * rk_mesh_reachable_count(m) <= rk_mesh_total(m))
         return false;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if ((m->direct || k->bridge) && !k->leaving && k->hash < own &&
-            rk_mesh_is_heard(k, now_ms))
+            rk_mesh_is_reachable_directly(k, now_ms))
             return false;
     return true;
 }
--- a/node/mesh.c
+++ b/node/mesh.c
@@ -36,16 +36,16 @@
 
 /* ---- sending ---- */
 
-bool rk_mesh_takes(const struct rk_link *link)
+bool rk_mesh_link_is_ready(const struct rk_link *link)
 {
     return link && rk_link_was_up(link) &&
-           rk_link_unsent(link) < RK_MESH_UNSENT_MAX;
+           rk_link_unsent_len(link) < RK_MESH_UNSENT_MAX;
 }
 
-bool rk_mesh_is_told(const struct member *k)
+bool rk_mesh_reports_to(const struct member *k)
 {
     const struct rk_mesh *m = k->m;
-    return m->direct || (rk_mesh_is_near(k) && k->bridge);
+    return m->direct || (rk_mesh_is_same_domain(k) && k->bridge);
 }
 
 void rk_mesh_send(struct rk_mesh *m, const Rillknot__Frame *frame,
@@ -54,7 +54,7 @@
 {
     struct rk_packed_frame packed = {0};
     for (struct member *k = m->contacts; k; k = k->next_contact) {
-        if (!wants(k, ctx) || !rk_mesh_takes(k->link))
+        if (!wants(k, ctx) || !rk_mesh_link_is_ready(k->link))
             continue;
         if (!packed.len)
             packed = rk_frame_pack(frame);
@@ -69,13 +69,14 @@
     (void)ctx;
     if (m->direct)
         return true;
-    return rk_mesh_is_near(k) ? k->bridge || m->bridge : k->bridge && m->bridge;
+    return rk_mesh_is_same_domain(k) ? k->bridge || m->bridge
+                                     : k->bridge && m->bridge;
 }
 
 static bool wants_report(const struct member *k, const void *ctx)
 {
     (void)ctx;
-    return rk_mesh_is_told(k);
+    return rk_mesh_reports_to(k);
 }
 
 static void send_report(struct rk_mesh *m)
@@ -87,7 +88,7 @@
     frame.body_case = RILLKNOT__FRAME__BODY_NODE_REPORT;
     frame.node_report = &p.report;
     rk_mesh_send(m, &frame, wants_report, NULL);
-    rk_report_note_uses(m, &p);
+    rk_report_uses_sent(m, &p);
     rk_report_free(&p);
 }
 
@@ -96,7 +97,7 @@
     send_report(ctx);
 }
 
-void rk_mesh_report(struct rk_mesh *m)
+void rk_mesh_schedule_report(struct rk_mesh *m)
 {
     if (!m->report_timer.slot)
         rk_timer_start(m->n->loop, &m->report_timer, REPORT_DELAY_MS);
@@ -107,11 +108,11 @@
 static bool wants_list_change(const struct member *k, const void *ctx)
 {
     const bool *from_store = ctx;
-    return rk_mesh_is_near(k) || (*from_store && k->bridge);
+    return rk_mesh_is_same_domain(k) || (*from_store && k->bridge);
 }
 
-void rk_mesh_push(struct rk_mesh *m, const Rillknot__StoreText *text,
-                  bool from_store)
+void rk_mesh_push_list(struct rk_mesh *m, const Rillknot__StoreText *text,
+                       bool from_store)
 {
     if (!m->bridge)
         return;
@@ -151,7 +152,7 @@
     if (request->uses) {
         m->uses_requested = true;
         m->history_requested = m->history_requested || request->known;
-        rk_mesh_report(m);
+        rk_mesh_schedule_report(m);
     }
     if (request->list)
         rk_transfer_on_list_request(m, link, state, request->list_since);
@@ -169,10 +170,10 @@
 static void receive_lease(struct rk_mesh *m, const Rillknot__LeaseRow *lease)
 {
     if (lease)
-        rk_duty_keeper_seen(m->n->leader, lease->version, lease->value);
+        rk_leader_note_lease(m->n->leader, lease->version, lease->value);
 }
 
-void rk_mesh_want_uses(struct rk_link *link, bool known)
+void rk_mesh_request_uses(struct rk_link *link, bool known)
 {
     Rillknot__StoreWanted request = RILLKNOT__STORE_WANTED__INIT;
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
@@ -188,25 +189,25 @@
 {
     if (rk_mesh_is_self(m, r->id, r->addr))
         return;
-    struct member *k = rk_mesh_learn(m, r->id, r->addr);
-    if (!rk_report_take(k, r))
+    struct member *k = rk_mesh_find_or_add(m, r->id, r->addr);
+    if (!rk_report_receive(k, r))
         return;
     k->settings_version = r->settings_version;
     if (r->settings_version < rk_sync_version(m->n->sync))
         rk_transfer_schedule(m);
     rk_sync_confirm(m->n->sync, r->store_age_ms, r->settings_version,
                     r->list_revision);
-    if (rk_report_counts(k))
+    if (rk_report_is_counted(k))
         schedule_relay_update(m);
     receive_lease(m, r->lease);
     for (size_t i = 0; i < r->n_peers; i++)
         if (!rk_mesh_is_self(m, "", r->peers[i]) &&
             !rk_mesh_find_addr(m, r->peers[i]))
-            rk_mesh_learn(m, "", r->peers[i]);
+            rk_mesh_find_or_add(m, "", r->peers[i]);
     if (!m->direct && !r->settings_version)
         rk_digest_send_members(m, link, state);
     if (rk_report_lacks_uses(k, rk_mono_ms()))
-        rk_mesh_want_uses(link, false);
+        rk_mesh_request_uses(link, false);
     rk_mesh_request_if_behind(m, link, state, r->settings_version,
                               r->list_revision);
 }
@@ -217,10 +218,10 @@
 {
     if (rk_mesh_is_self(m, d->id, d->addr))
         return;
-    struct member *k = rk_mesh_learn(m, d->id, d->addr);
-    if (!rk_mesh_hears_life(k, d->incarnation))
+    struct member *k = rk_mesh_find_or_add(m, d->id, d->addr);
+    if (!rk_mesh_accepts_incarnation(k, d->incarnation))
         return;
-    if (rk_digest_take(k, d))
+    if (rk_digest_receive(k, d))
         schedule_relay_update(m);
     rk_sync_confirm(m->n->sync, d->store_age_ms, d->settings_version,
                     d->list_revision);
@@ -240,7 +241,8 @@
         receive_digest(m, link, state, frame->digest);
         return;
     case RILLKNOT__FRAME__BODY_USAGE_COUNTS:
-        rk_usage_take(m->n, frame->usage_counts->rows, frame->usage_counts->n_rows);
+        rk_usage_receive(m->n, frame->usage_counts->rows,
+                         frame->usage_counts->n_rows);
         return;
     case RILLKNOT__FRAME__BODY_ROLLOUT_WORD:
         rk_rollout_receive_announcement(m, frame->rollout_word);
@@ -258,7 +260,7 @@
         handle_request(m, link, state, frame->store_wanted);
         return;
     case RILLKNOT__FRAME__BODY_STORE_TEXT:
-        rk_sync_take(m->n->sync, frame->store_text);
+        rk_sync_receive(m->n->sync, frame->store_text);
         return;
     default:
         return; /* used only by another kind of deployment */
@@ -286,7 +288,7 @@
 {
     (void)link;
     struct member *k = ctx;
-    rk_mesh_report(k->m);
+    rk_mesh_schedule_report(k->m);
 }
 
 static const struct rk_link_ops member_ops = {
@@ -326,9 +328,9 @@
 static bool is_needed(const struct member *k)
 {
     const struct rk_mesh *m = k->m;
-    if (rk_mesh_is_told(k) || !k->id[0])
+    if (rk_mesh_reports_to(k) || !k->id[0])
         return true;
-    return m->bridge && (rk_mesh_is_near(k) || k->bridge || !k->domain[0]);
+    return m->bridge && (rk_mesh_is_same_domain(k) || k->bridge || !k->domain[0]);
 }
 
 static void close_link(struct member *k)
@@ -338,7 +340,7 @@
     k->link_state = (struct link_state){0};
 }
 
-void rk_mesh_dial(struct rk_mesh *m, int64_t now_ms)
+void rk_mesh_connect(struct rk_mesh *m, int64_t now_ms)
 {
     for (struct member *k = m->members; k; k = k->next) {
         if (is_needed(k))
@@ -353,14 +355,14 @@
              now_ms - k->connect_started_ms < RECONNECT_MS))
             continue;
         k->connect_started_ms = now_ms;
-        rk_mesh_meet(k);
+        rk_mesh_add_contact(k);
         k->link = rk_link_connect(m->n->loop, k->addr, &member_ops, k);
     }
 }
 
 /* ---- updates of the relay ---- */
 
-void rk_mesh_add_news(struct rk_mesh *m, const char *org, double units)
+void rk_mesh_add_peer_use(struct rk_mesh *m, const char *org, double units)
 {
     if (units == 0)
         return;
@@ -371,17 +373,17 @@
     rk_strcpy(use->org, sizeof(use->org), org);
 }
 
-struct rk_service_use rk_mesh_service_use(const struct rk_mesh *m,
-                                          const char *service)
+struct rk_service_load rk_mesh_service_use(const struct rk_mesh *m,
+                                           const char *service)
 {
     int64_t now_ms = rk_mono_ms();
-    struct rk_service_use sum = {.demand_tokens =
-                                     rk_tally_total(&m->peer_reads, service)};
+    struct rk_service_load sum = {.demand_tokens =
+                                      rk_totals_value(&m->peer_reads, service)};
     rk_strcpy(sum.service, sizeof(sum.service), service);
     struct rk_in_flight peers = rk_loads_in_flight(m, service, now_ms);
     sum.running = peers.running;
     sum.begun = peers.begun;
-    sum.engine = rk_engines_of(m, service, true);
+    sum.engine = rk_engines_mean(m, service, true);
     return sum;
 }
 
@@ -393,7 +395,7 @@
     p->backfill_history = m->catch_up_source != NULL;
     const struct rk_org_use *uses = NULL;
     for (const struct member *k = m->contacts; k; k = k->next_contact) {
-        if (!k->has_quota_history || !rk_mesh_is_heard(k, now_ms) ||
+        if (!k->has_quota_history || !rk_mesh_is_reachable_directly(k, now_ms) ||
             (uses && k->quota_history_ms <= p->quota_history_ms))
             continue;
         p->quota_history_ms = k->quota_history_ms;
@@ -401,7 +403,7 @@
         uses = k->uses.rows;
     }
     const struct member *source =
-        m->catch_up_source ? m->catch_up_source : rk_digest_of_fleet(m, now_ms);
+        m->catch_up_source ? m->catch_up_source : rk_digest_fleet_source(m, now_ms);
     if (source && (m->catch_up_source || !uses ||
                    source->digest.quota_history_ms > p->quota_history_ms)) {
         p->quota_history_ms = source->digest.quota_history_ms;
@@ -432,13 +434,13 @@
     struct rk_relay_peers *p = rk_alloc(1, sizeof(*p));
     rk_loads_fill(m, p, now_ms);
     fill_quota_history(m, p, now_ms);
-    rk_loads_peers_asking(m, &p->quota_demand, now_ms);
+    rk_loads_add_peer_demand(m, &p->quota_demand, now_ms);
     rk_engines_fill(m, p);
     p->quota_usage_added = m->peer_uses;
     p->quota_usage_added_len = m->peer_uses_len;
     m->peer_uses = NULL;
     m->peer_uses_len = 0;
-    p->nodes_reachable = rk_mesh_heard(m);
+    p->nodes_reachable = rk_mesh_reachable_count(m);
     p->nodes_total = rk_mesh_total(m);
     p->report_lag_ms = m->direct ? REPORT_MS : BRIDGED_LAG_MS;
     p->since_report_ms = since_received_ms(m, now_ms);
@@ -468,12 +470,12 @@
     rk_log_flush();
     rk_mesh_expire_members(m, now_ms);
     rk_mesh_elect(m, now_ms);
-    rk_mesh_dial(m, now_ms);
+    rk_mesh_connect(m, now_ms);
     /* Usually the relay's reports trigger them often enough. */
     if (now_ms - m->report_sent_ms >= REPORT_MS)
         send_report(m);
     rk_digest_send(m);
-    rk_report_ask_known(m, now_ms);
+    rk_report_request_history(m, now_ms);
     rk_usage_send_to_leader(m, now_ms);
     rk_rollout_send_stats(m, now_ms);
     rk_quarantines_tick(m->n->quarantines);
@@ -499,7 +501,7 @@
     m->relay_timer = (struct rk_timer){.fn = on_relay_timer, .ctx = m};
     m->report_timer = (struct rk_timer){.fn = on_report_timer, .ctx = m};
     rk_mesh_init_members(m);
-    rk_enrol_init(m);
+    rk_registration_init(m);
     rk_transfer_init(m);
     m->listener = rk_listener_create(n->loop, n->file.control_listen, false,
                                      &inbound_ops, on_accept, m);
@@ -526,10 +528,10 @@
     for (size_t i = 0; i < m->n->file.peers_len; i++) {
         const char *addr = m->n->file.peers[i];
         if (!rk_mesh_is_self(m, "", addr) && !rk_mesh_find_addr(m, addr))
-            rk_mesh_learn(m, "", addr);
+            rk_mesh_find_or_add(m, "", addr);
     }
     rk_timer_start(m->n->loop, &m->tick, 0);
-    rk_enrol_start(m);
+    rk_registration_start(m);
 }
 
 void rk_mesh_destroy(struct rk_mesh *m)
@@ -547,13 +549,13 @@
         free(in);
     }
     rk_listener_destroy(m->listener);
-    struct rk_tally *const all[] = {&m->peer_reads,     &m->domain_uses,
-                                    &m->fleet_uses,     &m->domain_reads,
-                                    &m->fleet_reads,    &m->included_uses,
-                                    &m->included_reads, &m->baseline_uses,
-                                    &m->baseline_reads, &m->uses_reported};
+    struct rk_totals *const all[] = {&m->peer_reads,     &m->domain_uses,
+                                     &m->fleet_uses,     &m->domain_reads,
+                                     &m->fleet_reads,    &m->included_uses,
+                                     &m->included_reads, &m->baseline_uses,
+                                     &m->baseline_reads, &m->uses_reported};
     for (size_t i = 0; i < RK_ARRAY_LEN(all); i++)
-        rk_tally_free(all[i]);
+        rk_totals_free(all[i]);
     free(m->peer_uses);
     free(m);
 }
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -12,8 +12,8 @@
  * larger fleet each failure domain elects RK_MESH_BRIDGES of its nodes as bridges.
  * A bridge collects the reports of its domain and exchanges digests of them with
  * the bridges of the other domains. */
-#define RK_MESH_DIRECT  12
-#define RK_MESH_BRIDGES 2
+#define RK_MESH_DIRECT_MAX 12
+#define RK_MESH_BRIDGES    2
 
 /* In these files a node's quota history is what it knows of the use of quotas at
  * all nodes within the quotas' window, by window slices. Quota usage is what one
@@ -44,7 +44,7 @@
     /* The usage of quotas, and the quota history, which comes only with some of the
      * digests. */
     struct rk_org_uses uses;
-    struct rk_service_use *services;
+    struct rk_service_load *services;
     size_t services_len;
     /* Whether baseline_uses and baseline_reads are valid: the sender's counters
      * when a digest with the same coverage was last counted here. */
@@ -52,7 +52,7 @@
     /* Usage from before the baseline was not counted here and has to be taken from
      * the sender's quota history. */
     bool needs_catch_up;
-    struct rk_tally baseline_uses, baseline_reads;
+    struct rk_totals baseline_uses, baseline_reads;
 };
 
 /* What was sent, and has been requested, over one link. */
@@ -102,10 +102,10 @@
     bool has_quota_history;  /* its quota history was received */
     bool accepts_changes;    /* it accepts reports of only the rows that changed */
     bool accepts_brief;      /* it accepts digests that are only heartbeats */
-    int64_t uses_requested_ms;       /* when all its rows were requested last */
-    struct rk_service_use *services; /* since its start */
+    int64_t uses_requested_ms;        /* when all its rows were requested last */
+    struct rk_service_load *services; /* since its start */
     size_t services_len;
-    struct rk_rollout_seen *canary_stats; /* since its start */
+    struct rk_rollout_stats *canary_stats; /* since its start */
     size_t canary_stats_len;
     bool canary_stats_of_domain; /* a sum over its whole domain */
     int64_t canary_stats_ms;     /* when they were received */
@@ -145,7 +145,8 @@
     unsigned digest_rounds;                   /* completed so far */
     struct rk_send_budget full_digest_budget; /* for digests with content */
     struct rk_usage_sent own_usage_sent, domain_usage_sent;
-    struct rk_tally uses_reported; /* own units by organisation, as reported last */
+    struct rk_totals
+        uses_reported; /* own units by organisation, as reported last */
     /* uses_wanted: the next report has all rows of quota usage; known_wanted: it
      * also has the quota history. */
     bool uses_requested, history_requested;
@@ -180,13 +181,13 @@
     /* Units used by peers since the relay's last update. */
     struct rk_org_use *peer_uses;
     size_t peer_uses_len;
-    struct rk_tally peer_reads; /* tokens read for the peers, by service */
+    struct rk_totals peer_reads; /* tokens read for the peers, by service */
     /* At a bridge: what its domain and the fleet used and read since its start, and
      * how much of this node's own counters is included. */
-    struct rk_tally domain_uses, fleet_uses, domain_reads, fleet_reads;
-    struct rk_tally included_uses, included_reads;
+    struct rk_totals domain_uses, fleet_uses, domain_reads, fleet_reads;
+    struct rk_totals included_uses, included_reads;
     /* At other nodes: own counters at the last fleet digest that was counted. */
-    struct rk_tally baseline_uses, baseline_reads;
+    struct rk_totals baseline_uses, baseline_reads;
 };
 
 /* A report being built. */
@@ -207,26 +208,27 @@
 /* Returns the number of members, not counting this node. */
 size_t rk_mesh_count(const struct rk_mesh *m);
 /* Returns whether this node itself got a message from the member recently. */
-bool rk_mesh_is_heard(const struct member *k, int64_t now_ms);
+bool rk_mesh_is_reachable_directly(const struct member *k, int64_t now_ms);
 /* Returns whether the member is reachable from this node or by a bridge's report,
  * or was added too recently to tell. */
 bool rk_mesh_is_alive(const struct member *k, int64_t now_ms);
 bool rk_mesh_is_self(const struct rk_mesh *m, const char *id, const char *addr);
 /* Returns whether the member is in this node's failure domain. */
-bool rk_mesh_is_near(const struct member *k);
+bool rk_mesh_is_same_domain(const struct member *k);
 /* Both return NULL if there is no such member. */
 struct member *rk_mesh_find(const struct rk_mesh *m, const char *id);
 struct member *rk_mesh_find_addr(const struct rk_mesh *m, const char *addr);
 /* Returns the member with an id or else with an address, adding it if it is new.
  * id: "" if only the address is known. A new address of a known member is taken
  * over, which closes its link. The mesh owns the member. */
-struct member *rk_mesh_learn(struct rk_mesh *m, const char *id, const char *addr);
+struct member *rk_mesh_find_or_add(struct rk_mesh *m, const char *id,
+                                   const char *addr);
 /* Notes the incarnation of a message. Returns false if it is a past one: a message
  * that a node sent before its restart may arrive after one from its new
  * incarnation. */
-bool rk_mesh_hears_life(struct member *k, uint64_t incarnation);
+bool rk_mesh_accepts_incarnation(struct member *k, uint64_t incarnation);
 /* Adds the member to the contacts. */
-void rk_mesh_meet(struct member *k);
+void rk_mesh_add_contact(struct member *k);
 void rk_mesh_init_members(struct rk_mesh *m);
 void rk_mesh_free_members(struct rk_mesh *m);
 /* Removes members that have been unreachable for long, and logs members that became
@@ -239,27 +241,27 @@
 /* ---- mesh.c ---- */
 
 /* Returns whether this node sends its reports to the member. */
-bool rk_mesh_is_told(const struct member *k);
+bool rk_mesh_reports_to(const struct member *k);
 /* Returns whether a link can take a message now; link may be NULL. */
-bool rk_mesh_takes(const struct rk_link *link);
+bool rk_mesh_link_is_ready(const struct rk_link *link);
 /* Sends a frame to each contact that wants() selects and whose link can take it. */
 void rk_mesh_send(struct rk_mesh *m, const Rillknot__Frame *frame,
                   bool (*wants)(const struct member *k, const void *ctx),
                   const void *ctx);
 /* Opens links to members that need one, and closes links not needed any more. */
-void rk_mesh_dial(struct rk_mesh *m, int64_t now_ms);
+void rk_mesh_connect(struct rk_mesh *m, int64_t now_ms);
 /* For rk_mesh_send(): selects the next hops of data that has to reach all nodes,
  * sent by the nodes that observed it and forwarded by bridges. */
 bool rk_mesh_forwards_to(const struct member *k, const void *ctx);
 /* Requests all rows of quota usage from a peer; known: and its quota history. */
-void rk_mesh_want_uses(struct rk_link *link, bool known);
+void rk_mesh_request_uses(struct rk_link *link, bool known);
 /* Requests settings or VM list changes from a peer that has newer ones. */
 void rk_mesh_request_if_behind(struct rk_mesh *m, struct rk_link *link,
                                const struct link_state *state,
                                int64_t settings_version, int64_t list_revision);
 /* Adds units that peers used of an organisation's quota to the relay's next update.
  * Negative units correct earlier ones. */
-void rk_mesh_add_news(struct rk_mesh *m, const char *org, double units);
+void rk_mesh_add_peer_use(struct rk_mesh *m, const char *org, double units);
 
 /* ---- report.c ---- */
 
@@ -268,7 +270,7 @@
 void rk_report_fill(struct rk_report *p, struct rk_mesh *m);
 void rk_report_free(struct rk_report *p);
 /* Applies a member's report. Returns false if it is from a past incarnation. */
-bool rk_report_take(struct member *k, const Rillknot__NodeReport *r);
+bool rk_report_receive(struct member *k, const Rillknot__NodeReport *r);
 
 /* ---- report_uses.c: quota usage in reports ---- */
 
@@ -276,27 +278,28 @@
                          const struct rk_relay_report *r);
 /* To be called after a report was sent: notes which members could not take it, as
  * they need all rows next time. */
-void rk_report_note_uses(struct rk_mesh *m, const struct rk_report *p);
+void rk_report_uses_sent(struct rk_mesh *m, const struct rk_report *p);
 /* first: there is no earlier report of the member to count from. */
-void rk_report_take_uses(struct member *k, const Rillknot__NodeReport *r,
-                         bool first);
+void rk_report_receive_uses(struct member *k, const Rillknot__NodeReport *r,
+                            bool first);
 /* Returns whether rows of a member are missing here, so that all of them should be
  * requested now. Notes the request, which the caller makes. */
 bool rk_report_lacks_uses(struct member *k, int64_t now_ms);
 /* At a bridge with a shorter quota history than a node of its domain: requests that
  * node's. */
-void rk_report_ask_known(struct rk_mesh *m, int64_t now_ms);
+void rk_report_request_history(struct rk_mesh *m, int64_t now_ms);
 /* Returns the demand in a received row, in units/s; 0 if the value is invalid. */
-double rk_report_asking(const Rillknot__OrgUse *in);
+double rk_report_demand(const Rillknot__OrgUse *in);
 /* Returns whether a member's own report is counted here. In a larger fleet only the
  * bridges of its domain count it; the other nodes count their digests. */
-bool rk_report_counts(const struct member *k);
+bool rk_report_is_counted(const struct member *k);
 
 /* ---- usage_tell.c: counts of calls by window ---- */
 
 /* Adds this node's counts to its report if they are due. */
 void rk_usage_fill_report(struct rk_report *p, struct rk_mesh *m);
-void rk_usage_take(struct rk_node *n, Rillknot__UsageRow *const *rows, size_t len);
+void rk_usage_receive(struct rk_node *n, Rillknot__UsageRow *const *rows,
+                      size_t len);
 /* At a bridge: sends the counts of its domain to the leader if they are due. */
 void rk_usage_send_to_leader(struct rk_mesh *m, int64_t now_ms);
 
@@ -321,10 +324,10 @@
 /* ---- loads.c: calls in flight, VMs' health and demand at the peers ---- */
 
 /* Encodes a load. out refers to load. */
-void rk_loads_put(Rillknot__VmUse *out, struct rk_vm_load *load);
+void rk_loads_encode(Rillknot__VmUse *out, struct rk_vm_load *load);
 /* Decodes received loads into *loads, which is reallocated. */
-void rk_loads_take(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **from,
-                   size_t from_len);
+void rk_loads_decode(struct rk_vm_load **loads, size_t *len, Rillknot__VmUse **from,
+                     size_t from_len);
 void rk_loads_sum(struct rk_vm_load *sum, const struct rk_vm_load *more);
 /* Fills in the loads of all peers for the relay. */
 void rk_loads_fill(const struct rk_mesh *m, struct rk_relay_peers *p,
@@ -338,40 +341,41 @@
                                        int64_t now_ms);
 /* Adds the demand, in quota units/s by organisation, of the members whose reports
  * are counted here and, if fleet, of the other domains by their digests. */
-void rk_loads_add_demand(const struct rk_mesh *m, bool fleet, struct rk_tally *sum,
+void rk_loads_add_demand(const struct rk_mesh *m, bool fleet, struct rk_totals *sum,
                          int64_t now_ms);
 /* Adds the demand of all peers, by the best source available. */
-void rk_loads_peers_asking(const struct rk_mesh *m, struct rk_tally *sum,
-                           int64_t now_ms);
+void rk_loads_add_peer_demand(const struct rk_mesh *m, struct rk_totals *sum,
+                              int64_t now_ms);
 
 /* ---- engines.c: the nodes' estimates of engine speed ---- */
 
-void rk_engines_put(Rillknot__EngineEstimate *out,
-                    const struct rk_engine_estimate *e);
-struct rk_engine_estimate rk_engines_get(const Rillknot__EngineEstimate *in);
+void rk_engines_encode(Rillknot__EngineEstimate *out,
+                       const struct rk_engine_estimate *e);
+struct rk_engine_estimate rk_engines_decode(const Rillknot__EngineEstimate *in);
 /* Returns the mean estimate over the nodes of this domain or, if fleet, of the
  * whole fleet; this node is included. */
-struct rk_engine_estimate rk_engines_of(const struct rk_mesh *m,
-                                        const char *service, bool fleet);
+struct rk_engine_estimate rk_engines_mean(const struct rk_mesh *m,
+                                          const char *service, bool fleet);
 void rk_engines_fill(const struct rk_mesh *m, struct rk_relay_peers *p);
 
 /* ---- digest.c: received digests ---- */
 
 /* Stores a digest of k. Returns true if it was counted, so that the relay needs an
  * update. */
-bool rk_digest_take(struct member *k, const Rillknot__Digest *d);
+bool rk_digest_receive(struct member *k, const Rillknot__Digest *d);
 /* Frees what the digest holds, not d itself. */
 void rk_digest_free(struct digest *d);
 /* Returns the member whose fleet digest is counted here; NULL if none is recent, or
  * if this node is a bridge. */
-const struct member *rk_digest_of_fleet(const struct rk_mesh *m, int64_t now_ms);
+const struct member *rk_digest_fleet_source(const struct rk_mesh *m,
+                                            int64_t now_ms);
 /* Returns the member whose digest of a domain is counted here; NULL if none is
  * recent. */
 const struct member *rk_digest_domain_source(const struct rk_mesh *m,
                                              const char *domain, int64_t now_ms);
 /* Returns whether the member's digest of its domain is counted here; never true for
  * this node's own domain. */
-bool rk_digest_counts(const struct member *k, int64_t now_ms);
+bool rk_digest_is_counted(const struct member *k, int64_t now_ms);
 
 /* ---- digest_tell.c: sent digests ---- */
 
@@ -404,7 +408,7 @@
 
 /* ---- enrol.c: registers this node in the store's node list and reads the list */
 
-void rk_enrol_init(struct rk_mesh *m);
-void rk_enrol_start(struct rk_mesh *m);
+void rk_registration_init(struct rk_mesh *m);
+void rk_registration_start(struct rk_mesh *m);
 
 #endif
--- a/node/node.c
+++ b/node/node.c
@@ -71,7 +71,7 @@
         {"settings_age_ms", rk_sync_age_ms(n->sync)},
         {"settings_behind_ms", rk_sync_behind_ms(n->sync)},
         {"list_revision", rk_sync_list_revision(n->sync)},
-        {"nodes_heard", rk_mesh_heard(n->mesh)},
+        {"nodes_heard", rk_mesh_reachable_count(n->mesh)},
         {"nodes_known", rk_mesh_total(n->mesh)},
         {"vms_listed", (int64_t)rk_sync_vms_len(n->sync)},
         {"calls_in_hand", n->report ? (int64_t)n->report->busy_count : 0},
@@ -130,11 +130,11 @@
     n->report = m->report;
     for (size_t i = 0; i < n->report->usage_len; i++)
         rk_usage_merge(&n->usage, &n->report->usage[i]);
-    rk_quarantines_take(n->quarantines, n->report->suspects,
-                        n->report->suspects_len, true);
-    rk_signals_take(n->signals, n->report->signals, n->report->signals_len);
+    rk_quarantines_merge(n->quarantines, n->report->suspects,
+                         n->report->suspects_len, true);
+    rk_signals_merge(n->signals, n->report->signals, n->report->signals_len);
     rk_signals_tick(n->signals);
-    rk_mesh_report(n->mesh);
+    rk_mesh_schedule_report(n->mesh);
     free(m);
 }
 
@@ -196,9 +196,9 @@
         return;
     }
     if (elapsed_ms >= BALANCER_DRAIN_MS)
-        rk_relay_close_idle(n->relay);
+        rk_relay_close_idle_clients(n->relay);
     if (elapsed_ms >= BALANCER_DRAIN_MS + IDLE_CLOSE_MS)
-        rk_relay_stop_idle(n->relay);
+        rk_relay_stop_if_idle(n->relay);
     rk_timer_start(n->loop, &n->stop, STOP_CHECK_MS);
 }
 
@@ -210,14 +210,14 @@
     n->leaving = true;
     n->leaving_since_ms = rk_mono_ms();
     RK_EVENT("node.leaving", RK_N("notice_ms", rk_s_to_ms(n->file.stop_s)));
-    rk_relay_close(n->relay, stop_limit_ms(n));
-    rk_mesh_report(n->mesh);
+    rk_relay_begin_stop(n->relay, stop_limit_ms(n));
+    rk_mesh_schedule_report(n->mesh);
     n->store->ops->remove(n->store, "rillknot-nodes", n->file.id, on_node_removed,
                           n);
     rk_timer_start(n->loop, &n->stop, STOP_CHECK_MS);
 }
 
-void rk_node_leave(struct rk_node *n)
+void rk_node_begin_stop(struct rk_node *n)
 {
     rk_loop_post(n->loop, begin_stop, n);
 }
@@ -326,11 +326,11 @@
     n->store = n->platform->create_store(n->http, n->file.platform);
     n->duties = n->platform->create_duties(n->http, n->file.cloud);
     n->sync = rk_sync_create(n);
-    n->persist = rk_remember_create(n);
+    n->persist = rk_persist_create(n);
     n->rollouts = rk_rollouts_create(n);
     n->quarantines = rk_quarantines_create(n);
     n->signals = rk_signals_create(n);
-    n->leader = rk_duty_keeper_create(n);
+    n->leader = rk_leader_create(n);
     if (create_relay(n) != RK_OK)
         return RK_ESYSTEM;
     n->mesh = rk_mesh_create(n);
@@ -366,8 +366,8 @@
     rk_relay_destroy(n->relay);
     rk_http_destroy(n->http);
     rk_mesh_destroy(n->mesh);
-    rk_duty_keeper_destroy(n->leader);
-    rk_remember_destroy(n->persist);
+    rk_leader_destroy(n->leader);
+    rk_persist_destroy(n->persist);
     rk_rollouts_destroy(n->rollouts);
     rk_quarantines_destroy(n->quarantines);
     rk_signals_destroy(n->signals);
@@ -397,12 +397,12 @@
         RK_S("control_bound", rk_mesh_bound(n->mesh)),
         RK_S("metrics", n->metrics_server ? rk_server_addr(n->metrics_server) : ""),
         RK_N("first_start", n->file.first_start));
-    rk_returning_start(n);
-    rk_remember_start(n->persist);
+    rk_read_delay_start(n);
+    rk_persist_start(n->persist);
     rk_quarantines_start(n->quarantines);
     rk_sync_start(n->sync);
     rk_mesh_start(n->mesh);
-    rk_duty_keeper_start(n->leader);
+    rk_leader_start(n->leader);
     pthread_create(&traffic, NULL, run_relay, n->relay);
     rk_loop_run(n->loop);
     pthread_join(traffic, NULL);
--- a/node/node.h
+++ b/node/node.h
@@ -24,7 +24,7 @@
 /* Any thread. Begins a planned stop: the node is no longer ready, removes itself
  * from the store's node list, closes its connections and ends within the process
  * file's stop_s. */
-void rk_node_leave(struct rk_node *n);
+void rk_node_begin_stop(struct rk_node *n);
 /* Any thread. Applies those members of a copy of the process file that can change
  * while the process runs; the others are ignored. */
 void rk_node_reload(struct rk_node *n, const struct rk_procfile *file);
--- a/node/orders.c
+++ b/node/orders.c
@@ -72,10 +72,10 @@
     int initial_on_demand; /* on-demand VMs before the first calls */
     int64_t tracked_since_ms;
     int64_t last_shrink_ms; /* when on-demand VMs were given up last */
-    struct rk_reclaims_domain reclaims[RK_HOLDING_DOMAINS];
+    struct rk_reclaims_domain reclaims[RK_SIZING_DOMAINS];
     size_t domains_len;
-    struct plan plan;                           /* as logged last */
-    struct order orders[RK_HOLDING_DOMAINS][2]; /* [1]: of reclaimable VMs */
+    struct plan plan;                          /* as logged last */
+    struct order orders[RK_SIZING_DOMAINS][2]; /* [1]: of reclaimable VMs */
 };
 
 struct rk_orders {
@@ -96,7 +96,7 @@
     struct service *s = &o->services[o->services_len++];
     *s = (struct service){.o = o, .last_busy_ms = rk_mono_ms()};
     rk_strcpy(s->name, sizeof(s->name), name);
-    for (size_t i = 0; i < RK_HOLDING_DOMAINS; i++)
+    for (size_t i = 0; i < RK_SIZING_DOMAINS; i++)
         for (int kind = 0; kind < 2; kind++)
             s->orders[i][kind] = (struct order){
                 .s = s, .domain = i, .reclaimable = kind == 1, .target = -1};
@@ -106,11 +106,12 @@
 /* ---- demand ---- */
 
 /* Returns the use of a service by all nodes. */
-static struct rk_service_use total_use(const struct rk_node *n, const char *service)
+static struct rk_service_load total_use(const struct rk_node *n,
+                                        const char *service)
 {
-    struct rk_service_use sum = rk_mesh_service_use(n->mesh, service);
+    struct rk_service_load sum = rk_mesh_service_use(n->mesh, service);
     for (size_t i = 0; n->report && i < n->report->services_len; i++) {
-        const struct rk_service_use *own = &n->report->services[i];
+        const struct rk_service_load *own = &n->report->services[i];
         if (strcmp(own->service, service) != 0)
             continue;
         sum.demand_tokens += own->demand_tokens;
@@ -143,9 +144,10 @@
     int count = count_on_demand(n, s->name);
     if (count > s->initial_on_demand)
         s->initial_on_demand = count;
-    const struct rk_service_use use = rk_mesh_service_use(n->mesh, s->name);
-    double most = rk_holding_most(rk_routes_quotas_per_s(rk_sync_routes(n->sync)),
-                                  rk_engine_read_per_s(&use.engine));
+    const struct rk_service_load use = rk_mesh_service_use(n->mesh, s->name);
+    double most =
+        rk_sizing_max_need(rk_routes_quota_tokens_per_s(rk_sync_routes(n->sync)),
+                           rk_engine_read_per_s(&use.engine));
     double expected = fmin(s->initial_on_demand, ceil(most));
     if (s->need < expected)
         s->need = s->need_fast = expected;
@@ -158,23 +160,23 @@
         apply_initial_estimate(s, now_ms);
         return;
     }
-    struct rk_service_use use = total_use(s->o->n, s->name);
+    struct rk_service_load use = total_use(s->o->n, s->name);
     double read = use.demand_tokens - s->last_tokens;
     /* The sum falls when a node restarts, as its counter then begins at 0. */
     bool known = s->measured_ms && read >= 0;
     double per_s = known ? read * RK_MS_PER_S / (double)passed_ms : 0;
-    double need = rk_holding_need(per_s, rk_engine_read_per_s(&use.engine),
-                                  use.begun, (double)info->slots);
+    double need = rk_sizing_need(per_s, rk_engine_read_per_s(&use.engine),
+                                 use.begun, (double)info->slots);
     s->had_calls = s->had_calls || need > 0;
-    s->need = rk_holding_smooth(s->need, need, passed_ms, NEED_HALF_LIFE_MS);
+    s->need = rk_sizing_smooth(s->need, need, passed_ms, NEED_HALF_LIFE_MS);
     s->need_fast =
-        rk_holding_smooth(s->need_fast, need, passed_ms, NEED_FAST_HALF_LIFE_MS);
+        rk_sizing_smooth(s->need_fast, need, passed_ms, NEED_FAST_HALF_LIFE_MS);
     s->last_tokens = use.demand_tokens;
     s->measured_ms = now_ms;
     apply_initial_estimate(s, now_ms);
 }
 
-void rk_orders_watch(struct rk_orders *o)
+void rk_orders_track_demand(struct rk_orders *o)
 {
     const struct rk_routes *routes = rk_sync_routes(o->n->sync);
     for (size_t i = 0; routes && i < routes->services_len; i++) {
@@ -205,14 +207,14 @@
     order->ordered_ms = rk_mono_ms();
     if (st == RK_ECONFLICT && order->reclaimable) {
         rk_reclaims_refused(&order->s->reclaims[order->domain], rk_mono_ms());
-        rk_duty_keeper_look(order->s->o->n->leader);
+        rk_leader_schedule_tick(order->s->o->n->leader);
     }
 }
 
 static void send_order(struct order *order, const struct rk_service_info *info,
-                       const struct rk_duty_token *token, int held, int count)
+                       const struct rk_leader_token *token, int held, int count)
 {
-    struct rk_duties *duties = order->s->o->n->duties;
+    struct rk_leader_api *duties = order->s->o->n->duties;
     const struct rk_vm_target target = {.service = order->s->name,
                                         .domain =
                                             info->prices[order->domain].domain,
@@ -237,7 +239,7 @@
 /* Places an order if the VMs held differ from the target and no earlier order is
  * going to change that. */
 static void update_order(struct order *order, const struct rk_service_info *info,
-                         const struct rk_duty_token *token, int held, int target)
+                         const struct rk_leader_token *token, int held, int target)
 {
     int64_t now_ms = rk_mono_ms();
     bool lost = held < order->max_held; /* VMs have left since the order */
@@ -255,19 +257,19 @@
  * progress are counted in canaries[d] instead: they are no capacity for the plan
  * yet, but the platform's counts include them. */
 static void count_held(const struct rk_node *n, const struct rk_service_info *info,
-                       struct rk_holding_input *in,
-                       struct rk_holding_target canaries[RK_HOLDING_DOMAINS])
+                       struct rk_sizing_input *in,
+                       struct rk_sizing_target canaries[RK_SIZING_DOMAINS])
 {
     const struct rk_rollout_rule *active_rule =
-        rk_rollouts_moving(n->rollouts, info->name);
+        rk_rollouts_active_rule(n->rollouts, info->name);
     const struct rk_vm_row *row;
-    memset(canaries, 0, RK_HOLDING_DOMAINS * sizeof(*canaries));
+    memset(canaries, 0, RK_SIZING_DOMAINS * sizeof(*canaries));
     for (size_t i = 0; (row = rk_sync_vm_at(n->sync, i)); i++) {
         if (row->leaving || strcmp(row->service, info->name) != 0)
             continue;
         bool is_canary = active_rule && !strcmp(row->version, active_rule->version);
         for (size_t d = 0; d < in->domains_len; d++) {
-            struct rk_holding_domain *to = &in->domains[d];
+            struct rk_sizing_domain *to = &in->domains[d];
             if (strcmp(to->name, row->domain) != 0)
                 continue;
             if (row->reclaimable)
@@ -280,28 +282,28 @@
 
 /* Notes where VMs were reclaimed, and fills in which domains have no reclaimable
  * capacity. */
-static void update_reclaims(struct service *s, struct rk_holding_input *in)
+static void update_reclaims(struct service *s, struct rk_sizing_input *in)
 {
     int64_t now_ms = rk_mono_ms();
     s->domains_len = in->domains_len;
     for (size_t i = 0; i < in->domains_len; i++) {
-        struct rk_holding_domain *d = &in->domains[i];
-        rk_reclaims_seen(&s->reclaims[i], d->reclaimable, s->orders[i][1].target,
-                         now_ms);
-        d->no_reclaimable = !rk_reclaims_may_ask(&s->reclaims[i], now_ms);
+        struct rk_sizing_domain *d = &in->domains[i];
+        rk_reclaims_observe(&s->reclaims[i], d->reclaimable, s->orders[i][1].target,
+                            now_ms);
+        d->no_reclaimable = !rk_reclaims_may_order(&s->reclaims[i], now_ms);
     }
-    in->all_exhausted = rk_reclaims_none(s->reclaims, in->domains_len);
+    in->all_exhausted = rk_reclaims_all_exhausted(s->reclaims, in->domains_len);
 }
 
 /* Fills in the on-demand VMs that were ordered and are still booting. A plan that
  * left them out would cancel their order. */
 static void count_booting(struct service *s, const struct rk_service_info *info,
-                          struct rk_holding_input *in,
-                          const struct rk_holding_target *canaries)
+                          struct rk_sizing_input *in,
+                          const struct rk_sizing_target *canaries)
 {
     for (size_t i = 0; i < in->domains_len; i++) {
         const struct order *order = &s->orders[i][0];
-        struct rk_holding_domain *d = &in->domains[i];
+        struct rk_sizing_domain *d = &in->domains[i];
         int present = d->on_demand + canaries[i].on_demand;
         if (may_be_booting(order, info) && order->target > present)
             d->booting = order->target - present;
@@ -318,8 +320,8 @@
     return now_ms - s->last_busy_ms >= IDLE_MS;
 }
 
-static void log_plan(struct service *s, const struct rk_holding_input *in,
-                     const struct rk_holding_target *targets)
+static void log_plan(struct service *s, const struct rk_sizing_input *in,
+                     const struct rk_sizing_target *targets)
 {
     struct plan plan = {.all_exhausted = in->all_exhausted};
     for (size_t i = 0; i < in->domains_len; i++) {
@@ -344,31 +346,31 @@
 }
 
 static void update_service(struct service *s, const struct rk_service_info *info,
-                           const struct rk_duty_token *token)
+                           const struct rk_leader_token *token)
 {
-    struct rk_holding_input in = {.min_vms = (int)info->min_vms,
-                                  .max_vms = (int)info->max_vms,
-                                  .spot_price = info->spot_price_ratio,
-                                  .need = s->need,
-                                  .need_fast = s->need_fast,
-                                  .idle = is_idle(s)};
+    struct rk_sizing_input in = {.min_vms = (int)info->min_vms,
+                                 .max_vms = (int)info->max_vms,
+                                 .spot_price = info->spot_price_ratio,
+                                 .need = s->need,
+                                 .need_fast = s->need_fast,
+                                 .idle = is_idle(s)};
     int64_t now_ms = rk_mono_ms();
     /* During a rollout, a smaller order might remove VMs of either version. */
-    in.keep_all = rk_rollouts_moving(s->o->n->rollouts, s->name) ||
+    in.keep_all = rk_rollouts_active_rule(s->o->n->rollouts, s->name) ||
                   (!s->o->n->file.first_start &&
                    now_ms - s->o->n->started_ms < RESTART_KEEP_MS);
     in.may_shrink = now_ms - s->last_shrink_ms >= SHRINK_INTERVAL_MS;
-    for (size_t i = 0; i < info->prices_len && i < RK_HOLDING_DOMAINS; i++) {
-        struct rk_holding_domain *d = &in.domains[in.domains_len++];
+    for (size_t i = 0; i < info->prices_len && i < RK_SIZING_DOMAINS; i++) {
+        struct rk_sizing_domain *d = &in.domains[in.domains_len++];
         rk_strcpy(d->name, sizeof(d->name), info->prices[i].domain);
         d->price = info->prices[i].price;
     }
-    struct rk_holding_target canaries[RK_HOLDING_DOMAINS];
+    struct rk_sizing_target canaries[RK_SIZING_DOMAINS];
     count_held(s->o->n, info, &in, canaries);
     update_reclaims(s, &in);
     count_booting(s, info, &in, canaries);
-    struct rk_holding_target targets[RK_HOLDING_DOMAINS];
-    rk_holding_plan(&in, targets);
+    struct rk_sizing_target targets[RK_SIZING_DOMAINS];
+    rk_sizing_plan(&in, targets);
     log_plan(s, &in, targets);
     for (size_t i = 0; i < in.domains_len; i++) {
         if (!are_vms_registering(s->o->n))
@@ -381,10 +383,10 @@
     }
 }
 
-void rk_orders_tick(struct rk_orders *o, const struct rk_duty_token *token)
+void rk_orders_tick(struct rk_orders *o, const struct rk_leader_token *token)
 {
     const struct rk_routes *routes = rk_sync_routes(o->n->sync);
-    rk_orders_watch(o);
+    rk_orders_track_demand(o);
     /* The delay is counted from the node's start: a node that becomes the leader
      * later already knows the list, and orders missing VMs at once. */
     if (!token || !routes || !rk_sync_ready(o->n->sync) ||
--- a/node/quarantine_tell.c
+++ b/node/quarantine_tell.c
@@ -64,7 +64,7 @@
     p->msg.rows = p->row_ptrs;
     for (size_t i = q->len; i-- > 0;) {
         const struct rk_quarantine_row *row = &q->rows[i];
-        bool is_near_limit = rk_quarantine_is_near(row);
+        bool is_near_limit = rk_quarantine_is_near_limit(row);
         if (is_near_limit && repeat_left) {
             repeat_left--;
             encode_row(p, row);
@@ -113,6 +113,6 @@
         decode_ends(&row, from->just_begun, from->n_just_begun, RK_HAD_JUST_BEGUN);
         decode_ends(&row, from->may_have_begun, from->n_may_have_begun,
                     RK_MAY_HAVE_BEGUN);
-        rk_quarantines_take(m->n->quarantines, &row, 1, false);
+        rk_quarantines_merge(m->n->quarantines, &row, 1, false);
     }
 }
--- a/node/quarantines.c
+++ b/node/quarantines.c
@@ -68,16 +68,17 @@
 
 static void log_change(const struct rk_quarantine_row *row)
 {
-    char name[RK_QUARANTINE_NAME];
-    rk_quarantine_name(row->request, name);
+    char name[RK_QUARANTINE_NAME_MAX];
+    rk_quarantine_format(row->request, name);
     RK_WARN(row->stopped ? "request.stopped" : "request.let_through",
             RK_S("fingerprint", name), RK_S("organisation", row->org),
             RK_S("route", row->route), RK_N("vms", (int64_t)row->ends_len),
             RK_N("seen_here", row->own));
 }
 
-void rk_quarantines_take(struct rk_quarantines *q,
-                         const struct rk_quarantine_row *rows, size_t len, bool own)
+void rk_quarantines_merge(struct rk_quarantines *q,
+                          const struct rk_quarantine_row *rows, size_t len,
+                          bool own)
 {
     int64_t now_ms = rk_mono_ms();
     for (size_t i = 0; i < len; i++) {
@@ -118,8 +119,8 @@
 {
     struct rk_store *store = q->n->store;
     struct rk_buf b = {0};
-    char name[RK_QUARANTINE_NAME];
-    rk_quarantine_name(row->request, name);
+    char name[RK_QUARANTINE_NAME_MAX];
+    rk_quarantine_format(row->request, name);
     rk_buf_addstr(&b, "{\"organisation\":");
     rk_buf_json_str(&b, row->org);
     rk_buf_addstr(&b, ",\"route\":");
@@ -137,8 +138,8 @@
                        const struct rk_quarantine_row *row)
 {
     struct rk_store *store = q->n->store;
-    char name[RK_QUARANTINE_NAME];
-    rk_quarantine_name(row->request, name);
+    char name[RK_QUARANTINE_NAME_MAX];
+    rk_quarantine_format(row->request, name);
     store->ops->remove(store, KIND, name, on_written, q);
 }
 
@@ -146,11 +147,11 @@
 static bool is_due(const struct rk_quarantines *q,
                    const struct rk_quarantine_row *row, int64_t now_ms)
 {
-    bool expired = rk_quarantine_is_over(row, now_ms);
+    bool expired = rk_quarantine_is_expired(row, now_ms);
     bool should_store = row->stopped && !expired;
     if (should_store == row->stored)
         return false;
-    return row->own || (rk_mesh_stands(q->n->mesh) &&
+    return row->own || (rk_mesh_is_candidate(q->n->mesh) &&
                         now_ms - row->changed_ms > q->others_delay_ms);
 }
 
@@ -205,7 +206,7 @@
     for (size_t i = 0; i < len; i++) {
         const struct rk_quarantine_row row = parse(&objects[i]);
         if (row.request)
-            rk_quarantines_take(q, &row, 1, false);
+            rk_quarantines_merge(q, &row, 1, false);
         else
             RK_WARN("quarantine.rejected", RK_S("object", objects[i].name));
     }
@@ -229,8 +230,8 @@
 static bool is_listed(uint64_t request, const struct rk_store_object *objects,
                       size_t len)
 {
-    char name[RK_QUARANTINE_NAME];
-    rk_quarantine_name(request, name);
+    char name[RK_QUARANTINE_NAME_MAX];
+    rk_quarantine_format(request, name);
     for (size_t i = 0; i < len; i++)
         if (!strcmp(objects[i].name, name))
             return true;
@@ -240,7 +241,7 @@
 static void let_through(struct rk_quarantines *q, struct rk_quarantine_row *row)
 {
     row->stored = false;
-    rk_quarantine_clear(&q->table, row->request, rk_mono_ms());
+    rk_quarantine_reset(&q->table, row->request, rk_mono_ms());
     log_change(row);
     send_to_relay(q, row);
 }
@@ -261,7 +262,7 @@
     }
 }
 
-void rk_quarantines_hold(struct rk_quarantines *q)
+void rk_quarantines_check_store(struct rk_quarantines *q)
 {
     int64_t now_ms = rk_mono_ms();
     if (q->checking || !rk_quarantines_stopped(q) ||
--- a/node/remember.c
+++ b/node/remember.c
@@ -39,14 +39,14 @@
 
 /* An object of the store with persisted state. */
 struct persisted_object {
-    struct rk_remember *m;
+    struct rk_persist *m;
     const char *kind;
     int64_t interval_ms;
     bool allow_stale; /* it may be read from a copy that is seconds old */
     /* Appends the contents to b. Returns false if there is nothing to persist. */
-    bool (*build)(struct rk_remember *m, struct rk_buf *b);
+    bool (*build)(struct rk_persist *m, struct rk_buf *b);
     /* spec NULL: there is no object. */
-    void (*restore)(struct rk_remember *m, struct json_object *spec);
+    void (*restore)(struct rk_persist *m, struct json_object *spec);
     int64_t revision;   /* in the store; 0: not known, or no object */
     int64_t written_ms; /* start of the last write; 0: write as soon as possible */
     bool busy;          /* a write is in flight */
@@ -54,7 +54,7 @@
     struct rk_timer retry;
 };
 
-struct rk_remember {
+struct rk_persist {
     struct rk_node *n;
     struct persisted_object quotas, engines;
     bool is_read;   /* quotas was read, or can't be */
@@ -77,14 +77,14 @@
 static double used_units(const struct rk_org_use *use)
 {
     double sum = 0;
-    for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
+    for (size_t i = 0; i < RK_QUOTA_SLICES; i++)
         sum += use->persisted_slices[i];
     return sum;
 }
 
 static void append_slices(struct rk_buf *b, const struct rk_org_use *use)
 {
-    for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
+    for (size_t i = 0; i < RK_QUOTA_SLICES; i++)
         rk_buf_printf(b, "%s%.0f", i ? "," : "[", use->persisted_slices[i]);
     rk_buf_addstr(b, "]");
 }
@@ -101,7 +101,7 @@
 /* Counts of one window and of the previous one. */
 struct window_counts {
     int64_t window;
-    struct rk_tally totals, previous;
+    struct rk_totals totals, previous;
 };
 
 /* Returns the expected number of an organisation's calls in a window at the time of
@@ -112,10 +112,10 @@
                              const char *org)
 {
     int64_t size_ms = rk_s_to_ms(n->file.usage_window_s), wall_ms = rk_wall_ms();
-    double count = rk_tally_total(&c->totals, org);
+    double count = rk_totals_value(&c->totals, org);
     if (c->window != wall_ms / size_ms)
         return count;
-    double previous = rk_tally_total(&c->previous, org);
+    double previous = rk_totals_value(&c->previous, org);
     double passed_ms = (double)(size_ms + wall_ms % size_ms);
     double lag_ms =
         (double)rk_mesh_usage_lag_ms(n->mesh) + QUOTAS_INTERVAL_MS / 2.0;
@@ -151,21 +151,21 @@
     bool any = false;
     rk_usage_sums(&n->usage, c.window, &c.totals);
     for (int i = 0; i < USAGE_WINDOWS; i++) {
-        rk_tally_free(&c.previous);
+        rk_totals_free(&c.previous);
         c = (struct window_counts){.window = c.window + 1, .previous = c.totals};
         rk_usage_sums(&n->usage, c.window, &c.totals);
         rk_buf_addstr(b, i ? "," : "");
         any = append_window(n, &c, b) || any;
     }
-    rk_tally_free(&c.previous);
-    rk_tally_free(&c.totals);
+    rk_totals_free(&c.previous);
+    rk_totals_free(&c.totals);
     return any;
 }
 
 /* Appends the counts and their wall time as members: at the leader the current
  * ones, at an acting node those of the store. Returns true if the leader has
  * counts. */
-static bool append_usage(const struct rk_remember *m, struct rk_buf *b)
+static bool append_usage(const struct rk_persist *m, struct rk_buf *b)
 {
     if (m->is_leader) {
         rk_buf_printf(b, ",\"usage_wall_ms\":%" PRId64 ",\"usage\":{",
@@ -190,7 +190,7 @@
 }
 
 /* Copies the store's counts, for when this node has to act for the leader. */
-static void copy_usage(struct rk_remember *m, struct json_object *spec)
+static void copy_usage(struct rk_persist *m, struct json_object *spec)
 {
     struct json_object *usage = rk_json_get(spec, "usage");
     if (!json_object_is_type(usage, json_type_object))
@@ -204,24 +204,24 @@
  * nodes. */
 static void append_fleet_size(const struct rk_node *n, struct rk_buf *b)
 {
-    const struct rk_fleet_size size = rk_mesh_size(n->mesh);
+    const struct rk_fleet_size size = rk_mesh_fleet_size(n->mesh);
     if (size.nodes)
         rk_buf_printf(b, ",\"nodes\":%d,\"largest\":%d,\"capacity\":%" PRId64,
                       size.nodes, size.largest, size.capacity);
 }
 
 /* Builds the object with the use of quotas and demand by organisation. */
-static bool build_quotas(struct rk_remember *m, struct rk_buf *b)
+static bool build_quotas(struct rk_persist *m, struct rk_buf *b)
 {
     struct rk_node *n = m->n;
-    struct rk_tally demand = {0};
+    struct rk_totals demand = {0};
     struct rk_buf demand_text = {0};
     bool any = false;
     /* After a restart, persisted usage is taken to be complete. */
     if (!rk_sync_routes(n->sync) || !n->report ||
         !n->report->quota_history_complete)
         return false;
-    rk_mesh_add_asking(n->mesh, &demand);
+    rk_mesh_add_demand(n->mesh, &demand);
     rk_buf_printf(b, "{\"wall_ms\":%" PRId64, rk_wall_ms());
     append_fleet_size(n, b);
     rk_buf_addstr(b, ",\"used\":{");
@@ -235,19 +235,19 @@
         append_slices(b, use);
         rk_buf_addstr(&demand_text, any ? "," : "");
         rk_buf_json_str(&demand_text, use->org);
-        rk_buf_printf(&demand_text, ":%.0f", rk_tally_total(&demand, use->org));
+        rk_buf_printf(&demand_text, ":%.0f", rk_totals_value(&demand, use->org));
         any = true;
     }
     rk_buf_printf(b, "},\"asking\":{%s}", any ? demand_text.data : "");
     any = append_usage(m, b) || any;
     rk_buf_addstr(b, "}");
     rk_buf_free(&demand_text);
-    rk_tally_free(&demand);
+    rk_totals_free(&demand);
     return any;
 }
 
 /* Builds the object with the estimate of each engine service. */
-static bool build_engines(struct rk_remember *m, struct rk_buf *b)
+static bool build_engines(struct rk_persist *m, struct rk_buf *b)
 {
     const struct rk_routes *routes = rk_sync_routes(m->n->sync);
     bool any = false;
@@ -309,13 +309,13 @@
     rk_buf_free(&b);
 }
 
-void rk_remember_stand_in(struct rk_remember *m)
+void rk_persist_tick_acting(struct rk_persist *m)
 {
     m->is_leader = false;
     write_object(&m->quotas);
 }
 
-void rk_remember_tick(struct rk_remember *m)
+void rk_persist_tick(struct rk_persist *m)
 {
     m->is_leader = true;
     write_object(&m->quotas);
@@ -331,7 +331,7 @@
     return json_object_get_double(json_object_array_get_idx(slices, i));
 }
 
-static void restore_usage(struct rk_remember *m, struct json_object *spec)
+static void restore_usage(struct rk_persist *m, struct json_object *spec)
 {
     struct json_object *windows = rk_json_get(spec, "usage");
     int64_t counted_wall_ms = usage_wall_time(spec);
@@ -343,7 +343,7 @@
             continue;
         json_object_object_foreach(counts, org, count)
         {
-            struct rk_usage_row row = {.node = RK_USAGE_KEPT,
+            struct rk_usage_row row = {.node = RK_USAGE_PERSISTED,
                                        .window = strtoll(window, NULL, 10),
                                        .since_ms = counted_wall_ms};
             int64_t n = json_object_get_int64(count);
@@ -354,9 +354,9 @@
     }
 }
 
-static void restore_quotas(struct rk_remember *m, struct json_object *spec)
+static void restore_quotas(struct rk_persist *m, struct json_object *spec)
 {
-    rk_returning_know(m->n, spec);
+    rk_read_delay_set_fleet_size(m->n, spec);
     restore_usage(m, spec);
     copy_usage(m, spec);
     struct json_object *used = rk_json_get(spec, "used");
@@ -364,7 +364,7 @@
     int64_t age_ms = rk_wall_ms() - rk_json_int(spec, "wall_ms", 0);
     if (!json_object_is_type(used, json_type_object)) {
         RK_EVENT("quota.nothing_restored", RK_N("object", spec != NULL));
-        rk_relay_restore(m->n->relay, NULL, 0, INT64_MAX);
+        rk_relay_restore_quota_usage(m->n->relay, NULL, 0, INT64_MAX);
         return;
     }
     size_t len = (size_t)json_object_object_length(used), n = 0;
@@ -372,14 +372,14 @@
     json_object_object_foreach(used, org, slices)
     {
         rk_strcpy(uses[n].org, sizeof(uses[n].org), org);
-        for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
+        for (size_t i = 0; i < RK_QUOTA_SLICES; i++)
             uses[n].used_slices[i] = slice_at(slices, i);
         uses[n].demand_per_s = fmax(0, rk_json_real(demand, org));
         n++;
     }
     RK_EVENT("quota.restored", RK_N("organisations", (int64_t)n),
              RK_N("age_ms", age_ms));
-    rk_relay_restore(m->n->relay, uses, n, age_ms > 0 ? age_ms : 0);
+    rk_relay_restore_quota_usage(m->n->relay, uses, n, age_ms > 0 ? age_ms : 0);
 }
 
 static struct rk_engine_estimate parse_estimate(struct json_object *o)
@@ -391,25 +391,25 @@
         .running_ms = rk_json_real(o, "running_ms"),
         .error_ms = rk_json_real(o, "error_ms"),
         .samples = rk_json_real(o, "samples")};
-    if (rk_engine_is_sound(&e))
+    if (rk_engine_is_valid(&e))
         return e;
     RK_WARN("engines.rejected", RK_S("from", "store"));
     return (struct rk_engine_estimate){0};
 }
 
-static void restore_engines(struct rk_remember *m, struct json_object *spec)
+static void restore_engines(struct rk_persist *m, struct json_object *spec)
 {
     if (!json_object_is_type(spec, json_type_object))
         return;
     size_t len = (size_t)json_object_object_length(spec), n = 0;
-    struct rk_service_use *services = rk_alloc(len + 1, sizeof(*services));
+    struct rk_service_load *services = rk_alloc(len + 1, sizeof(*services));
     json_object_object_foreach(spec, service, estimate)
     {
         rk_strcpy(services[n].service, sizeof(services[n].service), service);
         services[n++].engine = parse_estimate(estimate);
     }
     RK_EVENT("engines.restored", RK_N("services", (int64_t)n));
-    rk_relay_set_engines(m->n->relay, services, n);
+    rk_relay_set_engine_priors(m->n->relay, services, n);
 }
 
 static void on_object_read(void *ctx, enum rk_status st,
@@ -429,7 +429,7 @@
         p->m->is_read = true;
 }
 
-bool rk_remember_is_read(const struct rk_remember *m)
+bool rk_persist_is_read(const struct rk_persist *m)
 {
     return m->is_read || m->n->file.first_start;
 }
@@ -441,7 +441,7 @@
                               on_object_read, p);
 }
 
-void rk_remember_start(struct rk_remember *m)
+void rk_persist_start(struct rk_persist *m)
 {
     if (m->n->file.first_start)
         return;
@@ -449,9 +449,9 @@
     read_object(&m->engines);
 }
 
-struct rk_remember *rk_remember_create(struct rk_node *n)
+struct rk_persist *rk_persist_create(struct rk_node *n)
 {
-    struct rk_remember *m = rk_alloc(1, sizeof(*m));
+    struct rk_persist *m = rk_alloc(1, sizeof(*m));
     m->n = n;
     m->quotas = (struct persisted_object){.m = m,
                                           .kind = QUOTAS_KIND,
@@ -469,7 +469,7 @@
     return m;
 }
 
-void rk_remember_destroy(struct rk_remember *m)
+void rk_persist_destroy(struct rk_persist *m)
 {
     rk_timer_stop(m->n->loop, &m->quotas.retry);
     rk_timer_stop(m->n->loop, &m->engines.retry);
--- a/node/report.c
+++ b/node/report.c
@@ -14,7 +14,7 @@
     p->vms = rk_alloc(r->loads_len + 1, sizeof(*p->vms));
     p->vm_ptrs = rk_alloc(r->loads_len + 1, sizeof(*p->vm_ptrs));
     for (size_t i = 0; i < r->loads_len; i++) {
-        rk_loads_put(&p->vms[i], &r->loads[i]);
+        rk_loads_encode(&p->vms[i], &r->loads[i]);
         p->vm_ptrs[i] = &p->vms[i];
     }
     p->report.n_vms = r->loads_len;
@@ -33,7 +33,7 @@
         p->services[i].running = r->services[i].running;
         p->services[i].begun = r->services[i].begun;
         if (r->services[i].engine.samples > 0) {
-            rk_engines_put(&p->engines[i], &r->services[i].engine);
+            rk_engines_encode(&p->engines[i], &r->services[i].engine);
             p->services[i].engine = &p->engines[i];
         }
         p->service_ptrs[i] = &p->services[i];
@@ -51,7 +51,7 @@
         return;
     p->peers = rk_alloc(rk_mesh_count(m) + 1, sizeof(*p->peers));
     for (struct member *k = m->contacts; k; k = k->next_contact)
-        if (k->id[0] && rk_mesh_is_heard(k, now_ms))
+        if (k->id[0] && rk_mesh_is_reachable_directly(k, now_ms))
             p->peers[p->report.n_peers++] = k->addr;
     p->report.peers = p->peers;
 }
@@ -70,13 +70,13 @@
     p->report.list_revision = rk_sync_list_revision(n->sync);
     p->report.leaving = n->leaving;
     p->report.slow = m->slow;
-    p->report.hears_store = rk_sync_hears_store(m->n->sync);
+    p->report.hears_store = rk_sync_store_reachable(m->n->sync);
     p->report.store_age_ms = rk_sync_age_ms(n->sync);
     p->report.capacity = rk_mesh_capacity(m);
     p->report.takes_changes = true;
     p->report.takes_brief = true;
     const char *value;
-    if (rk_duty_keeper_lease(n->leader, &p->lease.version, &value)) {
+    if (rk_leader_own_lease(n->leader, &p->lease.version, &value)) {
         p->lease.value = (char *)value;
         p->report.lease = &p->lease;
     }
@@ -107,8 +107,8 @@
 
 static double last_read_tokens(const struct member *k, const char *service)
 {
-    const struct rk_service_use *last =
-        rk_service_use_find(k->services, k->services_len, service);
+    const struct rk_service_load *last =
+        rk_service_load_find(k->services, k->services_len, service);
     return last ? last->demand_tokens : 0;
 }
 
@@ -116,26 +116,26 @@
 static void add_read_tokens(struct member *k, const char *service, double increase)
 {
     struct rk_mesh *m = k->m;
-    if (!rk_report_counts(k) || increase <= 0)
+    if (!rk_report_is_counted(k) || increase <= 0)
         return;
-    *rk_tally_at(&m->peer_reads, service) += increase;
-    *rk_tally_at(&m->domain_reads, service) += increase;
-    *rk_tally_at(&m->fleet_reads, service) += increase;
+    *rk_totals_get(&m->peer_reads, service) += increase;
+    *rk_totals_get(&m->domain_reads, service) += increase;
+    *rk_totals_get(&m->fleet_reads, service) += increase;
 }
 
 /* first: there is no earlier report to count from. */
 static void receive_services(struct member *k, const Rillknot__NodeReport *r,
                              bool first)
 {
-    struct rk_service_use *services =
+    struct rk_service_load *services =
         rk_alloc(r->n_services + 1, sizeof(*services));
     for (size_t i = 0; i < r->n_services; i++) {
-        struct rk_service_use *use = &services[i];
+        struct rk_service_load *use = &services[i];
         rk_strcpy(use->service, sizeof(use->service), r->services[i]->service);
         use->demand_tokens = r->services[i]->read_tokens;
         use->running = r->services[i]->running;
         use->begun = r->services[i]->begun;
-        use->engine = rk_engines_get(r->services[i]->engine);
+        use->engine = rk_engines_decode(r->services[i]->engine);
         double last =
             first ? use->demand_tokens : last_read_tokens(k, use->service);
         add_read_tokens(k, use->service, use->demand_tokens - last);
@@ -145,14 +145,14 @@
     k->services_len = r->n_services;
 }
 
-bool rk_report_take(struct member *k, const Rillknot__NodeReport *r)
+bool rk_report_receive(struct member *k, const Rillknot__NodeReport *r)
 {
     bool first = !k->incarnation;
     /* Counts of calls carry their incarnation, so those of a past one are valid. */
-    rk_usage_take(k->m->n, r->usage, r->n_usage);
-    if (!rk_mesh_hears_life(k, r->incarnation))
+    rk_usage_receive(k->m->n, r->usage, r->n_usage);
+    if (!rk_mesh_accepts_incarnation(k, r->incarnation))
         return false;
-    rk_mesh_meet(k);
+    rk_mesh_add_contact(k);
     if (k->incarnation != r->incarnation) {
         k->incarnation = r->incarnation;
         rk_org_uses_clear(&k->uses); /* its counters began at 0 */
@@ -170,8 +170,8 @@
     k->accepts_changes = r->takes_changes;
     k->accepts_brief = r->takes_brief;
     k->quota_history_ms = r->remembers_ms;
-    rk_report_take_uses(k, r, first);
-    rk_loads_take(&k->loads, &k->loads_len, r->vms, r->n_vms);
+    rk_report_receive_uses(k, r, first);
+    rk_loads_decode(&k->loads, &k->loads_len, r->vms, r->n_vms);
     receive_services(k, r, first);
     return true;
 }
--- a/node/report_uses.c
+++ b/node/report_uses.c
@@ -17,7 +17,7 @@
 static bool changes_suffice(const struct rk_mesh *m)
 {
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (rk_mesh_is_told(k) && rk_mesh_takes(k->link) &&
+        if (rk_mesh_reports_to(k) && rk_mesh_link_is_ready(k->link) &&
             (!k->accepts_changes || !k->link_state.uses_sent))
             return false;
     return true;
@@ -26,10 +26,10 @@
 static void put_history(struct rk_report *p, size_t row,
                         const struct rk_org_use *use)
 {
-    uint64_t *slices = &p->known[row * RK_QUOTA_PARTS];
-    for (size_t j = 0; j < RK_QUOTA_PARTS; j++)
+    uint64_t *slices = &p->known[row * RK_QUOTA_SLICES];
+    for (size_t j = 0; j < RK_QUOTA_SLICES; j++)
         slices[j] = (uint64_t)use->used_slices[j];
-    p->uses[row].n_known = RK_QUOTA_PARTS;
+    p->uses[row].n_known = RK_QUOTA_SLICES;
     p->uses[row].known = slices;
 }
 
@@ -49,11 +49,12 @@
     bool with_history = m->direct || m->history_requested;
     bool all = with_history || m->uses_requested || !changes_suffice(m);
     p->uses = rk_alloc(r->quota_usage_len + 1, sizeof(*p->uses));
-    p->known = rk_alloc(r->quota_usage_len * RK_QUOTA_PARTS + 1, sizeof(*p->known));
+    p->known =
+        rk_alloc(r->quota_usage_len * RK_QUOTA_SLICES + 1, sizeof(*p->known));
     p->use_ptrs = rk_alloc(r->quota_usage_len + 1, sizeof(*p->use_ptrs));
     for (size_t i = 0; i < r->quota_usage_len; i++) {
         const struct rk_org_use *use = &r->quota_usage[i];
-        bool changed = rk_org_use_is_news(use, &m->uses_reported);
+        bool changed = rk_org_use_changed(use, &m->uses_reported);
         if (!changed && !with_history && !(all && use->units != 0))
             continue;
         put_row(p, use);
@@ -66,25 +67,25 @@
     m->uses_requested = m->history_requested = false;
 }
 
-void rk_report_note_uses(struct rk_mesh *m, const struct rk_report *p)
+void rk_report_uses_sent(struct rk_mesh *m, const struct rk_report *p)
 {
     bool all = m->n->report && !p->report.uses_changed;
     for (struct member *k = m->contacts; k; k = k->next_contact) {
-        if (!rk_mesh_is_told(k))
+        if (!rk_mesh_reports_to(k))
             continue;
-        bool sent = rk_mesh_takes(k->link);
+        bool sent = rk_mesh_link_is_ready(k->link);
         k->link_state.uses_sent = sent && (all || k->link_state.uses_sent);
     }
 }
 
 /* ---- receiving ---- */
 
-bool rk_report_counts(const struct member *k)
+bool rk_report_is_counted(const struct member *k)
 {
-    return k->m->direct || (k->m->bridge && rk_mesh_is_near(k));
+    return k->m->direct || (k->m->bridge && rk_mesh_is_same_domain(k));
 }
 
-double rk_report_asking(const Rillknot__OrgUse *in)
+double rk_report_demand(const Rillknot__OrgUse *in)
 {
     if (isfinite(in->asking) && in->asking >= 0)
         return (double)in->asking;
@@ -96,24 +97,24 @@
 static void count_use(struct member *k, const char *org, double increase)
 {
     struct rk_mesh *m = k->m;
-    if (!rk_report_counts(k) || increase == 0)
+    if (!rk_report_is_counted(k) || increase == 0)
         return;
-    rk_mesh_add_news(m, org, increase);
-    *rk_tally_at(&m->domain_uses, org) += increase;
-    *rk_tally_at(&m->fleet_uses, org) += increase;
+    rk_mesh_add_peer_use(m, org, increase);
+    *rk_totals_get(&m->domain_uses, org) += increase;
+    *rk_totals_get(&m->fleet_uses, org) += increase;
 }
 
 static void receive_history(struct rk_org_use *row, const Rillknot__OrgUse *in)
 {
-    for (size_t j = 0; j < in->n_known && j < RK_QUOTA_PARTS; j++)
+    for (size_t j = 0; j < in->n_known && j < RK_QUOTA_SLICES; j++)
         row->used_slices[j] = (double)in->known[j];
 }
 
 /* Applies the usage rows of a report. What the member used since its last report
  * goes to the relay with the next update of peers. At a member's first report
  * nothing is counted: what it used before is part of the peers' quota histories. */
-void rk_report_take_uses(struct member *k, const Rillknot__NodeReport *r,
-                         bool first)
+void rk_report_receive_uses(struct member *k, const Rillknot__NodeReport *r,
+                            bool first)
 {
     bool all = !r->uses_changed;
     if (!all && !k->has_all_uses)
@@ -121,9 +122,9 @@
     rk_org_uses_begin(&k->uses);
     for (size_t i = 0; i < r->n_uses; i++) {
         const Rillknot__OrgUse *in = r->uses[i];
-        double increase = rk_org_uses_rise(&k->uses, in->org, in->units);
-        struct rk_org_use *row = rk_org_uses_at(&k->uses, in->org);
-        row->demand_per_s = rk_report_asking(in);
+        double increase = rk_org_uses_set_units(&k->uses, in->org, in->units);
+        struct rk_org_use *row = rk_org_uses_get(&k->uses, in->org);
+        row->demand_per_s = rk_report_demand(in);
         receive_history(row, in);
         if (k->has_all_uses && !first)
             count_use(k, in->org, increase);
@@ -137,7 +138,7 @@
 {
     bool pending =
         k->uses_requested_ms && now_ms - k->uses_requested_ms < REQUEST_RETRY_MS;
-    if (k->has_all_uses || pending || !rk_report_counts(k))
+    if (k->has_all_uses || pending || !rk_report_is_counted(k))
         return false;
     k->uses_requested_ms = now_ms;
     return true;
@@ -151,13 +152,13 @@
     if (!m->bridge || !m->n->report || m->n->report->quota_history_ms >= window_ms)
         return false;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (k->has_quota_history && rk_mesh_is_heard(k, now_ms) &&
+        if (k->has_quota_history && rk_mesh_is_reachable_directly(k, now_ms) &&
             k->quota_history_ms >= window_ms)
             return false;
     return true;
 }
 
-void rk_report_ask_known(struct rk_mesh *m, int64_t now_ms)
+void rk_report_request_history(struct rk_mesh *m, int64_t now_ms)
 {
     int64_t window_ms = rk_s_to_ms(m->n->file.quota_window_s);
     bool pending = m->history_requested_ms &&
@@ -165,12 +166,13 @@
     if (pending || !lacks_history(m, window_ms))
         return;
     for (struct member *k = m->contacts; k; k = k->next_contact) {
-        bool has_history = rk_mesh_is_near(k) && rk_mesh_is_heard(k, now_ms) &&
+        bool has_history = rk_mesh_is_same_domain(k) &&
+                           rk_mesh_is_reachable_directly(k, now_ms) &&
                            k->quota_history_ms >= window_ms;
-        if (!has_history || !rk_mesh_takes(k->link))
+        if (!has_history || !rk_mesh_link_is_ready(k->link))
             continue;
         m->history_requested_ms = now_ms;
-        rk_mesh_want_uses(k->link, true);
+        rk_mesh_request_uses(k->link, true);
         return;
     }
 }
--- a/node/returning.c
+++ b/node/returning.c
@@ -9,13 +9,13 @@
 #define FLEET_SIZE_TIMEOUT_MS 1000
 #define DRAW_STEPS            4096 /* resolution of the random draw */
 
-void rk_returning_start(struct rk_node *n)
+void rk_read_delay_start(struct rk_node *n)
 {
     if (!n->file.first_start)
         n->read_delay.ends_ms = rk_mono_ms() + FLEET_SIZE_TIMEOUT_MS;
 }
 
-void rk_returning_know(struct rk_node *n, struct json_object *spec)
+void rk_read_delay_set_fleet_size(struct rk_node *n, struct json_object *spec)
 {
     const struct rk_fleet_size size = {
         .nodes = (int)rk_json_int(spec, "nodes", 0),
@@ -23,23 +23,23 @@
         .capacity = rk_json_int(spec, "capacity", 0)};
     int64_t capacity = rk_mesh_capacity(n->mesh);
     double draw = rk_rng_below(&n->rng, DRAW_STEPS) / (double)DRAW_STEPS;
-    int64_t wait_ms = rk_returning_wait_ms(&size, capacity, draw);
+    int64_t wait_ms = rk_read_delay_ms(&size, capacity, draw);
     n->read_delay.nodes = size.nodes;
     n->read_delay.ends_ms = rk_mono_ms() + wait_ms;
     if (wait_ms)
         RK_EVENT("store.awaiting_turn", RK_N("nodes", size.nodes),
                  RK_N("wait_ms", wait_ms));
-    rk_mesh_turn(n->mesh);
-    rk_sync_turn(n->sync);
+    rk_mesh_read_delay_changed(n->mesh);
+    rk_sync_read_delay_changed(n->sync);
 }
 
-int64_t rk_returning_wait_left_ms(const struct rk_node *n)
+int64_t rk_read_delay_left_ms(const struct rk_node *n)
 {
     int64_t left_ms = n->read_delay.ends_ms - rk_mono_ms();
     return left_ms > 0 ? left_ms : 0;
 }
 
-bool rk_returning_is_told(const struct rk_node *n)
+bool rk_read_delay_has_digests(const struct rk_node *n)
 {
     return n->read_delay.nodes > 0 &&
            2 * rk_mesh_reported_total(n->mesh) > n->read_delay.nodes;
--- a/node/rollout_metrics.c
+++ b/node/rollout_metrics.c
@@ -39,7 +39,7 @@
 }
 
 static void render_rules(struct rk_buf *out,
-                         const struct rk_rollout_word *announcement)
+                         const struct rk_rollout_announcement *announcement)
 {
     rk_buf_addstr(out, "# TYPE rillknot_rollout_phase gauge\n");
     for (size_t i = 0; i < announcement->len; i++)
@@ -50,7 +50,7 @@
     for (size_t i = 0; i < announcement->len; i++)
         put_sample(out, "rollout_share", announcement->rules[i].service,
                    announcement->rules[i].version, NULL,
-                   (double)announcement->rules[i].share / RK_ROLLOUT_ALL);
+                   (double)announcement->rules[i].share / RK_ROLLOUT_SHARE_ALL);
 }
 
 /* ---- VMs ---- */
@@ -94,7 +94,7 @@
 /* ---- calls ---- */
 
 /* Returns whether no earlier row has the same route and version. */
-static bool is_first_row(const struct rk_trial_rows *t, size_t row)
+static bool is_first_row(const struct rk_canary_rows *t, size_t row)
 {
     for (size_t i = 0; i < row; i++)
         if (t->rows[i].of_new_version == t->rows[row].of_new_version &&
@@ -103,35 +103,35 @@
     return true;
 }
 
-static double get_calls(const struct rk_trial_seen *s)
+static double get_calls(const struct rk_canary_stats *s)
 {
     return s->calls;
 }
 
-static double get_failed(const struct rk_trial_seen *s)
+static double get_failed(const struct rk_canary_stats *s)
 {
     return s->failed;
 }
 
-static double get_latency_ratio(const struct rk_trial_seen *s)
+static double get_latency_ratio(const struct rk_canary_stats *s)
 {
-    return (double)rk_trial_pace_pct(s) / 100;
+    return (double)rk_canary_latency_pct(s) / 100;
 }
 
 static void render_calls(struct rk_buf *out, const struct rk_rollouts *r,
                          const char *name, const char *type,
-                         double (*value)(const struct rk_trial_seen *s))
+                         double (*value)(const struct rk_canary_stats *s))
 {
     const struct rk_relay_report *report = r->n->report;
     rk_buf_printf(out, "# TYPE rillknot_%s %s\n", name, type);
     for (size_t i = 0; report && i < report->canaries_len; i++) {
-        const struct rk_rollout_seen *canary = &report->canaries[i];
+        const struct rk_rollout_stats *canary = &report->canaries[i];
         for (size_t j = 0; j < canary->rows.len; j++) {
-            const struct rk_trial_row *row = &canary->rows.rows[j];
+            const struct rk_canary_row *row = &canary->rows.rows[j];
             if (!is_first_row(&canary->rows, j))
                 continue;
-            const struct rk_trial_seen sum =
-                rk_trial_sum(&canary->rows, row->route, row->of_new_version, "");
+            const struct rk_canary_stats sum =
+                rk_canary_sum(&canary->rows, row->route, row->of_new_version, "");
             const char *version = row->of_new_version
                                       ? canary->version
                                       : rk_rollouts_previous_version(
--- a/node/rollout_tell.c
+++ b/node/rollout_tell.c
@@ -43,14 +43,15 @@
     if (m->direct)
         return from->own;
     if (!m->bridge)
-        return from->own && rk_mesh_is_near(k) && k->bridge;
-    return rk_mesh_is_near(k) || (k->bridge && (from->own || from->near));
+        return from->own && rk_mesh_is_same_domain(k) && k->bridge;
+    return rk_mesh_is_same_domain(k) || (k->bridge && (from->own || from->near));
 }
 
 static void send_announcement(struct rk_mesh *m, const char *domain, bool own)
 {
-    const struct rk_rollout_word *w = rk_rollouts_word(m->n->rollouts);
-    struct rk_rollout_word copy = *w;
+    const struct rk_rollout_announcement *w =
+        rk_rollouts_announcement(m->n->rollouts);
+    struct rk_rollout_announcement copy = *w;
     Rillknot__RolloutWord msg = RILLKNOT__ROLLOUT_WORD__INIT;
     Rillknot__RolloutRule rules[RK_ROLLOUTS], *ptrs[RK_ROLLOUTS];
     msg.domain = (char *)domain;
@@ -72,9 +73,10 @@
     rk_mesh_send(m, &frame, wants_announcement, &from);
 }
 
-void rk_mesh_tell_rollouts(struct rk_mesh *m)
+void rk_mesh_announce_rollouts(struct rk_mesh *m)
 {
-    const struct rk_rollout_word *w = rk_rollouts_word(m->n->rollouts);
+    const struct rk_rollout_announcement *w =
+        rk_rollouts_announcement(m->n->rollouts);
     int64_t now_ms = rk_mono_ms();
     if (!w || now_ms - m->announcement_sent_ms <
                   (w->len ? ANNOUNCE_INTERVAL_MS : ANNOUNCE_IDLE_INTERVAL_MS))
@@ -91,8 +93,8 @@
                                     .vms = from->vms,
                                     .rotation = from->turn,
                                     .revision = from->revision};
-    return from->phase <= RK_ROLLOUT_GIVEN_BACK && from->share <= RK_ROLLOUT_ALL &&
-           from->service[0] &&
+    return from->phase <= RK_ROLLOUT_ROLLED_BACK &&
+           from->share <= RK_ROLLOUT_SHARE_ALL && from->service[0] &&
            rk_strcpy(out->service, sizeof(out->service), from->service) &&
            rk_strcpy(out->version, sizeof(out->version), from->version);
 }
@@ -100,11 +102,11 @@
 void rk_rollout_receive_announcement(struct rk_mesh *m,
                                      const Rillknot__RolloutWord *msg)
 {
-    struct rk_rollout_word announcement = {.epoch = msg->epoch,
-                                           .number = msg->number,
-                                           .announced_ms =
-                                               rk_mono_ms() - msg->age_ms,
-                                           .orders_revision = msg->known_at};
+    struct rk_rollout_announcement announcement = {
+        .epoch = msg->epoch,
+        .number = msg->number,
+        .announced_ms = rk_mono_ms() - msg->age_ms,
+        .orders_revision = msg->known_at};
     for (size_t i = 0; i < msg->n_rules && announcement.len < RK_ROLLOUTS; i++) {
         if (decode_rule(msg->rules[i], &announcement.rules[announcement.len])) {
             announcement.len++;
@@ -114,23 +116,23 @@
         return;
     }
     if (msg->number > 0 && msg->age_ms >= 0 &&
-        rk_rollouts_take(m->n->rollouts, &announcement) && m->bridge)
+        rk_rollouts_receive(m->n->rollouts, &announcement) && m->bridge)
         send_announcement(m, msg->domain, false);
 }
 
 /* ---- canary statistics ---- */
 
 /* Adds the statistics of one node or domain to a sum by service and version. */
-static void add_stats(struct rk_rollout_seen **sum, size_t *len,
-                      const struct rk_rollout_seen *stats, size_t stats_len)
+static void add_stats(struct rk_rollout_stats **sum, size_t *len,
+                      const struct rk_rollout_stats *stats, size_t stats_len)
 {
     for (size_t i = 0; i < stats_len; i++) {
-        struct rk_rollout_seen *to =
-            rk_rollout_seen_of(*sum, *len, stats[i].service, stats[i].version);
+        struct rk_rollout_stats *to =
+            rk_rollout_stats_find(*sum, *len, stats[i].service, stats[i].version);
         if (!to && *len < RK_ROLLOUTS) {
             *sum = rk_realloc(*sum, (*len + 1) * sizeof(**sum));
             to = &(*sum)[(*len)++];
-            *to = (struct rk_rollout_seen){0};
+            *to = (struct rk_rollout_stats){0};
             rk_strcpy(to->service, sizeof(to->service), stats[i].service);
             rk_strcpy(to->version, sizeof(to->version), stats[i].version);
         }
@@ -141,7 +143,7 @@
 
 /* Sums the statistics of this node and of the nodes that send theirs to it. Returns
  * the length of *sum, which the caller frees. */
-static size_t sum_stats(const struct rk_mesh *m, struct rk_rollout_seen **sum)
+static size_t sum_stats(const struct rk_mesh *m, struct rk_rollout_stats **sum)
 {
     const struct rk_relay_report *r = m->n->report;
     size_t len = 0;
@@ -150,7 +152,7 @@
         add_stats(sum, &len, r->canaries, r->canaries_len);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
         if (!k->canary_stats_of_domain &&
-            (m->direct || (m->bridge && rk_mesh_is_near(k))))
+            (m->direct || (m->bridge && rk_mesh_is_same_domain(k))))
             add_stats(sum, &len, k->canary_stats, k->canary_stats_len);
     return len;
 }
@@ -170,15 +172,15 @@
     return true;
 }
 
-void rk_mesh_add_trials(const struct rk_mesh *m, struct rk_rollout_seen *sum)
+void rk_mesh_sum_canary_stats(const struct rk_mesh *m, struct rk_rollout_stats *sum)
 {
-    struct rk_rollout_seen *all, *found;
+    struct rk_rollout_stats *all, *found;
     int64_t now_ms = rk_mono_ms();
     size_t len = sum_stats(m, &all);
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        if (!m->direct && !rk_mesh_is_near(k) && is_newest(k, now_ms))
+        if (!m->direct && !rk_mesh_is_same_domain(k) && is_newest(k, now_ms))
             add_stats(&all, &len, k->canary_stats, k->canary_stats_len);
-    found = rk_rollout_seen_of(all, len, sum->service, sum->version);
+    found = rk_rollout_stats_find(all, len, sum->service, sum->version);
     if (found)
         sum->rows = found->rows;
     free(all);
@@ -188,11 +190,11 @@
 struct message {
     Rillknot__RolloutSeen msg;
     Rillknot__TrialSeen trials[RK_ROLLOUTS], *trial_ptrs[RK_ROLLOUTS];
-    Rillknot__TrialRow rows[RK_ROLLOUTS][RK_TRIAL_ROWS];
-    Rillknot__TrialRow *row_ptrs[RK_ROLLOUTS][RK_TRIAL_ROWS];
+    Rillknot__TrialRow rows[RK_ROLLOUTS][RK_CANARY_ROWS];
+    Rillknot__TrialRow *row_ptrs[RK_ROLLOUTS][RK_CANARY_ROWS];
 };
 
-static void encode_row(Rillknot__TrialRow *out, struct rk_trial_row *row)
+static void encode_row(Rillknot__TrialRow *out, struct rk_canary_row *row)
 {
     rillknot__trial_row__init(out);
     out->route = row->route;
@@ -205,7 +207,7 @@
     out->log_sq = (float)row->stats.log_sq;
 }
 
-static void encode_stats(struct message *p, struct rk_rollout_seen *stats,
+static void encode_stats(struct message *p, struct rk_rollout_stats *stats,
                          size_t len)
 {
     for (size_t i = 0; i < len && i < RK_ROLLOUTS; i++) {
@@ -231,7 +233,7 @@
     const struct rk_mesh *m = k->m;
     if (m->direct)
         return !strcmp(k->id, leader);
-    if (rk_mesh_is_near(k))
+    if (rk_mesh_is_same_domain(k))
         return k->bridge;
     return m->bridge && !m->rank && !strcmp(k->id, leader);
 }
@@ -239,14 +241,15 @@
 void rk_rollout_send_stats(struct rk_mesh *m, int64_t now_ms)
 {
     char leader[RK_ID_MAX];
-    const struct rk_rollout_word *announcement = rk_rollouts_word(m->n->rollouts);
+    const struct rk_rollout_announcement *announcement =
+        rk_rollouts_announcement(m->n->rollouts);
     const struct rk_relay_report *r = m->n->report;
     if (!announcement || !announcement->len || !r ||
         now_ms - m->canary_stats_sent_ms < STATS_INTERVAL_MS)
         return;
     m->canary_stats_sent_ms = now_ms;
-    rk_duty_keeper_holder(m->n->leader, leader);
-    struct rk_rollout_seen *sum;
+    rk_leader_id(m->n->leader, leader);
+    struct rk_rollout_stats *sum;
     size_t sum_len = sum_stats(m, &sum);
     struct message *own = rk_alloc(1, sizeof(*own)),
                    *all = rk_alloc(1, sizeof(*all));
@@ -260,9 +263,9 @@
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     frame.body_case = RILLKNOT__FRAME__BODY_ROLLOUT_SEEN;
     for (struct member *k = m->contacts; k; k = k->next_contact) {
-        if (!wants_stats(k, leader) || !rk_mesh_takes(k->link))
+        if (!wants_stats(k, leader) || !rk_mesh_link_is_ready(k->link))
             continue;
-        bool far = !m->direct && !rk_mesh_is_near(k);
+        bool far = !m->direct && !rk_mesh_is_same_domain(k);
         frame.rollout_seen = far ? &all->msg : &own->msg;
         rk_link_send(k->link, &frame);
     }
@@ -272,21 +275,21 @@
 }
 
 static void decode_rows(const Rillknot__TrialSeen *from,
-                        struct rk_rollout_seen *out)
+                        struct rk_rollout_stats *out)
 {
-    *out = (struct rk_rollout_seen){0};
+    *out = (struct rk_rollout_stats){0};
     rk_strcpy(out->service, sizeof(out->service), from->service);
     rk_strcpy(out->version, sizeof(out->version), from->version);
     for (size_t i = 0; i < from->n_rows; i++) {
         const Rillknot__TrialRow *row = from->rows[i];
-        struct rk_trial_row *to =
-            rk_trial_row_at(&out->rows, row->route, row->domain, row->tried);
+        struct rk_canary_row *to =
+            rk_canary_get_row(&out->rows, row->route, row->domain, row->tried);
         if (to)
-            to->stats = (struct rk_trial_seen){.calls = row->calls,
-                                               .failed = row->failed,
-                                               .timed = row->timed,
-                                               .log_sum = row->log_sum,
-                                               .log_sq = row->log_sq};
+            to->stats = (struct rk_canary_stats){.calls = row->calls,
+                                                 .failed = row->failed,
+                                                 .timed = row->timed,
+                                                 .log_sum = row->log_sum,
+                                                 .log_sq = row->log_sq};
     }
 }
 
@@ -296,7 +299,7 @@
     size_t len = msg->n_trials < RK_ROLLOUTS ? msg->n_trials : RK_ROLLOUTS;
     if (!k)
         return;
-    rk_mesh_meet(k);
+    rk_mesh_add_contact(k);
     k->canary_stats =
         rk_realloc(k->canary_stats, (len + 1) * sizeof(*k->canary_stats));
     k->canary_stats_len = len;
