--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -20,12 +20,13 @@
 #define ANNOUNCEMENT_LOST_MS    3000
 #define STORE_QUERY_INTERVAL_MS 2000
 
-bool rk_rollouts_are_on(const struct rk_rollouts *r)
+bool rk_rollouts_are_enabled(const struct rk_rollouts *r)
 {
     return r->n->file.trial_share > 0;
 }
 
-const struct rk_rollout_word *rk_rollouts_word(const struct rk_rollouts *r)
+const struct rk_rollout_announcement *
+rk_rollouts_announcement(const struct rk_rollouts *r)
 {
     return r->announcement.number ? &r->announcement : NULL;
 }
@@ -107,18 +108,18 @@
 }
 
 const struct rk_rollout_rule *
-rk_rollout_announced_rule(const struct rk_rollout_word *announcement,
+rk_rollout_announced_rule(const struct rk_rollout_announcement *announcement,
                           const char *service)
 {
     return rk_rollout_rule_find(announcement->rules, announcement->len, service);
 }
 
-const struct rk_rollout_rule *rk_rollouts_moving(const struct rk_rollouts *r,
-                                                 const char *service)
+const struct rk_rollout_rule *rk_rollouts_active_rule(const struct rk_rollouts *r,
+                                                      const char *service)
 {
     const struct rk_rollout_rule *rule =
         rk_rollout_announced_rule(&r->announcement, service);
-    return rule && rule->phase < RK_ROLLOUT_TAKEN ? rule : NULL;
+    return rule && rule->phase < RK_ROLLOUT_COMMITTED ? rule : NULL;
 }
 
 /* first_revision: the store's revision at which the VM was first seen. */
@@ -131,16 +132,16 @@
     if (!s || !strcmp(s->version, row->version))
         return false;
     if (rule && !strcmp(rule->version, row->version))
-        return rule->phase == RK_ROLLOUT_GIVEN_BACK;
+        return rule->phase == RK_ROLLOUT_ROLLED_BACK;
     /* If no order for the service was there when the VM appeared, the platform has
      * replaced the version itself, and the VM may be used. */
     return rule || r->announcement.orders_revision < first_revision;
 }
 
-void rk_rollouts_mark(struct rk_rollouts *r, struct rk_vm_row *rows,
-                      const int64_t *since, size_t len)
+void rk_rollouts_mark_blocked(struct rk_rollouts *r, struct rk_vm_row *rows,
+                              const int64_t *since, size_t len)
 {
-    if (!rk_rollouts_are_on(r))
+    if (!rk_rollouts_are_enabled(r))
         return;
     for (size_t i = 0; i < len; i++)
         init_serving(r, rows, len, &rows[i]);
@@ -165,7 +166,7 @@
     for (size_t i = 0; i < r->announcement.len; i++) {
         const struct rk_rollout_rule *rule = &r->announcement.rules[i];
         struct serving *s = find_serving(r, rule->service);
-        if (!s || rule->phase != RK_ROLLOUT_TAKEN ||
+        if (!s || rule->phase != RK_ROLLOUT_COMMITTED ||
             !strcmp(s->version, rule->version))
             continue;
         rk_strcpy(s->previous, sizeof(s->previous), s->version);
@@ -190,8 +191,8 @@
     update_serving(r);
 }
 
-static bool same_rules(const struct rk_rollout_word *a,
-                       const struct rk_rollout_word *b)
+static bool same_rules(const struct rk_rollout_announcement *a,
+                       const struct rk_rollout_announcement *b)
 {
     if (a->len != b->len)
         return false;
@@ -216,7 +217,7 @@
 }
 
 static void set_announcement(struct rk_rollouts *r,
-                             const struct rk_rollout_word *announcement,
+                             const struct rk_rollout_announcement *announcement,
                              const char *from)
 {
     bool changed = r->announcement.epoch != announcement->epoch ||
@@ -233,13 +234,13 @@
         rk_sync_publish(r->n->sync);
 }
 
-bool rk_rollouts_take(struct rk_rollouts *r,
-                      const struct rk_rollout_word *announcement)
+bool rk_rollouts_receive(struct rk_rollouts *r,
+                         const struct rk_rollout_announcement *announcement)
 {
     bool newer = announcement->epoch > r->announcement.epoch ||
                  (announcement->epoch == r->announcement.epoch &&
                   announcement->number > r->announcement.number);
-    if (!newer || r->is_leader || !rk_rollouts_are_on(r))
+    if (!newer || r->is_leader || !rk_rollouts_are_enabled(r))
         return false;
     set_announcement(r, announcement, "peer");
     return true;
@@ -256,16 +257,16 @@
     if (st != RK_OK || !o || is_fresh(r) || r->is_leader ||
         !r->n->platform->parse_rollout(o->spec, o->status, &order))
         return;
-    struct rk_rollout_word announcement = r->announcement;
+    struct rk_rollout_announcement announcement = r->announcement;
     for (size_t i = 0; i < announcement.len; i++) {
         struct rk_rollout_rule *rule = &announcement.rules[i];
         if (strcmp(rule->service, order.service) != 0 ||
             strcmp(rule->version, order.version) != 0 ||
             order.state < RK_ROLLOUT_DONE)
             continue;
-        rule->phase = order.state == RK_ROLLOUT_DONE ? RK_ROLLOUT_TAKEN
-                                                     : RK_ROLLOUT_GIVEN_BACK;
-        rule->share = order.state == RK_ROLLOUT_DONE ? RK_ROLLOUT_ALL : 0;
+        rule->phase = order.state == RK_ROLLOUT_DONE ? RK_ROLLOUT_COMMITTED
+                                                     : RK_ROLLOUT_ROLLED_BACK;
+        rule->share = order.state == RK_ROLLOUT_DONE ? RK_ROLLOUT_SHARE_ALL : 0;
         rule->vms = 0;
         rule->revision++;
     }
@@ -285,7 +286,7 @@
         return;
     for (size_t i = 0; i < r->announcement.len; i++) {
         const struct rk_rollout_rule *rule = &r->announcement.rules[i];
-        if (rule->phase >= RK_ROLLOUT_TAKEN)
+        if (rule->phase >= RK_ROLLOUT_COMMITTED)
             continue;
         r->querying = true;
         r->queried_ms = now_ms;
@@ -300,7 +301,7 @@
  * platform's own replacement. */
 static void announce(struct rk_rollouts *r)
 {
-    struct rk_rollout_word announcement = {
+    struct rk_rollout_announcement announcement = {
         .epoch = r->epoch,
         .number =
             r->announcement.epoch == r->epoch ? r->announcement.number + 1 : 1,
@@ -310,10 +311,10 @@
         if (r->runs[i].used)
             announcement.rules[announcement.len++] = r->runs[i].rollout.rule;
     set_announcement(r, &announcement, "self");
-    rk_mesh_tell_rollouts(r->n->mesh);
+    rk_mesh_announce_rollouts(r->n->mesh);
 }
 
-static void set_leader(struct rk_rollouts *r, const struct rk_duty_token *token)
+static void set_leader(struct rk_rollouts *r, const struct rk_leader_token *token)
 {
     r->is_leader = token != NULL;
     r->epoch = token ? token->fence : 0;
@@ -323,13 +324,13 @@
     rk_rollouts_begin_leading(r);
 }
 
-void rk_rollouts_tick(struct rk_rollouts *r, const struct rk_duty_token *token)
+void rk_rollouts_tick(struct rk_rollouts *r, const struct rk_leader_token *token)
 {
-    if (!rk_rollouts_are_on(r))
+    if (!rk_rollouts_are_enabled(r))
         return;
     if (r->is_leader != (token != NULL) || (token && token->fence != r->epoch))
         set_leader(r, token);
-    rk_follow_set(&r->orders, r->is_leader);
+    rk_store_watch_enable(&r->orders, r->is_leader);
     update_relay(r);
     query_store(r);
     if (!r->is_leader || !r->orders.revision || !rk_sync_ready(r->n->sync))
@@ -350,6 +351,6 @@
 
 void rk_rollouts_destroy(struct rk_rollouts *r)
 {
-    rk_follow_destroy(&r->orders);
+    rk_store_watch_destroy(&r->orders);
     free(r);
 }
--- a/node/rollouts_hold.c
+++ b/node/rollouts_hold.c
@@ -42,7 +42,7 @@
         return;
     r->rule.rotation = last->rotation;
     r->rule.revision = last->revision + 1;
-    if (last->phase >= RK_ROLLOUT_SHIFT && last->phase > r->rule.phase) {
+    if (last->phase >= RK_ROLLOUT_CUTOVER && last->phase > r->rule.phase) {
         r->rule.phase = last->phase;
         r->rule.share = last->share;
     }
@@ -70,9 +70,9 @@
 {
     RK_EVENT("rollout.dropped", RK_S("service", run->rollout.order.service),
              RK_S("version", run->rollout.order.version));
-    run->used = run->rollout.rule.phase != RK_ROLLOUT_TAKEN;
+    run->used = run->rollout.rule.phase != RK_ROLLOUT_COMMITTED;
     run->cancelled = true;
-    rk_rollout_drop(&run->rollout, rk_mono_ms());
+    rk_rollout_cancel(&run->rollout, rk_mono_ms());
 }
 
 static void apply_order(struct rk_rollouts *r, const struct rk_store_object *o)
@@ -211,7 +211,7 @@
 
 static void log_phase(const struct rk_rollout *r)
 {
-    const struct rk_trial_finding *f = &r->finding;
+    const struct rk_canary_finding *f = &r->finding;
     RK_EVENT("rollout.phase", RK_S("service", r->order.service),
              RK_S("version", r->order.version),
              RK_S("phase", rk_rollout_phase_str(r->rule.phase)),
@@ -219,24 +219,25 @@
              RK_S("by", f->by_time ? "time" : "failures"), RK_S("route", f->route),
              RK_N("new_calls", (int64_t)f->new_stats.calls),
              RK_N("new_failed", (int64_t)f->new_stats.failed),
-             RK_N("new_pace_pct", rk_trial_pace_pct(&f->new_stats)),
+             RK_N("new_pace_pct", rk_canary_latency_pct(&f->new_stats)),
              RK_N("old_calls", (int64_t)f->old_stats.calls),
              RK_N("old_failed", (int64_t)f->old_stats.failed),
-             RK_N("old_pace_pct", rk_trial_pace_pct(&f->old_stats)));
+             RK_N("old_pace_pct", rk_canary_latency_pct(&f->old_stats)));
 }
 
 /* Counts the VMs of both versions, and the calls in flight at the old ones. */
-static void fill_input(const struct rollout_run *run, struct rk_rollout_view *in)
+static void fill_input(const struct rollout_run *run, struct rk_rollout_input *in)
 {
     const struct rk_node *n = run->r->n;
     const struct rk_rollout_order *order = &run->rollout.order;
     const struct rk_vm_row *row;
-    const struct rk_rollout_seen *own =
-        n->report ? rk_rollout_seen_of(n->report->canaries, n->report->canaries_len,
-                                       order->service, order->version)
-                  : NULL;
+    const struct rk_rollout_stats *own =
+        n->report
+            ? rk_rollout_stats_find(n->report->canaries, n->report->canaries_len,
+                                    order->service, order->version)
+            : NULL;
     in->old_running = own ? own->old_running : 1; /* not 0 before it is known */
-    char domains[RK_HOLDING_DOMAINS][RK_ID_MAX];
+    char domains[RK_SIZING_DOMAINS][RK_ID_MAX];
     for (size_t i = 0; (row = rk_sync_vm_at(n->sync, i)); i++) {
         if (strcmp(row->service, order->service) != 0)
             continue;
@@ -248,19 +249,19 @@
         size_t d = 0;
         while (d < in->new_domains && strcmp(domains[d], row->domain) != 0)
             d++;
-        if (d == in->new_domains && d < RK_HOLDING_DOMAINS)
+        if (d == in->new_domains && d < RK_SIZING_DOMAINS)
             rk_strcpy(domains[in->new_domains++], RK_ID_MAX, row->domain);
     }
 }
 
 static void step_run(struct rollout_run *run)
 {
-    struct rk_rollout_seen *stats = rk_alloc(1, sizeof(*stats));
+    struct rk_rollout_stats *stats = rk_alloc(1, sizeof(*stats));
     rk_strcpy(stats->service, sizeof(stats->service), run->rollout.order.service);
     rk_strcpy(stats->version, sizeof(stats->version), run->rollout.order.version);
-    rk_mesh_add_trials(run->r->n->mesh, stats);
-    struct rk_rollout_view input = {.now_ms = rk_mono_ms(),
-                                    .canary_rows = &stats->rows};
+    rk_mesh_sum_canary_stats(run->r->n->mesh, stats);
+    struct rk_rollout_input input = {.now_ms = rk_mono_ms(),
+                                     .canary_rows = &stats->rows};
     fill_input(run, &input);
     enum rk_rollout_phase old_phase = run->rollout.rule.phase;
     rk_rollout_step(&run->rollout, &input);
@@ -331,10 +332,10 @@
 
 void rk_rollouts_init_order_watch(struct rk_rollouts *r)
 {
-    r->orders = (struct rk_follow){.n = r->n,
-                                   .kind = r->n->platform->rollouts_kind,
-                                   .apply = apply_orders,
-                                   .on_answer = on_orders_answered,
-                                   .ctx = r};
-    rk_follow_init(&r->orders);
+    r->orders = (struct rk_store_watch){.n = r->n,
+                                        .kind = r->n->platform->rollouts_kind,
+                                        .apply = apply_orders,
+                                        .on_answer = on_orders_answered,
+                                        .ctx = r};
+    rk_store_watch_init(&r->orders);
 }
--- a/node/rollouts_impl.h
+++ b/node/rollouts_impl.h
@@ -27,18 +27,18 @@
 /* The version that serves a service: the first seen or the last committed one. */
 struct serving {
     char service[RK_ID_MAX];
-    char version[RK_VERSION_TEXT];
-    char previous[RK_VERSION_TEXT]; /* "": not known */
+    char version[RK_VERSION_MAX];
+    char previous[RK_VERSION_MAX]; /* "": not known */
 };
 
 struct rk_rollouts {
     struct rk_node *n;
-    struct rk_follow orders; /* the watch of orders; on at the leader only */
+    struct rk_store_watch orders; /* the watch of orders; on at the leader only */
     bool is_leader;
     int64_t epoch; /* of this node's lease */
     struct rollout_run runs[RK_ROLLOUTS];
-    struct rk_rollout_word announcement; /* the newest; number 0: none */
-    bool was_fresh;                      /* as sent to the relay last */
+    struct rk_rollout_announcement announcement; /* the newest; number 0: none */
+    bool was_fresh;                              /* as sent to the relay last */
     bool any_blocked;   /* VMs are blocked; a later known_at may unblock them */
     bool relay_updated; /* the relay has the announcement's rules */
     int64_t marked_revision; /* of the orders by which VMs were marked last */
@@ -50,7 +50,7 @@
 
 /* Returns the rule of a service in an announcement; NULL: there is none. */
 const struct rk_rollout_rule *
-rk_rollout_announced_rule(const struct rk_rollout_word *announcement,
+rk_rollout_announced_rule(const struct rk_rollout_announcement *announcement,
                           const char *service);
 
 /* Returns the version that another one replaces or has replaced; "": not known. */
--- a/node/signal_tell.c
+++ b/node/signal_tell.c
@@ -113,7 +113,7 @@
             continue;
         }
         rk_strcpy(v.domain, sizeof(v.domain), from->domain);
-        rk_signals_take(m->n->signals, &v, 1);
+        rk_signals_merge(m->n->signals, &v, 1);
     }
     rk_signals_tick(m->n->signals);
 }
--- a/node/signals.c
+++ b/node/signals.c
@@ -55,13 +55,13 @@
     return count(s, is_leaving);
 }
 
-void rk_signals_take(struct rk_signals *s, const struct rk_vm_signal *rows,
-                     size_t len)
+void rk_signals_merge(struct rk_signals *s, const struct rk_vm_signal *rows,
+                      size_t len)
 {
     int64_t now_ms = rk_mono_ms();
     for (size_t i = 0; i < len; i++) {
-        struct rk_vm_signal *v = rk_vm_signals_at(&s->table, rows[i].incarnation,
-                                                  rows[i].domain, now_ms);
+        struct rk_vm_signal *v = rk_vm_signals_get_or_add(
+            &s->table, rows[i].incarnation, rows[i].domain, now_ms);
         if (v && rk_vm_signal_merge(v, &rows[i], now_ms))
             v->senders = RK_SENDERS_UNKNOWN;
     }
@@ -93,7 +93,7 @@
             continue;
         c.all[c.all_len++] = k->hash;
         c.hash += rk_hash_str(k->hash, k->domain);
-        if (rk_mesh_is_near(k))
+        if (rk_mesh_is_same_domain(k))
             c.near[c.near_len++] = k->hash;
     }
     return c;
@@ -122,10 +122,10 @@
     if (!v->limited || !m->has_node_list || m->n->leaving)
         return 0;
     if (!strcmp(m->n->file.failure_domain, v->domain))
-        return rk_vm_limit_part(v, own, c->near, c->near_len);
+        return rk_vm_limit_senders(v, own, c->near, c->near_len);
     if (has_nodes(m, v->domain))
         return 0;
-    return rk_vm_limit_part(v, own, c->all, c->all_len);
+    return rk_vm_limit_senders(v, own, c->all, c->all_len);
 }
 
 /* ---- updates of the relay ---- */
@@ -176,7 +176,7 @@
     if (now_ms - s->expired_ms < EXPIRE_INTERVAL_MS)
         return;
     s->expired_ms = now_ms;
-    rk_vm_signals_forget(&s->table, now_ms);
+    rk_vm_signals_expire(&s->table, now_ms);
 }
 
 /* ---- creation ---- */
--- a/node/state.h
+++ b/node/state.h
@@ -13,12 +13,12 @@
 
 struct rk_http;
 struct rk_store;
-struct rk_duties;
+struct rk_leader_api;
 struct rk_server;
 struct rk_sync;
 struct rk_mesh;
-struct rk_duty_keeper;
-struct rk_duty_token;
+struct rk_leader;
+struct rk_leader_token;
 struct rk_rollouts;
 struct rk_quarantines;
 struct rk_signals;
@@ -36,13 +36,13 @@
     struct rk_loop *loop;
     struct rk_http *http;
     struct rk_store *store;
-    struct rk_duties *duties;
+    struct rk_leader_api *duties;
     struct rk_relay *relay;
     struct rk_server *ready_server, *metrics_server;
     struct rk_sync *sync;
     struct rk_mesh *mesh;
-    struct rk_duty_keeper *leader;
-    struct rk_remember *persist;
+    struct rk_leader *leader;
+    struct rk_persist *persist;
     struct rk_rollouts *rollouts;
     struct rk_quarantines *quarantines;
     struct rk_signals *signals;
@@ -64,7 +64,7 @@
 void rk_sync_destroy(struct rk_sync *s);
 void rk_sync_start(struct rk_sync *s);
 /* To be called when the read delay of this node has changed. */
-void rk_sync_turn(struct rk_sync *s);
+void rk_sync_read_delay_changed(struct rk_sync *s);
 /* Returns whether both the settings and the VM list are known. */
 bool rk_sync_ready(const struct rk_sync *s);
 /* Returns the version of the settings in use; 0: none. */
@@ -90,13 +90,13 @@
  * have none. */
 int64_t rk_sync_behind_ms(const struct rk_sync *s);
 /* Returns whether this node watches the store and gets answers from it. */
-bool rk_sync_hears_store(const struct rk_sync *s);
+bool rk_sync_store_reachable(const struct rk_sync *s);
 /* Fills in the reply to a peer's request. Its parts belong to s and are valid until
  * the next call. */
-void rk_sync_tell(struct rk_sync *s, const Rillknot__StoreWanted *wanted,
-                  Rillknot__StoreText *out);
+void rk_sync_fill_reply(struct rk_sync *s, const Rillknot__StoreWanted *wanted,
+                        Rillknot__StoreText *out);
 /* Applies settings and list changes received from a peer, if they are newer. */
-void rk_sync_take(struct rk_sync *s, const Rillknot__StoreText *text);
+void rk_sync_receive(struct rk_sync *s, const Rillknot__StoreText *text);
 
 /* ---- mesh.c, members.c and others: links to the other nodes ---- */
 
@@ -109,31 +109,31 @@
 const char *rk_mesh_bound(const struct rk_mesh *m);
 void rk_mesh_start(struct rk_mesh *m);
 /* Schedules a report to the peers a few ms from now, ahead of the regular one. */
-void rk_mesh_report(struct rk_mesh *m);
+void rk_mesh_schedule_report(struct rk_mesh *m);
 /* Returns how many nodes of this domain should watch the store before this one
  * does; -1: this one always should. */
 int rk_mesh_rank(const struct rk_mesh *m);
 /* Returns whether one of those nodes watches the store and gets answers. */
-bool rk_mesh_is_served(const struct rk_mesh *m);
+bool rk_mesh_has_store_watch(const struct rk_mesh *m);
 /* Returns whether this node has the list of nodes. Until then it can't decide who
  * should watch the store or be the leader. */
-bool rk_mesh_is_listed(const struct rk_mesh *m);
+bool rk_mesh_has_node_list(const struct rk_mesh *m);
 /* Returns whether the fleet is small enough for each node to report to each. */
 bool rk_mesh_is_direct(const struct rk_mesh *m);
 /* Returns whether this node is a bridge of its failure domain. */
 bool rk_mesh_is_bridge(const struct rk_mesh *m);
 /* Returns whether this node may run for the leader's lease, and write what all
  * nodes know to the store. */
-bool rk_mesh_stands(const struct rk_mesh *m);
+bool rk_mesh_is_candidate(const struct rk_mesh *m);
 /* To be called when newer settings are in use: sends them to the peers that
  * requested them and, from the first bridge of a domain, to all nodes there. */
-void rk_mesh_tell_settings(struct rk_mesh *m);
+void rk_mesh_send_settings(struct rk_mesh *m);
 /* At a bridge: sends changes of the VM list to the other nodes of its domain and,
  * if they came from the store rather than from a peer, to all other bridges. */
-void rk_mesh_push(struct rk_mesh *m, const Rillknot__StoreText *text,
-                  bool from_store);
+void rk_mesh_push_list(struct rk_mesh *m, const Rillknot__StoreText *text,
+                       bool from_store);
 /* Returns the number of reachable nodes, this one included. */
-int rk_mesh_heard(const struct rk_mesh *m);
+int rk_mesh_reachable_count(const struct rk_mesh *m);
 /* Returns the number of nodes of the fleet, this one included. */
 int rk_mesh_total(const struct rk_mesh *m);
 /* Returns the number of nodes of the fleet by the last digest of the bridge that is
@@ -141,30 +141,31 @@
 int rk_mesh_reported_total(const struct rk_mesh *m);
 /* Returns the size of the fleet for the persisted state; nodes is 0 if this node
  * doesn't have the list of nodes. */
-struct rk_fleet_size rk_mesh_size(const struct rk_mesh *m);
+struct rk_fleet_size rk_mesh_fleet_size(const struct rk_mesh *m);
 /* Returns this node's processor share, in thousandths of a core. */
 int64_t rk_mesh_capacity(const struct rk_mesh *m);
 /* To be called when the read delay of this node has changed. */
-void rk_mesh_turn(struct rk_mesh *m);
+void rk_mesh_read_delay_changed(struct rk_mesh *m);
 /* Returns the mean age in ms of the leader's counts of calls. */
 int64_t rk_mesh_usage_lag_ms(const struct rk_mesh *m);
 /* Adds the demand at all nodes, in quota units/s by organisation. */
-void rk_mesh_add_asking(const struct rk_mesh *m, struct rk_tally *sum);
+void rk_mesh_add_demand(const struct rk_mesh *m, struct rk_totals *sum);
 /* Returns whether a node is reachable from here or by a bridge's report. */
-bool rk_mesh_hears(const struct rk_mesh *m, const char *id);
+bool rk_mesh_is_reachable(const struct rk_mesh *m, const char *id);
 /* Returns whether this node acts for a missing leader: it is the first of the
  * candidates that are reachable, and most of the fleet is reachable. At most one
  * node gets true, except for a short while when reachability changes. */
-bool rk_mesh_is_first(const struct rk_mesh *m);
+bool rk_mesh_is_acting_leader(const struct rk_mesh *m);
 /* At the leader: sends the rollout announcement to the peers if it is due. */
-void rk_mesh_tell_rollouts(struct rk_mesh *m);
+void rk_mesh_announce_rollouts(struct rk_mesh *m);
 /* Sets sum->rows to the canary statistics of all nodes for sum's service and
  * version; leaves them as they are if there are none. */
-void rk_mesh_add_trials(const struct rk_mesh *m, struct rk_rollout_seen *sum);
+void rk_mesh_sum_canary_stats(const struct rk_mesh *m,
+                              struct rk_rollout_stats *sum);
 /* Returns the peers' use of a service: tokens read since this node's start and
  * calls in flight. engine is the estimate of all nodes, this one included. */
-struct rk_service_use rk_mesh_service_use(const struct rk_mesh *m,
-                                          const char *service);
+struct rk_service_load rk_mesh_service_use(const struct rk_mesh *m,
+                                           const char *service);
 
 /* ---- orders.c: orders for VMs ---- */
 
@@ -174,39 +175,39 @@
 /* token: of the leader; NULL if this node isn't the leader. The leader compares
  * demand with the VM list and orders what is missing; other nodes only track the
  * demand. */
-void rk_orders_tick(struct rk_orders *o, const struct rk_duty_token *token);
+void rk_orders_tick(struct rk_orders *o, const struct rk_leader_token *token);
 /* Tracks demand without ordering. */
-void rk_orders_watch(struct rk_orders *o);
+void rk_orders_track_demand(struct rk_orders *o);
 
 /* ---- remember.c: state that has to survive a kill of all nodes at once ---- */
 
-struct rk_remember;
-struct rk_remember *rk_remember_create(struct rk_node *n);
-void rk_remember_destroy(struct rk_remember *m);
+struct rk_persist;
+struct rk_persist *rk_persist_create(struct rk_node *n);
+void rk_persist_destroy(struct rk_persist *m);
 /* Starts to read the persisted state. */
-void rk_remember_start(struct rk_remember *m);
+void rk_persist_start(struct rk_persist *m);
 /* At the leader: persists what is due. */
-void rk_remember_tick(struct rk_remember *m);
+void rk_persist_tick(struct rk_persist *m);
 /* At the node that acts for a missing leader: persists the use of quotas and the
  * fleet's size if that is due. */
-void rk_remember_stand_in(struct rk_remember *m);
+void rk_persist_tick_acting(struct rk_persist *m);
 /* Returns whether the persisted use of quotas and counts of calls were read, can't
  * be read, or need not be, as this is the deployment's first start. */
-bool rk_remember_is_read(const struct rk_remember *m);
+bool rk_persist_is_read(const struct rk_persist *m);
 
 /* ---- returning.c: the read delay of a restarted node ---- */
 
 struct json_object;
 /* Starts a read delay of limited length, until the fleet's size is known. */
-void rk_returning_start(struct rk_node *n);
+void rk_read_delay_start(struct rk_node *n);
 /* Sets the read delay by the fleet's size in the persisted state; spec NULL: there
  * is no such state. */
-void rk_returning_know(struct rk_node *n, struct json_object *spec);
+void rk_read_delay_set_fleet_size(struct rk_node *n, struct json_object *spec);
 /* Returns the rest of the read delay in ms; 0: it is over. */
-int64_t rk_returning_wait_left_ms(const struct rk_node *n);
+int64_t rk_read_delay_left_ms(const struct rk_node *n);
 /* Returns whether this node gets the digests of a bridge that knows more than half
  * of the persisted number of nodes, so that it needn't read the list of nodes. */
-bool rk_returning_is_told(const struct rk_node *n);
+bool rk_read_delay_has_digests(const struct rk_node *n);
 
 /* ---- quarantines.c: requests under which VMs ended, merged over all nodes ---- */
 
@@ -218,11 +219,11 @@
 void rk_quarantines_tick(struct rk_quarantines *q);
 /* At the leader: checks now and then whether an operator let a stopped request
  * through again. */
-void rk_quarantines_hold(struct rk_quarantines *q);
+void rk_quarantines_check_store(struct rk_quarantines *q);
 /* Merges rows of this node's relay (own) or of a peer. */
-void rk_quarantines_take(struct rk_quarantines *q,
-                         const struct rk_quarantine_row *rows, size_t len,
-                         bool own);
+void rk_quarantines_merge(struct rk_quarantines *q,
+                          const struct rk_quarantine_row *rows, size_t len,
+                          bool own);
 /* Returns the table, owned by q. */
 const struct rk_quarantine *rk_quarantines_table(const struct rk_quarantines *q);
 /* Returns the number of stopped requests. */
@@ -233,8 +234,8 @@
 struct rk_signals *rk_signals_create(struct rk_node *n);
 void rk_signals_destroy(struct rk_signals *s);
 /* Merges rows of this node's relay or of a peer. */
-void rk_signals_take(struct rk_signals *s, const struct rk_vm_signal *rows,
-                     size_t len);
+void rk_signals_merge(struct rk_signals *s, const struct rk_vm_signal *rows,
+                      size_t len);
 /* Sends changed signals and changed shares of limits to the relay. */
 void rk_signals_tick(struct rk_signals *s);
 /* Returns the table, owned by s. */
@@ -249,15 +250,15 @@
 struct rk_rollouts *rk_rollouts_create(struct rk_node *n);
 void rk_rollouts_destroy(struct rk_rollouts *r);
 /* token: of the leader; NULL if this node isn't the leader. */
-void rk_rollouts_tick(struct rk_rollouts *r, const struct rk_duty_token *token);
+void rk_rollouts_tick(struct rk_rollouts *r, const struct rk_leader_token *token);
 /* Marks the rows that may get no calls: their version was rolled back, or nobody is
  * known to have ordered it. since[i]: the store's revision at which row i was seen
  * first. */
-void rk_rollouts_mark(struct rk_rollouts *r, struct rk_vm_row *rows,
-                      const int64_t *since, size_t len);
+void rk_rollouts_mark_blocked(struct rk_rollouts *r, struct rk_vm_row *rows,
+                              const int64_t *since, size_t len);
 /* A rollout announcement of the leader: a rule for each ordered rollout. Those of a
  * higher epoch, and within an epoch of a higher number, are newer. */
-struct rk_rollout_word {
+struct rk_rollout_announcement {
     int64_t epoch, number;
     int64_t announced_ms; /* when the leader made it, by this node's clock */
     int64_t
@@ -267,15 +268,17 @@
 };
 /* Applies an announcement received from a peer. Returns false if it isn't newer
  * than the current one, this node is the leader, or rollouts are disabled here. */
-bool rk_rollouts_take(struct rk_rollouts *r, const struct rk_rollout_word *word);
+bool rk_rollouts_receive(struct rk_rollouts *r,
+                         const struct rk_rollout_announcement *word);
 /* Returns the newest announcement, owned by r; NULL: there is none. */
-const struct rk_rollout_word *rk_rollouts_word(const struct rk_rollouts *r);
+const struct rk_rollout_announcement *
+rk_rollouts_announcement(const struct rk_rollouts *r);
 /* Returns the rule of a service's rollout in progress, owned by r; NULL: there is
  * none. */
-const struct rk_rollout_rule *rk_rollouts_moving(const struct rk_rollouts *r,
-                                                 const char *service);
+const struct rk_rollout_rule *rk_rollouts_active_rule(const struct rk_rollouts *r,
+                                                      const char *service);
 /* Returns whether rollouts are enabled at this node. */
-bool rk_rollouts_are_on(const struct rk_rollouts *r);
+bool rk_rollouts_are_enabled(const struct rk_rollouts *r);
 
 /* ---- rollout_metrics.c ---- */
 
@@ -285,26 +288,25 @@
 
 /* ---- duties.c: the leader's lease, usage reports and orders for VMs ---- */
 
-struct rk_duty_keeper *rk_duty_keeper_create(struct rk_node *n);
-void rk_duty_keeper_destroy(struct rk_duty_keeper *k);
-void rk_duty_keeper_start(struct rk_duty_keeper *k);
+struct rk_leader *rk_leader_create(struct rk_node *n);
+void rk_leader_destroy(struct rk_leader *k);
+void rk_leader_start(struct rk_leader *k);
 /* Gets this node's own lease, for its reports to peers. Returns false if this node
  * doesn't hold the lease now. *value belongs to k and is valid until the next write
  * of the lease. */
-bool rk_duty_keeper_lease(const struct rk_duty_keeper *k, int64_t *version,
-                          const char **value);
+bool rk_leader_own_lease(const struct rk_leader *k, int64_t *version,
+                         const char **value);
 /* Notes a version of the lease that a peer reported. */
-void rk_duty_keeper_seen(struct rk_duty_keeper *k, int64_t version,
-                         const char *value);
+void rk_leader_note_lease(struct rk_leader *k, int64_t version, const char *value);
 /* At the leader: schedules a tick soon, as something that orders depend on has
  * changed. */
-void rk_duty_keeper_look(struct rk_duty_keeper *k);
+void rk_leader_schedule_tick(struct rk_leader *k);
 /* Gets the newest version of the lease that is known here, whoever is the leader.
  * Returns false if none is known. *value belongs to k and is valid until a newer
  * version is known. */
-bool rk_duty_keeper_newest(const struct rk_duty_keeper *k, int64_t *version,
-                           const char **value);
+bool rk_leader_newest_lease(const struct rk_leader *k, int64_t *version,
+                            const char **value);
 /* Gets the leader's node id by that version; "": not known. */
-void rk_duty_keeper_holder(const struct rk_duty_keeper *k, char id[RK_ID_MAX]);
+void rk_leader_id(const struct rk_leader *k, char id[RK_ID_MAX]);
 
 #endif
--- a/node/sync.c
+++ b/node/sync.c
@@ -12,14 +12,14 @@
 #define WATCH_INTERVAL_MS 200
 /* The same at a node without the list of nodes: longer than the time until it
  * decides again whether it should watch. */
-#define WATCH_INTERVAL_UNLISTED_MS (RK_FOLLOWING_TICK_MS + 50)
+#define WATCH_INTERVAL_UNLISTED_MS (RK_WATCH_POLICY_CHECK_MS + 50)
 /* The store had an outage if it answered no node for this long. */
 #define STORE_OUTAGE_MS 2600
 
 /* ---- peers ---- */
 
-void rk_sync_tell(struct rk_sync *s, const Rillknot__StoreWanted *wanted,
-                  Rillknot__StoreText *out)
+void rk_sync_fill_reply(struct rk_sync *s, const Rillknot__StoreWanted *wanted,
+                        Rillknot__StoreText *out)
 {
     rillknot__store_text__init(out);
     if (wanted->settings && s->routes)
@@ -28,7 +28,7 @@
         rk_sync_fill_list(s, wanted->list_since, out);
 }
 
-void rk_sync_take(struct rk_sync *s, const Rillknot__StoreText *text)
+void rk_sync_receive(struct rk_sync *s, const Rillknot__StoreText *text)
 {
     if (text->settings_zip.len && text->settings_revision > rk_sync_version(s))
         rk_sync_receive_settings(s, text);
@@ -96,10 +96,10 @@
     return first_ms ? rk_mono_ms() - first_ms : -1;
 }
 
-bool rk_sync_hears_store(const struct rk_sync *s)
+bool rk_sync_store_reachable(const struct rk_sync *s)
 {
     return s->vms.enabled && !s->vms.lost &&
-           rk_mono_ms() - s->vms.answered_ms < RK_FOLLOWING_STALE_MS;
+           rk_mono_ms() - s->vms.answered_ms < RK_WATCH_POLICY_STALE_MS;
 }
 
 int64_t rk_sync_behind_ms(const struct rk_sync *s)
@@ -110,17 +110,17 @@
 static bool should_watch(const struct rk_sync *s)
 {
     const struct rk_node *n = s->n;
-    const struct rk_following f = {
+    const struct rk_watch_policy_input f = {
         .first_start = n->file.first_start,
         .up_ms = rk_mono_ms() - n->started_ms,
-        .listed = rk_mesh_is_listed(n->mesh),
+        .listed = rk_mesh_has_node_list(n->mesh),
         .ready = rk_sync_ready(s),
-        .waits_for_slot = rk_returning_wait_left_ms(n) > 0,
+        .waits_for_slot = rk_read_delay_left_ms(n) > 0,
         .nodes_before = rk_mesh_rank(n->mesh),
-        .has_preceding_watch = rk_mesh_is_served(n->mesh),
+        .has_preceding_watch = rk_mesh_has_store_watch(n->mesh),
         .watches = s->vms.enabled,
         .age_ms = rk_sync_age_ms(s)};
-    return rk_following_should(&f);
+    return rk_watch_policy_is_needed(&f);
 }
 
 /* A node without the list of nodes waits past its next tick before it watches
@@ -128,7 +128,7 @@
  * kind and no watch. */
 static void set_watch_intervals(struct rk_sync *s)
 {
-    bool listed = rk_mesh_is_listed(s->n->mesh);
+    bool listed = rk_mesh_has_node_list(s->n->mesh);
     s->settings.min_interval_ms = listed ? 0 : WATCH_INTERVAL_UNLISTED_MS;
     s->vms.min_interval_ms = !listed ? WATCH_INTERVAL_UNLISTED_MS
                              : rk_mesh_is_direct(s->n->mesh) ? 0
@@ -138,10 +138,10 @@
 static void on_tick(void *ctx)
 {
     struct rk_sync *s = ctx;
-    int64_t delay_ms = rk_returning_wait_left_ms(s->n);
-    bool ends_soon = delay_ms > 0 && delay_ms < RK_FOLLOWING_TICK_MS;
+    int64_t delay_ms = rk_read_delay_left_ms(s->n);
+    bool ends_soon = delay_ms > 0 && delay_ms < RK_WATCH_POLICY_CHECK_MS;
     rk_timer_start(s->n->loop, &s->tick,
-                   ends_soon ? delay_ms : RK_FOLLOWING_TICK_MS);
+                   ends_soon ? delay_ms : RK_WATCH_POLICY_CHECK_MS);
     bool watch = should_watch(s);
     set_watch_intervals(s);
     if (watch != s->vms.enabled)
@@ -149,9 +149,9 @@
                  RK_N("age_ms", rk_sync_age_ms(s)),
                  RK_N("rank", rk_mesh_rank(s->n->mesh)));
     if (!s->settings.enabled && rk_sync_behind_ms(s))
-        rk_follow_forget(&s->settings);
-    rk_follow_set(&s->settings, watch);
-    rk_follow_set(&s->vms, watch);
+        rk_store_watch_relist(&s->settings);
+    rk_store_watch_enable(&s->settings, watch);
+    rk_store_watch_enable(&s->vms, watch);
 }
 
 /* ---- creation ---- */
@@ -160,19 +160,19 @@
 {
     struct rk_sync *s = rk_alloc(1, sizeof(*s));
     s->n = n;
-    s->settings = (struct rk_follow){.n = n,
-                                     .kind = n->platform->settings_kind,
-                                     .apply = rk_sync_apply_settings,
-                                     .list_when_behind = true,
+    s->settings = (struct rk_store_watch){.n = n,
+                                          .kind = n->platform->settings_kind,
+                                          .apply = rk_sync_apply_settings,
+                                          .list_when_behind = true,
+                                          .on_answer = on_store_answer,
+                                          .ctx = s};
+    s->vms = (struct rk_store_watch){.n = n,
+                                     .kind = n->platform->vms_kind,
+                                     .apply = rk_sync_apply_list,
                                      .on_answer = on_store_answer,
                                      .ctx = s};
-    s->vms = (struct rk_follow){.n = n,
-                                .kind = n->platform->vms_kind,
-                                .apply = rk_sync_apply_list,
-                                .on_answer = on_store_answer,
-                                .ctx = s};
-    rk_follow_init(&s->settings);
-    rk_follow_init(&s->vms);
+    rk_store_watch_init(&s->settings);
+    rk_store_watch_init(&s->vms);
     s->tick = (struct rk_timer){.fn = on_tick, .ctx = s};
     rk_sync_list_init(s);
     return s;
@@ -181,8 +181,8 @@
 void rk_sync_destroy(struct rk_sync *s)
 {
     rk_timer_stop(s->n->loop, &s->tick);
-    rk_follow_destroy(&s->settings);
-    rk_follow_destroy(&s->vms);
+    rk_store_watch_destroy(&s->settings);
+    rk_store_watch_destroy(&s->vms);
     rk_sync_list_free(s);
     rk_buf_free(&s->settings_zip);
     rk_routes_unref(s->routes);
@@ -194,7 +194,7 @@
     on_tick(s);
 }
 
-void rk_sync_turn(struct rk_sync *s)
+void rk_sync_read_delay_changed(struct rk_sync *s)
 {
     rk_timer_start(s->n->loop, &s->tick, 0);
 }
--- a/node/sync_impl.h
+++ b/node/sync_impl.h
@@ -34,7 +34,7 @@
 
 struct rk_sync {
     struct rk_node *n;
-    struct rk_follow settings, vms;
+    struct rk_store_watch settings, vms;
     struct rk_timer tick, grace_timer;
     /* Latest time at which a peer's settings, or its list, were the newest and this
      * node had the same; 0: never. */
--- a/node/sync_list.c
+++ b/node/sync_list.c
@@ -93,7 +93,7 @@
     struct removed_vm r = {.revision = revision, .store_revision = revision};
     RK_WARN("vm.rejected", RK_S("vm", name), RK_S("why", rk_last_error()),
             RK_S("from", from), RK_N("revision", revision));
-    rk_count(RK_C_VMS_REJECTED, 1);
+    rk_counter_add(RK_C_VMS_REJECTED, 1);
     if (!find_entry(s, name))
         return false;
     rk_strcpy(r.name, sizeof(r.name), name);
@@ -104,9 +104,9 @@
  * false if the row is of an earlier incarnation and arrived late. */
 static bool complete_row(struct entry *e, struct rk_vm_row *row, int64_t revision)
 {
-    if (rk_vm_is_reborn(row, &e->row))
+    if (rk_vm_is_restarted(row, &e->row))
         return false;
-    if (rk_vm_is_reborn(&e->row, row)) {
+    if (rk_vm_is_restarted(&e->row, row)) {
         e->first_revision = revision;
         return true;
     }
@@ -293,10 +293,10 @@
     const Rillknot__StoreWanted wanted = {.list = true, .list_since = since};
     Rillknot__StoreText text = RILLKNOT__STORE_TEXT__INIT;
     if (rk_mesh_is_bridge(s->n->mesh))
-        rk_sync_tell(s, &wanted, &text);
+        rk_sync_fill_reply(s, &wanted, &text);
     if (text.list_revision || text.zip_revision)
-        rk_mesh_push(s->n->mesh, &text, !strcmp(from, "store"));
-    rk_mesh_report(s->n->mesh);
+        rk_mesh_push_list(s->n->mesh, &text, !strcmp(from, "store"));
+    rk_mesh_schedule_report(s->n->mesh);
 }
 
 /* Returns the revision up to which an answer of the store covers all changes of the
@@ -397,7 +397,7 @@
     s->zip_since = rows->list_since;
     uint8_t *packed = rk_alloc(1, s->zip_plain_len);
     rillknot__store_text__pack(rows, packed);
-    bool zipped = rk_zip(&s->list_zip, (char *)packed, s->zip_plain_len);
+    bool zipped = rk_zlib_compress(&s->list_zip, (char *)packed, s->zip_plain_len);
     free(packed);
     if (!zipped)
         s->list_zip.len = 0;
@@ -462,10 +462,10 @@
 static Rillknot__StoreText *unzip_list(const Rillknot__StoreText *text)
 {
     Rillknot__StoreText *rows = NULL;
-    char *packed =
-        text->list_len > LIST_MAX_BYTES
-            ? NULL
-            : rk_unzip(text->list_zip.data, text->list_zip.len, text->list_len);
+    char *packed = text->list_len > LIST_MAX_BYTES
+                       ? NULL
+                       : rk_zlib_decompress(text->list_zip.data, text->list_zip.len,
+                                            text->list_len);
     if (packed)
         rows = rillknot__store_text__unpack(NULL, text->list_len,
                                             (const uint8_t *)packed);
@@ -521,7 +521,7 @@
     s->in_bulk = false;
     s->list_known = true;
     s->list_revision = text->list_revision;
-    rk_follow_skip(&s->vms, text->list_revision);
+    rk_store_watch_skip_to(&s->vms, text->list_revision);
     if (changed)
         rk_sync_publish_changes(s);
     push_list(s, known, "peer");
--- a/node/sync_publish.c
+++ b/node/sync_publish.c
@@ -28,7 +28,7 @@
 {
     s->published = queued;
     s->unsent_removed_len = 0;
-    rk_duty_keeper_look(s->n->leader);
+    rk_leader_schedule_tick(s->n->leader);
 }
 
 void rk_sync_publish(struct rk_sync *s)
@@ -41,7 +41,7 @@
         first_revisions[i] = s->entries[i]->first_revision;
         s->entries[i]->needs_publish = false;
     }
-    rk_rollouts_mark(s->n->rollouts, rows, first_revisions, s->entries_len);
+    rk_rollouts_mark_blocked(s->n->rollouts, rows, first_revisions, s->entries_len);
     free(first_revisions);
     note_relay_update(s, rk_relay_set_vms(s->n->relay, rows, s->entries_len));
 }
@@ -65,7 +65,7 @@
 void rk_sync_publish_changes(struct rk_sync *s)
 {
     /* With rollouts, which VMs are blocked depends on the whole list. */
-    if (!s->published || rk_rollouts_are_on(s->n->rollouts)) {
+    if (!s->published || rk_rollouts_are_enabled(s->n->rollouts)) {
         rk_sync_publish(s);
         return;
     }
@@ -75,5 +75,5 @@
     if (removed_len)
         memcpy(removed, s->unsent_removed, removed_len * sizeof(*removed));
     note_relay_update(
-        s, rk_relay_change_vms(s->n->relay, rows, len, removed, removed_len));
+        s, rk_relay_update_vms(s->n->relay, rows, len, removed, removed_len));
 }
--- a/node/sync_settings.c
+++ b/node/sync_settings.c
@@ -15,7 +15,7 @@
 {
     s->settings_zip.len = 0;
     s->settings_plain_len = strlen(text);
-    if (!rk_zip(&s->settings_zip, text, s->settings_plain_len))
+    if (!rk_zlib_compress(&s->settings_zip, text, s->settings_plain_len))
         RK_WARN("settings.not_told", RK_N("bytes", (int64_t)s->settings_plain_len));
 }
 
@@ -47,8 +47,8 @@
     s->routes = routes;
     rk_relay_set_routes(s->n->relay, rk_routes_ref(routes));
     note_caught_up(s);
-    rk_mesh_report(s->n->mesh);
-    rk_mesh_tell_settings(s->n->mesh);
+    rk_mesh_schedule_report(s->n->mesh);
+    rk_mesh_send_settings(s->n->mesh);
 }
 
 enum settings_result { SETTINGS_APPLIED, SETTINGS_NOT_NEWER, SETTINGS_INVALID };
@@ -108,9 +108,10 @@
 
 void rk_sync_receive_settings(struct rk_sync *s, const Rillknot__StoreText *text)
 {
-    char *plain = text->settings_len > SETTINGS_MAX_BYTES
-                      ? NULL
-                      : rk_unzip(text->settings_zip.data, text->settings_zip.len,
+    char *plain =
+        text->settings_len > SETTINGS_MAX_BYTES
+            ? NULL
+            : rk_zlib_decompress(text->settings_zip.data, text->settings_zip.len,
                                  text->settings_len);
     struct json_object *spec = plain ? json_tokener_parse(plain) : NULL;
     free(plain);
@@ -119,6 +120,6 @@
                 RK_N("bytes", (int64_t)text->settings_zip.len));
     else if (apply_settings(s, spec, "peer") == SETTINGS_APPLIED)
         copy_zip(s, text);
-    rk_follow_forget(&s->settings);
+    rk_store_watch_relist(&s->settings);
     json_object_put(spec);
 }
--- a/node/tell.c
+++ b/node/tell.c
@@ -43,9 +43,9 @@
 {
     size_t bytes = 0;
     for (const struct member *k = m->contacts; k; k = k->next_contact)
-        bytes += k->link ? rk_link_waiting(k->link) : 0;
+        bytes += k->link ? rk_link_queued_len(k->link) : 0;
     for (const struct inbound_link *in = m->inbound; in; in = in->next)
-        bytes += rk_link_waiting(in->link);
+        bytes += rk_link_queued_len(in->link);
     return bytes;
 }
 
@@ -55,7 +55,7 @@
                          int64_t version)
 {
     return state->settings_requested &&
-           (state->settings_sent < version || !rk_link_waiting(link));
+           (state->settings_sent < version || !rk_link_queued_len(link));
 }
 
 /* Returns whether to send the settings to a member now. The first bridge of a
@@ -63,11 +63,11 @@
 static bool is_due(const struct member *k, int64_t version)
 {
     const struct rk_mesh *m = k->m;
-    if (k->settings_version >= version || !rk_mesh_takes(k->link))
+    if (k->settings_version >= version || !rk_mesh_link_is_ready(k->link))
         return false;
     if (is_requested(&k->link_state, k->link, version))
         return true;
-    return m->bridge && !m->rank && rk_mesh_is_near(k) &&
+    return m->bridge && !m->rank && rk_mesh_is_same_domain(k) &&
            k->link_state.settings_sent < version;
 }
 
@@ -89,7 +89,7 @@
         p->incomplete = true;
         return;
     }
-    rk_sync_tell(p->m->n->sync, &settings, &text);
+    rk_sync_fill_reply(p->m->n->sync, &settings, &text);
     frame.body_case = RILLKNOT__FRAME__BODY_STORE_TEXT;
     frame.store_text = &text;
     if (!text.settings_zip.len || !rk_link_send(link, &frame))
@@ -106,7 +106,7 @@
     const Rillknot__StoreWanted list = {.list = true, .list_since = since};
     Rillknot__StoreText text;
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
-    rk_sync_tell(m->n->sync, &list, &text);
+    rk_sync_fill_reply(m->n->sync, &list, &text);
     frame.body_case = RILLKNOT__FRAME__BODY_STORE_TEXT;
     frame.store_text = &text;
     struct rk_packed_frame packed = rk_frame_pack(&frame);
@@ -119,14 +119,14 @@
 static void send_list(struct pass *p, struct rk_link *link,
                       struct link_state *state)
 {
-    if (!state->list_requested || !rk_mesh_takes(link))
+    if (!state->list_requested || !rk_mesh_link_is_ready(link))
         return;
     if (p->waiting >= WAITING_MAX_BYTES) {
         p->incomplete = true;
         return;
     }
     state->list_requested = false;
-    if (state->list_sent && rk_link_waiting(link))
+    if (state->list_sent && rk_link_queued_len(link))
         return;
     state->list_sent = true;
     p->waiting += send_list_since(p->m, link, 0);
@@ -182,7 +182,7 @@
                                  struct link_state *state, int64_t since)
 {
     if (since) {
-        if (rk_mesh_takes(link))
+        if (rk_mesh_link_is_ready(link))
             send_list_since(m, link, since);
         return;
     }
@@ -190,7 +190,7 @@
     rk_transfer_schedule(m);
 }
 
-void rk_mesh_tell_settings(struct rk_mesh *m)
+void rk_mesh_send_settings(struct rk_mesh *m)
 {
     m->settings_requested_ms = 0;
     rk_transfer_schedule(m);
--- a/node/usage_tell.c
+++ b/node/usage_tell.c
@@ -77,7 +77,8 @@
     rk_usage_merge(&n->usage, &row);
 }
 
-void rk_usage_take(struct rk_node *n, Rillknot__UsageRow *const *rows, size_t len)
+void rk_usage_receive(struct rk_node *n, Rillknot__UsageRow *const *rows,
+                      size_t len)
 {
     for (size_t i = 0; i < len; i++)
         merge_row(n, rows[i]);
@@ -117,12 +118,12 @@
 void rk_usage_send_to_leader(struct rk_mesh *m, int64_t now_ms)
 {
     char id[RK_ID_MAX];
-    rk_duty_keeper_holder(m->n->leader, id);
+    rk_leader_id(m->n->leader, id);
     struct member *leader = m->bridge && id[0] ? rk_mesh_find(m, id) : NULL;
     if (!leader)
         return;
     leader->needed_ms = now_ms;
-    if (!rk_mesh_takes(leader->link))
+    if (!rk_mesh_link_is_ready(leader->link))
         return;
     if (strcmp(m->usage_leader, id) != 0)
         m->domain_usage_sent =
--- a/objects/objects.c
+++ b/objects/objects.c
@@ -80,7 +80,7 @@
 {
     const struct rk_rest_call call = {
         .method = "GET", .url = url, .wait_ms = wait_ms};
-    rk_count(RK_C_OBJECT_READS, 1);
+    rk_counter_add(RK_C_OBJECT_READS, 1);
     rk_rest_start(o->http, &call, on_done, op);
 }
 
@@ -132,6 +132,6 @@
         snprintf(match, sizeof(match), "If-None-Match: *");
     const struct rk_rest_call call = {
         .method = "PUT", .url = url, .condition_header = match, .body = value};
-    rk_count(RK_C_OBJECT_WRITES, 1);
+    rk_counter_add(RK_C_OBJECT_WRITES, 1);
     rk_rest_start(o->http, &call, on_done, op);
 }
--- a/objects/store.h
+++ b/objects/store.h
@@ -37,8 +37,8 @@
                               int64_t at);
 /* object is the current object, with RK_ECONFLICT, too; NULL if the response does
  * not contain it. */
-typedef void rk_store_one_fn(void *ctx, enum rk_status st,
-                             const struct rk_store_object *object);
+typedef void rk_store_object_fn(void *ctx, enum rk_status st,
+                                const struct rk_store_object *object);
 
 struct rk_store_ops {
     /* Lists all objects of a kind. stale accepts a result that is seconds old,
@@ -51,21 +51,21 @@
                   int64_t wait_ms, rk_store_list_fn *fn, void *ctx);
     /* Reads one object. stale: as for list. */
     void (*read)(struct rk_store *s, const char *kind, const char *name, bool stale,
-                 rk_store_one_fn *fn, void *ctx);
+                 rk_store_object_fn *fn, void *ctx);
     /* Creates an object from spec, a JSON text. RK_ECONFLICT: it exists. */
     void (*create)(struct rk_store *s, const char *kind, const char *name,
-                   const char *spec, rk_store_one_fn *fn, void *ctx);
+                   const char *spec, rk_store_object_fn *fn, void *ctx);
     /* Replaces the spec. RK_ECONFLICT: the object has another revision. */
     void (*replace)(struct rk_store *s, const char *kind, const char *name,
-                    int64_t revision, const char *spec, rk_store_one_fn *fn,
+                    int64_t revision, const char *spec, rk_store_object_fn *fn,
                     void *ctx);
     /* Replaces only the status. RK_ECONFLICT: the object has another revision. */
     void (*replace_status)(struct rk_store *s, const char *kind, const char *name,
                            int64_t revision, const char *status,
-                           rk_store_one_fn *fn, void *ctx);
+                           rk_store_object_fn *fn, void *ctx);
     /* Removes the object, whatever its revision. */
     void (*remove)(struct rk_store *s, const char *kind, const char *name,
-                   rk_store_one_fn *fn, void *ctx);
+                   rk_store_object_fn *fn, void *ctx);
     void (*destroy)(struct rk_store *s);
 };
 
--- a/operators/session.c
+++ b/operators/session.c
@@ -99,8 +99,8 @@
     struct rk_session *s = ctx;
     s->status = st;
     for (size_t i = 0; i < len; i++)
-        rk_changelog_take(s->log, rk_change_number(objects[i].name),
-                          objects[i].value);
+        rk_changelog_append(s->log, rk_change_number(objects[i].name),
+                            objects[i].value);
     s->done = true;
 }
 
@@ -214,7 +214,7 @@
         if (st != RK_ECONFLICT)
             break;
         bool same_paths = rk_changes_conflict(text, s->value);
-        rk_changelog_take(s->log, *number, s->value);
+        rk_changelog_append(s->log, *number, s->value);
         if (same_paths) {
             st = rk_fail(RK_ECONFLICT,
                          "change %" PRId64 " set the same paths first", *number);
@@ -289,8 +289,8 @@
     s->done = true;
 }
 
-enum rk_status rk_session_page(struct rk_session *s, const char *entry,
-                               const char *path, char **body)
+enum rk_status rk_session_fetch(struct rk_session *s, const char *entry,
+                                const char *path, char **body)
 {
     char url[URL_MAX];
     snprintf(url, sizeof(url), "http://%s%s", entry, path);
--- a/operators/session.h
+++ b/operators/session.h
@@ -42,7 +42,7 @@
 /* Fetches a path, e.g. "/status", from the entry node at the address entry. On
  * RK_OK, whatever the HTTP status, the caller frees *body. Returns RK_EUNAVAILABLE
  * if the node doesn't answer. */
-enum rk_status rk_session_page(struct rk_session *s, const char *entry,
-                               const char *path, char **body);
+enum rk_status rk_session_fetch(struct rk_session *s, const char *entry,
+                                const char *path, char **body);
 
 #endif
--- a/peers/link.c
+++ b/peers/link.c
@@ -25,7 +25,7 @@
 #define READ_CHUNK_BYTES    (64 * 1024)
 #define LISTEN_BACKLOG      256
 
-/* rk_link_waiting() compares samples that are less than this apart. */
+/* rk_link_queued_len() compares samples that are less than this apart. */
 #define SAMPLE_MAX_GAP_MS 100
 /* Time without progress after which a path counts as broken. A link that is merely
  * saturated sends something within it. */
@@ -43,7 +43,7 @@
     /* If rk_link_destroy() is called in a callback, the link is freed after it. */
     bool in_callback, destroyed;
     struct rk_buf in, out;
-    size_t sampled_bytes; /* waiting at the last call of rk_link_waiting() */
+    size_t sampled_bytes; /* waiting at the last call of rk_link_queued_len() */
     int64_t sampled_ms;   /* when that was */
     int64_t progress_ms;  /* when fewer bytes waited than at the call before */
 };
@@ -127,7 +127,7 @@
 /* ProtobufCAllocator's functions for frames in an arena. */
 static void *alloc_in_arena(void *ctx, size_t len)
 {
-    return rk_arena_take(ctx, len);
+    return rk_arena_alloc(ctx, len);
 }
 
 static void free_in_arena(void *ctx, void *piece)
@@ -296,7 +296,7 @@
     if (l->down || l->destroyed || !p->len || l->out.len + p->len > SEND_BUFFER_MAX)
         return false;
     rk_buf_add(&l->out, p->data, p->len);
-    rk_count(RK_C_LINK_BYTES, p->len);
+    rk_counter_add(RK_C_LINK_BYTES, p->len);
     /* If sending fails, the socket's next event reports it: callbacks must not run
      * from here. */
     if (l->up)
@@ -313,12 +313,12 @@
     return sent;
 }
 
-size_t rk_link_unsent(const struct rk_link *l)
+size_t rk_link_unsent_len(const struct rk_link *l)
 {
     return l->out.len;
 }
 
-size_t rk_link_waiting(struct rk_link *l)
+size_t rk_link_queued_len(struct rk_link *l)
 {
     int queued = 0;
     int64_t now_ms = rk_mono_ms();
--- a/peers/rows.c
+++ b/peers/rows.c
@@ -45,8 +45,8 @@
     row->queued = v->queued;
 }
 
-void rk_rows_fill(struct rk_rows *r, const struct rk_members *m,
-                  const struct rk_delta *delta, bool with_vms)
+void rk_rows_encode(struct rk_rows *r, const struct rk_members *m,
+                    const struct rk_delta *delta, bool with_vms)
 {
     size_t members = delta->members_len;
     size_t vms = with_vms ? delta->vms_len : 0;
@@ -88,7 +88,7 @@
     free(r->load_ptrs);
 }
 
-bool rk_rows_member(const Rillknot__MemberRow *row, struct rk_member *out)
+bool rk_rows_decode_member(const Rillknot__MemberRow *row, struct rk_member *out)
 {
     *out = (struct rk_member){
         .incarnation = row->incarnation,
@@ -105,7 +105,7 @@
            rk_strcpy(out->forward_addr, RK_ADDR_MAX, row->forward_addr);
 }
 
-bool rk_rows_vm(const Rillknot__VmRow *row, struct rk_vm *out)
+bool rk_rows_decode_vm(const Rillknot__VmRow *row, struct rk_vm *out)
 {
     *out = (struct rk_vm){
         .incarnation = row->incarnation,
--- a/peers/rows.h
+++ b/peers/rows.h
@@ -29,15 +29,15 @@
 /* Sets rows->gossip to a message with the rows that the delta lists; its other
  * fields have their defaults. with_vms: include the rows and loads of VMs, which
  * are sent only within a failure domain. Free it with rk_rows_free(). */
-void rk_rows_fill(struct rk_rows *rows, const struct rk_members *m,
-                  const struct rk_delta *delta, bool with_vms);
+void rk_rows_encode(struct rk_rows *rows, const struct rk_members *m,
+                    const struct rk_delta *delta, bool with_vms);
 
 /* Frees the message's arrays, but not *rows itself. */
 void rk_rows_free(struct rk_rows *rows);
 
 /* Converts a received row. An unknown state becomes RK_MEMBER_SUSPECT, or
  * RK_VM_GONE for a VM. Returns false if the id is empty or a string is too long. */
-bool rk_rows_member(const Rillknot__MemberRow *row, struct rk_member *out);
-bool rk_rows_vm(const Rillknot__VmRow *row, struct rk_vm *out);
+bool rk_rows_decode_member(const Rillknot__MemberRow *row, struct rk_member *out);
+bool rk_rows_decode_vm(const Rillknot__VmRow *row, struct rk_vm *out);
 
 #endif
--- a/programs/ctl.c
+++ b/programs/ctl.c
@@ -302,7 +302,7 @@
     struct rk_session *s =
         rk_session_create(c->platform ? c->platform : "http://0:0");
     char *body = NULL;
-    enum rk_status st = rk_session_page(s, c->entry, "/status", &body);
+    enum rk_status st = rk_session_fetch(s, c->entry, "/status", &body);
     struct json_object *o = st == RK_OK ? json_tokener_parse(body) : NULL;
     int code = EXIT_OK;
     if (st != RK_OK)
--- a/programs/entry.c
+++ b/programs/entry.c
@@ -39,7 +39,7 @@
 struct worker {
     pthread_t thread;
     struct rk_traffic *traffic;
-    struct rk_callers *callers;
+    struct rk_frontend *callers;
     char id_prefix[RK_ID_MAX];
     /* Calls in flight and responses not yet written in full, as last counted by the
      * traffic thread. A call may be counted twice. */
@@ -50,7 +50,7 @@
     struct rk_procfile file;
     struct rk_view_cell *views;
     struct rk_control *control;
-    struct worker workers[RK_MAX_TRAFFIC];
+    struct worker workers[RK_MAX_TRAFFIC_THREADS];
     size_t workers_len;
 };
 
@@ -130,15 +130,15 @@
 static void update_in_flight(void *ctx)
 {
     struct worker *w = ctx;
-    atomic_store(&w->in_flight,
-                 rk_traffic_in_hand(w->traffic) + rk_callers_open(w->callers));
+    atomic_store(&w->in_flight, rk_traffic_in_flight(w->traffic) +
+                                    rk_frontend_active_requests(w->callers));
 }
 
 /* Runs on the traffic thread. */
 static void hand_over_streams(void *ctx)
 {
     struct worker *w = ctx;
-    rk_traffic_hand_over(w->traffic);
+    rk_traffic_end_resumable_streams(w->traffic);
 }
 
 /* Returns the sum of the threads' last counts, and requests a new count from each
@@ -250,7 +250,7 @@
      */
     snprintf(w->id_prefix, sizeof(w->id_prefix), "%.24s-%x%u", n->file.id,
              (unsigned)(rk_wall_ms() & 0xffffff), (unsigned)i);
-    const struct rk_callers_options caller_opt = {
+    const struct rk_frontend_options caller_opt = {
         .listen_addr = listen,
         .id_prefix = w->id_prefix,
         .max_body = (size_t)n->file.max_body,
@@ -259,7 +259,7 @@
         .max_upload_ms = UPLOAD_TIMEOUT_MS,
         .max_response_buffer = MAX_PENDING_BYTES,
     };
-    w->callers = rk_callers_create(w->traffic, &caller_opt);
+    w->callers = rk_frontend_create(w->traffic, &caller_opt);
     if (!w->callers)
         return false;
     n->workers_len++;
@@ -294,19 +294,19 @@
         /* The other threads listen on the ports that the first one was given. */
         char *colon = strrchr(listen, ':');
         snprintf(colon, (size_t)(listen + sizeof(listen) - colon), ":%u",
-                 rk_callers_port(n->workers[0].callers));
+                 rk_frontend_port(n->workers[0].callers));
         rk_strcpy(forward, sizeof(forward),
                   rk_traffic_forward_addr(n->workers[0].traffic));
     }
     if (!create_control(n, forward, seed))
         return false;
-    struct rk_traffic *traffic[RK_MAX_TRAFFIC];
+    struct rk_traffic *traffic[RK_MAX_TRAFFIC_THREADS];
     for (size_t i = 0; i < n->workers_len; i++) {
         traffic[i] = n->workers[i].traffic;
         traffic[i]->opt.claims = rk_control_claim_port(n->control);
     }
     rk_control_set_traffic(n->control, traffic, n->workers_len);
-    RK_EVENT("listening", RK_N("port", rk_callers_port(n->workers[0].callers)),
+    RK_EVENT("listening", RK_N("port", rk_frontend_port(n->workers[0].callers)),
              RK_S("control", rk_control_addr(n->control)),
              RK_S("forward", forward));
     return true;
@@ -316,7 +316,7 @@
 {
     for (size_t i = 0; i < n->workers_len; i++) {
         rk_view_enter(n->workers[i].traffic->views);
-        rk_callers_destroy(n->workers[i].callers);
+        rk_frontend_destroy(n->workers[i].callers);
         rk_view_leave(n->workers[i].traffic->views);
         rk_traffic_destroy(n->workers[i].traffic);
     }
--- a/programs/node.c
+++ b/programs/node.c
@@ -106,7 +106,7 @@
     for (;;) {
         int sig = sigtimedwait(&set, NULL, &poll_interval);
         if (sig == SIGTERM || sig == SIGINT)
-            rk_node_leave(node);
+            rk_node_begin_stop(node);
         else if (procfile_changed(&last_mtime) || sig == SIGHUP)
             reload(node);
     }
--- a/programs/replay.c
+++ b/programs/replay.c
@@ -83,7 +83,7 @@
     struct json_object **events;
     size_t events_len, next_event;
     struct json_object *expect;
-    struct rk_budget budget;
+    struct rk_retry_budget budget;
     int64_t now_ms;
     int64_t recomputed_tokens; /* tokens computed again after a broken attempt */
     int64_t attempts;
@@ -182,23 +182,23 @@
 {
     const struct rk_refusal_contract contract = {c->policy->refusal_not_run};
     enum rk_verdict v = rk_verdict_of(&end, &contract);
-    c->verdict = rk_verdict_join(c->verdict, v);
+    c->verdict = rk_verdict_worst(c->verdict, v);
     print_decision(c, "failed", rk_verdict_str(v));
     bool overload = end.http_status != 0;
     bool may_retry = c->attempts < MAX_ATTEMPTS &&
                      rk_verdict_allows_retry(v, c->policy->repeatable) &&
-                     (!overload || rk_budget_spend(&sim.budget));
+                     (!overload || rk_retry_budget_spend(&sim.budget));
     if (!may_retry) {
         end_failed_call(c);
         return;
     }
-    rk_router_retry(sim.router, &c->job, sim.now_ms);
+    rk_router_requeue(sim.router, &c->job, sim.now_ms);
     if (!rk_router_can_serve(sim.router, &c->job)) {
         if (!c->policy->repeatable && v != RK_NOT_RUN) {
             end_failed_call(c);
             return;
         }
-        rk_router_forgive(&c->job);
+        rk_router_clear_excluded(&c->job);
         if (!rk_router_can_serve(sim.router, &c->job))
             end_failed_call(c);
     }
@@ -279,7 +279,7 @@
     if (c->first_token_ms < 0 && sim.now_ms >= c->first_due_ms && !c->refuse &&
         !c->unresponsive) {
         c->first_token_ms = sim.now_ms;
-        rk_router_first(sim.router, &c->job, sim.now_ms);
+        rk_router_note_first_byte(sim.router, &c->job, sim.now_ms);
     }
     bool gone = v->gone_ms >= 0 && sim.now_ms >= v->gone_ms;
     bool cut_now =
@@ -312,7 +312,7 @@
             step_call(c);
         if (c->result == CALL_PENDING && sim.now_ms >= c->deadline_ms) {
             if (c->job.state == RK_JOB_SENT)
-                c->verdict = rk_verdict_join(c->verdict, RK_MAY_HAVE_RUN);
+                c->verdict = rk_verdict_worst(c->verdict, RK_MAY_HAVE_RUN);
             end_failed_call(c);
         }
     }
@@ -325,7 +325,7 @@
 static void make_prompt(struct rk_prompt *p, int64_t tenant, int64_t tokens,
                         size_t n)
 {
-    struct rk_prompt_reader r;
+    struct rk_prompt_builder r;
     char word[48];
     rk_prompt_begin(&r, p);
     for (int64_t i = 0; i < tokens; i++) {
@@ -388,7 +388,7 @@
         rk_strcpy(c->cls, RK_ID_MAX, org->default_class);
     c->policy = rk_config_policy(sim.cfg, service, slash ? slash : "");
     if (!c->policy)
-        c->policy = rk_config_model(sim.cfg, service);
+        c->policy = rk_config_policy_of_model(sim.cfg, service);
     if (!c->policy || !org) {
         c->result = CALL_NOT_RUN;
         return;
@@ -402,7 +402,7 @@
     make_prompt(&c->prompt, rk_json_int(o, "tenant", 0),
                 rk_json_int(o, "prompt_tokens", 0), sim.next_call);
     fill_job(c, o);
-    rk_budget_earn(&sim.budget, sim.cfg->retry_budget_pct);
+    rk_retry_budget_earn(&sim.budget, sim.cfg->retry_budget_pct);
     int64_t retry_after_ms;
     enum rk_submit admission =
         rk_router_submit(sim.router, &c->job, sim.now_ms, &retry_after_ms);
--- a/serve/attempts.c
+++ b/serve/attempts.c
@@ -61,9 +61,9 @@
     /* A retry after the loss of a VM is free, because the work has to run
      * somewhere. It costs budget if the failure may be due to an overload, to which
      * it would add. */
-    if (!overload || rk_budget_spend(&x->t->budget))
+    if (!overload || rk_retry_budget_spend(&x->t->budget))
         return true;
-    rk_count(RK_C_RETRY_DENIED, 1);
+    rk_counter_add(RK_C_RETRY_DENIED, 1);
     return false;
 }
 
@@ -77,9 +77,10 @@
     const char *vm_id = rk_router_vm_id(x->t->router, x->job.vm);
     log_attempt(x, "attempt.failed", vm_id, rk_verdict_str(v), detail);
     if (end->cooldown_ms > 0)
-        rk_router_rest(x->t->router, &x->job, end->cooldown_ms, rk_mono_ms());
+        rk_router_set_cooldown(x->t->router, &x->job, end->cooldown_ms,
+                               rk_mono_ms());
     snprintf(x->detail, sizeof(x->detail), "%s", detail);
-    x->verdict = rk_verdict_join(x->verdict, v);
+    x->verdict = rk_verdict_worst(x->verdict, v);
     bool leaving = rk_router_vm_leaving(x->t->router, x->job.vm);
     /* Refusals, and failures before the first token at a VM that is not leaving,
      * because they may be time-outs. A stream that breaks off after its answer's
@@ -101,8 +102,8 @@
             after, x->detail);
         return;
     }
-    rk_count(RK_C_RETRIES, 1);
-    rk_router_retry(x->t->router, &x->job, rk_mono_ms());
+    rk_counter_add(RK_C_RETRIES, 1);
+    rk_router_requeue(x->t->router, &x->job, rk_mono_ms());
     x->state = X_QUEUED;
     if (!rk_router_can_serve(x->t->router, &x->job))
         rk_exchange_reroute(x, end->may_have_reached);
@@ -111,23 +112,23 @@
 static bool on_chunk(void *ctx, const struct rk_chunk *chunk, const char *raw)
 {
     struct rk_exchange *x = ctx;
-    rk_router_first(x->t->router, &x->job, rk_mono_ms());
+    rk_router_note_first_byte(x->t->router, &x->job, rk_mono_ms());
     int64_t index = chunk->index >= 0 ? chunk->index : x->stream.next;
-    enum rk_token_fate fate = rk_stream_take(&x->stream, index);
+    enum rk_token_action fate = rk_token_stream_accept(&x->stream, index);
     if (fate == RK_TOKEN_REPEAT)
         return true;
     if (fate == RK_TOKEN_GAP)
         return false;
-    rk_count(RK_C_TOKENS, 1);
+    rk_counter_add(RK_C_TOKENS, 1);
     if (!x->req.stream) {
         x->answer_text.max = ANSWER_TEXT_MAX;
         return rk_buf_addstr(&x->answer_text, chunk->text);
     }
-    struct rk_part part = {.status = 200,
-                           .content_type = "text/event-stream",
-                           .index = index,
-                           .data = raw,
-                           .len = strlen(raw)};
+    struct rk_answer_piece part = {.status = 200,
+                                   .content_type = "text/event-stream",
+                                   .index = index,
+                                   .data = raw,
+                                   .len = strlen(raw)};
     rk_exchange_deliver_part(x, &part);
     return true;
 }
@@ -159,7 +160,7 @@
     struct rk_exchange *x = ctx;
     struct rk_traffic *t = x->t;
     x->service = NULL;
-    rk_router_first(t->router, &x->job, rk_mono_ms());
+    rk_router_note_first_byte(t->router, &x->job, rk_mono_ms());
     int status = a->end.http_status;
     bool refusal = status == 429 || (status >= 502 && status <= 504);
     if (a->end.answered && !refusal) {
@@ -184,12 +185,12 @@
 static void start_engine(struct rk_exchange *x)
 {
     if (x->stream.next)
-        rk_count(RK_C_RESUMES, 1);
+        rk_counter_add(RK_C_RESUMES, 1);
     if (x->stream.next && x->kv_imported) {
-        rk_count(RK_C_KV_MOVES, 1);
+        rk_counter_add(RK_C_KV_MOVES, 1);
     } else if (x->stream.next) {
-        rk_count(RK_C_RECOMPUTED,
-                 x->job.uncached_tokens + (uint64_t)x->stream.next);
+        rk_counter_add(RK_C_RECOMPUTED,
+                       x->job.uncached_tokens + (uint64_t)x->stream.next);
     }
     const struct rk_engine_spec spec = {
         .addr = rk_router_vm_addr(x->t->router, x->job.vm),
@@ -270,7 +271,7 @@
         rk_exchange_give_up(x, 504, 0, "the deadline passed before it was sent");
         return;
     }
-    if (!x->attempts && !rk_router_in_time(&x->job, rk_mono_ms())) {
+    if (!x->attempts && !rk_router_can_meet_deadline(&x->job, rk_mono_ms())) {
         rk_exchange_give_up(x, 503, RK_OVERLOAD_RETRY_MS,
                             "it would miss its deadline");
         return;
@@ -278,7 +279,7 @@
     x->state = X_SENT;
     x->attempts++;
     x->ever_sent = true;
-    rk_count(RK_C_ATTEMPTS, 1);
+    rk_counter_add(RK_C_ATTEMPTS, 1);
     log_attempt(x, "attempt.start", rk_router_vm_id(x->t->router, x->job.vm), "",
                 "");
     x->kv_imported = false;
@@ -296,7 +297,7 @@
     if (now_ms - t->spare_ms < SPARE_INTERVAL_MS)
         return;
     t->spare_ms = now_ms;
-    atomic_store_explicit(&t->spare_slots, rk_router_spare(t->router),
+    atomic_store_explicit(&t->spare_slots, rk_router_free_slots(t->router),
                           memory_order_relaxed);
 }
 
@@ -307,6 +308,6 @@
     while ((job = rk_router_next(t->router, rk_mono_ms())))
         send_attempt((struct rk_exchange *)((char *)job -
                                             offsetof(struct rk_exchange, job)));
-    if (!t->recheck_timer.slot && rk_router_waiting(t->router))
+    if (!t->recheck_timer.slot && rk_router_queued_len(t->router))
         rk_timer_start(t->loop, &t->recheck_timer, RECHECK_INTERVAL_MS);
 }
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -75,11 +75,11 @@
 static void count_end(const struct rk_outcome *o)
 {
     if (o->whole)
-        rk_count(RK_C_ANSWERS_OK, 1);
+        rk_counter_add(RK_C_ANSWERS_OK, 1);
     else if (o->verdict == RK_NOT_RUN)
-        rk_count(RK_C_REFUSED_NOT_RUN, 1);
+        rk_counter_add(RK_C_REFUSED_NOT_RUN, 1);
     else
-        rk_count(RK_C_REFUSED_MAYBE, 1);
+        rk_counter_add(RK_C_REFUSED_MAY_HAVE_RUN, 1);
 }
 
 static void report_outcome(struct rk_exchange *x, const struct rk_outcome *o)
@@ -94,7 +94,7 @@
              RK_N("attempts", x->attempts),
              RK_N("took_ms", rk_mono_ms() - x->started_ms),
              RK_S("detail", o->detail ? o->detail : ""));
-    const struct rk_sink *sink = x->sink;
+    const struct rk_answer_sink *sink = x->sink;
     x->sink = NULL;
     sink->on_answer_end(x->sink_ctx, o);
 }
@@ -150,7 +150,8 @@
 
 /* ---- answers ---- */
 
-static void record_for_replay(struct rk_exchange *x, const struct rk_part *part)
+static void record_for_replay(struct rk_exchange *x,
+                              const struct rk_answer_piece *part)
 {
     if (!x->claimed)
         return;
@@ -161,7 +162,8 @@
         rk_buf_free(&x->replay_body);
 }
 
-void rk_exchange_deliver_part(struct rk_exchange *x, const struct rk_part *part)
+void rk_exchange_deliver_part(struct rk_exchange *x,
+                              const struct rk_answer_piece *part)
 {
     record_for_replay(x, part);
     x->sink_has_data = true;
@@ -172,11 +174,11 @@
 void rk_exchange_deliver_body(struct rk_exchange *x, int status, const char *type,
                               const char *body, size_t len)
 {
-    struct rk_part part = {.status = status,
-                           .content_type = type,
-                           .index = -1,
-                           .data = body,
-                           .len = len};
+    struct rk_answer_piece part = {.status = status,
+                                   .content_type = type,
+                                   .index = -1,
+                                   .data = body,
+                                   .len = len};
     rk_exchange_deliver_part(x, &part);
 }
 
@@ -205,7 +207,7 @@
         rk_exchange_finish(x, &o);
         return;
     }
-    rk_count(RK_C_CLAIM_REPLAYS, 1);
+    rk_counter_add(RK_C_CLAIM_REPLAYS, 1);
     struct rk_outcome o = {.status = r->answer.status,
                            .verdict = RK_RAN,
                            .whole = true,
@@ -226,7 +228,7 @@
     switch (r->decision) {
     case RK_CLAIM_GRANTED:
         x->claimed = true;
-        rk_count(RK_C_CLAIMS, 1);
+        rk_counter_add(RK_C_CLAIMS, 1);
         RK_EVENT("claim.granted", RK_S("request", x->req.id),
                  RK_N("shard", x->shard));
         rk_exchange_queue(x);
@@ -237,7 +239,7 @@
     case RK_CLAIM_MISMATCH:
         rk_exchange_give_up(x, 422, 0, r->detail);
         break;
-    case RK_CLAIM_FOREIGN:
+    case RK_CLAIM_IN_DOUBT:
         rk_exchange_give_up(x, 409, 0, r->detail);
         break;
     case RK_CLAIM_REFUSED: {
@@ -295,7 +297,7 @@
         rk_forwards_cancel(t->forwards, x->peer, x->id);
     x->ever_sent = x->ever_sent || sent;
     if (sent)
-        x->verdict = rk_verdict_join(x->verdict, RK_MAY_HAVE_RUN);
+        x->verdict = rk_verdict_worst(x->verdict, RK_MAY_HAVE_RUN);
     rk_exchange_give_up(x, status, 0, detail);
     rk_exchange_dispatch(t);
 }
@@ -303,7 +305,7 @@
 static void on_deadline(void *ctx)
 {
     struct rk_exchange *x = ctx;
-    rk_count(RK_C_EXPIRED, 1);
+    rk_counter_add(RK_C_EXPIRED, 1);
     if (!x->service || x->policy.repeatable || !x->sink) {
         abandon(x, 504, "the deadline passed");
         return;
@@ -321,7 +323,7 @@
 static struct rk_exchange *reject(struct rk_exchange *x, int status,
                                   const char *detail)
 {
-    rk_count(RK_C_BAD_INPUT, 1);
+    rk_counter_add(RK_C_BAD_INPUT, 1);
     rk_exchange_give_up(x, status, 0, detail);
     return NULL;
 }
@@ -339,9 +341,9 @@
         return NULL;
     }
     x->req.stream = x->completion.stream;
-    rk_count(RK_C_PROMPT_TOKENS, x->prompt.tokens);
+    rk_counter_add(RK_C_PROMPT_TOKENS, x->prompt.tokens);
     *why = "no service has this model";
-    return rk_config_model(cfg, x->completion.model);
+    return rk_config_policy_of_model(cfg, x->completion.model);
 }
 
 static void apply_default_class(struct rk_exchange *x, const struct rk_org *org)
@@ -395,7 +397,7 @@
 
 struct rk_exchange *rk_exchange_start(struct rk_traffic *t,
                                       struct rk_request *request,
-                                      const struct rk_sink *sink, void *ctx)
+                                      const struct rk_answer_sink *sink, void *ctx)
 {
     struct rk_exchange *x = rk_alloc(1, sizeof(*x));
     *x = (struct rk_exchange){
@@ -406,7 +408,7 @@
     x->deadline_timer = (struct rk_timer){.fn = on_deadline, .ctx = x};
     x->stream.next = request->resume_from;
     link_exchange(x);
-    rk_count(RK_C_CALLS, 1);
+    rk_counter_add(RK_C_CALLS, 1);
     RK_EVENT("call.start", RK_S("request", x->req.id), RK_S("path", x->req.path),
              RK_S("organisation", x->req.org), RK_N("hops", x->req.hops));
     const struct rk_config *cfg = rk_traffic_view(t)->config;
@@ -439,7 +441,7 @@
         return reject(x, 428, "calls of this service need an Idempotency-Key");
     set_deadline(x, cls);
     fill_job(x);
-    rk_budget_earn(&t->budget, cfg->retry_budget_pct);
+    rk_retry_budget_earn(&t->budget, cfg->retry_budget_pct);
     uint64_t id = x->id;
     rk_exchange_claim_or_queue(x);
     rk_exchange_dispatch(t);
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -19,7 +19,7 @@
  * exchange frees itself when the call ends. */
 struct rk_exchange *rk_exchange_start(struct rk_traffic *t,
                                       struct rk_request *request,
-                                      const struct rk_sink *sink, void *ctx);
+                                      const struct rk_answer_sink *sink, void *ctx);
 
 /* Detaches the sink because the caller is gone; no sink callback comes any more. A
  * non-repeatable call that is at a plain service or at a peer keeps running for up
@@ -54,7 +54,8 @@
 
 /* ---- used by forward.c ---- */
 /* Delivers a part of the answer that a peer sent for a forwarded call. */
-void rk_exchange_on_peer_part(struct rk_exchange *x, const struct rk_part *part);
+void rk_exchange_on_peer_part(struct rk_exchange *x,
+                              const struct rk_answer_piece *part);
 /* Ends a forwarded call, or claims or queues it here. lost: the link to the peer
  * broke or the peer did not acknowledge the call; the verdict of the outcome then
  * says whether the call may have reached the peer. */
--- a/serve/exchange_impl.h
+++ b/serve/exchange_impl.h
@@ -32,7 +32,7 @@
     struct rk_exchange *next_by_id;
     struct rk_request req;
     /* NULL once the outcome is reported or the caller is gone */
-    const struct rk_sink *sink;
+    const struct rk_answer_sink *sink;
     void *sink_ctx;
     struct rk_policy policy;
     struct rk_completion completion;
@@ -52,7 +52,7 @@
     bool owner_unreachable;  /* no answer from the shard's owner: claim here */
     enum rk_verdict verdict; /* joined over all attempts so far */
     bool ever_sent;          /* an upstream may have received it */
-    struct rk_stream stream;
+    struct rk_token_stream stream;
     bool sink_has_data; /* a part was delivered */
     /* VM that still has the stream's KV cache; "": none */
     char kv_source_addr[RK_ADDR_MAX];
@@ -62,7 +62,7 @@
     struct rk_service_attempt *service;
     char peer[RK_ID_MAX];      /* the peer it was forwarded to last */
     struct rk_buf answer_text; /* of a completion that is not streamed */
-    char replay_type[RK_CTYPE_MAX];
+    char replay_type[RK_CONTENT_TYPE_MAX];
     /* answer of a claimed call, kept for repeats of its key */
     struct rk_buf replay_body;
     int replay_status;
@@ -85,7 +85,8 @@
 
 /* exchange.c: deliver a part, or a whole body, of the answer to the sink. Answers
  * of claimed calls are also recorded for repeats of the key. */
-void rk_exchange_deliver_part(struct rk_exchange *x, const struct rk_part *part);
+void rk_exchange_deliver_part(struct rk_exchange *x,
+                              const struct rk_answer_piece *part);
 void rk_exchange_deliver_body(struct rk_exchange *x, int status, const char *type,
                               const char *body, size_t len);
 
--- a/serve/forward.c
+++ b/serve/forward.c
@@ -130,11 +130,11 @@
         struct rk_exchange *x = rk_exchange_find(t, d->id);
         if (!x || !*find_outbound(p, d->id))
             return;
-        const struct rk_part part = {.status = (int)d->status,
-                                     .content_type = d->content_type,
-                                     .index = d->index,
-                                     .data = (const char *)d->data.data,
-                                     .len = d->data.len};
+        const struct rk_answer_piece part = {.status = (int)d->status,
+                                             .content_type = d->content_type,
+                                             .index = d->index,
+                                             .data = (const char *)d->data.data,
+                                             .len = d->data.len};
         rk_exchange_on_peer_part(x, &part);
     } else if (frame->body_case == RILLKNOT__FRAME__BODY_FORWARD_END) {
         const Rillknot__ForwardEnd *e = frame->forward_end;
@@ -271,7 +271,7 @@
     free(in);
 }
 
-static void inbound_part(void *ctx, const struct rk_part *part)
+static void inbound_part(void *ctx, const struct rk_answer_piece *part)
 {
     struct inbound *in = ctx;
     Rillknot__ForwardData d = RILLKNOT__FORWARD_DATA__INIT;
@@ -307,8 +307,8 @@
     remove_inbound(in);
 }
 
-static const struct rk_sink inbound_sink = {.on_answer_piece = inbound_part,
-                                            .on_answer_end = inbound_end};
+static const struct rk_answer_sink inbound_sink = {.on_answer_piece = inbound_part,
+                                                   .on_answer_end = inbound_end};
 
 static void send_ack(struct conn *c, uint64_t id)
 {
@@ -348,7 +348,7 @@
     struct inbound *in = rk_alloc(1, sizeof(*in));
     *in = (struct inbound){.id = b->id, .conn = c, .next = c->calls};
     c->calls = in;
-    rk_count(RK_C_FORWARDED_IN, 1);
+    rk_counter_add(RK_C_FORWARDED_IN, 1);
     send_ack(c, b->id);
     struct rk_exchange *x = rk_exchange_start(c->f->t, &r, &inbound_sink, in);
     if (x)
--- a/serve/placement.c
+++ b/serve/placement.c
@@ -28,7 +28,7 @@
         return false;
     rk_strcpy(x->peer, sizeof(x->peer), peer->id);
     x->state = X_FORWARDED;
-    rk_count(RK_C_FORWARDS, 1);
+    rk_counter_add(RK_C_FORWARDS, 1);
     RK_EVENT("forward.start", RK_S("request", x->req.id), RK_S("peer", peer->id),
              RK_N("to_owner", to_owner));
     return true;
@@ -54,10 +54,11 @@
     return false;
 }
 
-void rk_exchange_on_peer_part(struct rk_exchange *x, const struct rk_part *part)
+void rk_exchange_on_peer_part(struct rk_exchange *x,
+                              const struct rk_answer_piece *part)
 {
     if (part->index >= 0 &&
-        rk_stream_take(&x->stream, part->index) != RK_TOKEN_DELIVER)
+        rk_token_stream_accept(&x->stream, part->index) != RK_TOKEN_DELIVER)
         return;
     rk_exchange_deliver_part(x, part);
 }
@@ -86,10 +87,10 @@
         rk_exchange_claim_or_queue(x);
     } else if (!to_owner &&
                rk_verdict_allows_retry(o->verdict, x->policy.repeatable)) {
-        x->verdict = rk_verdict_join(x->verdict, o->verdict);
+        x->verdict = rk_verdict_worst(x->verdict, o->verdict);
         rk_exchange_queue(x);
     } else {
-        x->verdict = rk_verdict_join(x->verdict, o->verdict);
+        x->verdict = rk_verdict_worst(x->verdict, o->verdict);
         x->ever_sent = x->ever_sent || !o->not_sent;
         rk_exchange_finish(x, o);
     }
@@ -105,7 +106,7 @@
         rk_router_end(router, &x->job, false, rk_mono_ms());
         if (spill(x))
             return;
-        rk_router_forgive(&x->job);
+        rk_router_clear_excluded(&x->job);
         if (reached && x->policy.repeatable) {
             rk_exchange_queue(x);
             return;
@@ -125,20 +126,21 @@
     switch (s) {
     case RK_SUBMIT_QUEUED:
         return;
-    case RK_SUBMIT_ORG_FULL:
+    case RK_SUBMIT_ORG_LIMIT:
         rk_exchange_give_up(x, 429, retry_after_ms,
                             "the organisation's limit is reached");
         return;
     case RK_SUBMIT_NO_SERVICE:
         rk_exchange_give_up(x, 404, 0, "the service is gone from the settings");
         return;
-    case RK_SUBMIT_REFUSED:
+    case RK_SUBMIT_WAIT_TOO_LONG:
     case RK_SUBMIT_NO_VM:
         if (spill(x))
             return;
         rk_exchange_give_up(x, 503, retry_after_ms,
-                            s == RK_SUBMIT_REFUSED ? "it would miss its deadline"
-                                                   : "no upstream vm is live");
+                            s == RK_SUBMIT_WAIT_TOO_LONG
+                                ? "it would miss its deadline"
+                                : "no upstream vm is live");
         return;
     }
 }
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -23,9 +23,9 @@
     .idle_ms = 15000,
 };
 
-const struct rk_service_use *
-rk_service_use_find(const struct rk_service_use *services, size_t len,
-                    const char *service)
+const struct rk_service_load *
+rk_service_load_find(const struct rk_service_load *services, size_t len,
+                     const char *service)
 {
     for (size_t i = 0; i < len; i++)
         if (!strcmp(services[i].service, service))
@@ -50,7 +50,7 @@
     free(p->loads);
     free(p->quota_usage_added);
     free(p->quota_history);
-    rk_tally_free(&p->quota_demand);
+    rk_totals_free(&p->quota_demand);
     free(p->services);
     free(p);
 }
@@ -65,7 +65,8 @@
         r->routes ? rk_routes_org(r->routes, o->name) : NULL;
     double rate = org ? org->rate : 0, burst = org ? org->burst : 0;
     double quota = rate * (double)r->quota.window_ms / RK_MS_PER_S + burst;
-    rk_quota_keep(&r->quota, o, quota, rate, use->persisted_slices, rk_mono_ms());
+    rk_quota_persist(&r->quota, o, quota, rate, use->persisted_slices,
+                     rk_mono_ms());
 }
 
 static void fill_quota_usage(struct rk_relay *r, struct rk_relay_report *report)
@@ -76,8 +77,9 @@
         struct rk_org_use *use = &report->quota_usage[report->quota_usage_len++];
         rk_strcpy(use->org, sizeof(use->org), r->quota.orgs[i].name);
         use->units = r->quota.orgs[i].own_net_units;
-        use->demand_per_s = rk_quota_asking(&r->quota.orgs[i], rk_mono_ms());
-        rk_quota_tell(&r->quota, &r->quota.orgs[i], use->used_slices, rk_mono_ms());
+        use->demand_per_s = rk_quota_demand(&r->quota.orgs[i], rk_mono_ms());
+        rk_quota_report(&r->quota, &r->quota.orgs[i], use->used_slices,
+                        rk_mono_ms());
         fill_persisted_usage(r, &r->quota.orgs[i], use);
     }
 }
@@ -85,7 +87,7 @@
 static void fill_usage_counts(struct rk_relay *r, struct rk_relay_report *report)
 {
     int64_t window = rk_wall_ms() / r->opt.bounds.usage_window_ms;
-    rk_usage_forget(&r->usage, window - USAGE_WINDOWS_KEPT);
+    rk_usage_remove_before(&r->usage, window - USAGE_WINDOWS_KEPT);
     report->usage = rk_alloc(r->usage.len + 1, sizeof(*report->usage));
     if (r->usage.len)
         memcpy(report->usage, r->usage.rows, r->usage.len * sizeof(*r->usage.rows));
@@ -96,12 +98,13 @@
 {
     report->services = rk_alloc(r->services_len + 1, sizeof(*report->services));
     for (size_t i = 0; i < r->services_len; i++) {
-        struct rk_service_use *use = &report->services[report->services_len++];
+        struct rk_service_load *use = &report->services[report->services_len++];
         rk_strcpy(use->service, sizeof(use->service), r->services[i].name);
         use->demand_tokens = r->services[i].uncached_prompt_tokens;
-        use->engine =
-            rk_engine_learnt(&rk_place_speed_of(r->place, use->service)->engine);
-        struct rk_place_in_hand in_hand = rk_place_in_hand(r->place, use->service);
+        use->engine = rk_engine_get_estimate(
+            &rk_place_service_speed(r->place, use->service)->engine);
+        struct rk_place_in_flight in_hand =
+            rk_place_in_flight(r->place, use->service);
         use->running = in_hand.running;
         use->begun = in_hand.first_byte_received;
     }
@@ -117,10 +120,10 @@
         report->canaries =
             rk_realloc(report->canaries,
                        (report->canaries_len + 1) * sizeof(*report->canaries));
-        struct rk_rollout_seen *seen = &report->canaries[report->canaries_len++];
-        *seen = (struct rk_rollout_seen){.rows = from->seen,
-                                         .old_running =
-                                             rk_place_old_running(from, r->place)};
+        struct rk_rollout_stats *seen = &report->canaries[report->canaries_len++];
+        *seen = (struct rk_rollout_stats){
+            .rows = from->seen,
+            .old_running = rk_place_old_version_running(from, r->place)};
         rk_strcpy(seen->service, sizeof(seen->service), from->rule.service);
         rk_strcpy(seen->version, sizeof(seen->version), from->rule.version);
     }
@@ -144,7 +147,7 @@
     if (now_ms - r->signals_expired_ms < SIGNAL_EXPIRY_INTERVAL_MS)
         return;
     r->signals_expired_ms = now_ms;
-    rk_place_forget_signals(r->place, now_ms);
+    rk_place_expire_signals(r->place, now_ms);
 }
 
 static void on_report(void *ctx)
@@ -161,12 +164,12 @@
     fill_suspects(r, report);
     report->signals_len =
         rk_place_copy_signals(r->place, rk_mono_ms(), &report->signals);
-    report->vms_in_cooldown = rk_place_resting(r->place, rk_mono_ms());
-    report->quota_history_complete = rk_quota_knows_all(&r->quota, rk_mono_ms());
-    report->quota_history_ms = rk_quota_remembers_ms(&r->quota, rk_mono_ms());
+    report->vms_in_cooldown = rk_place_cooldown_len(r->place, rk_mono_ms());
+    report->quota_history_complete = rk_quota_is_complete(&r->quota, rk_mono_ms());
+    report->quota_history_ms = rk_quota_history_ms(&r->quota, rk_mono_ms());
     report->routes_version = r->routes ? r->routes->version : 0;
     report->vms_known = r->vms_known;
-    report->busy_count = r->calls_len + rk_server_busy(r->server);
+    report->busy_count = r->calls_len + rk_server_busy_count(r->server);
     r->opt.on_report(r->opt.ctx, report);
 }
 
@@ -182,7 +185,7 @@
     struct rk_relay_peers *peers;
     struct rk_org_use *uses;
     size_t uses_len;
-    struct rk_service_use *services;
+    struct rk_service_load *services;
     size_t services_len;
     struct rk_rollout_rule *rules;
     size_t rules_len;
@@ -196,7 +199,7 @@
 };
 
 /* Sends a copy of m to the relay's thread. Returns false if its queue is full. */
-static bool post(struct rk_relay *r, rk_call_fn *fn, const struct message *m)
+static bool post(struct rk_relay *r, rk_callback_fn *fn, const struct message *m)
 {
     struct message *copy = rk_alloc(1, sizeof(*copy));
     *copy = *m;
@@ -257,8 +260,8 @@
 {
     for (size_t i = 0; i < len; i++) {
         const struct rk_place_vm *vm = rk_place_find(r->place, rows[i].id);
-        if (vm && rk_vm_is_reborn(&vm->row, &rows[i]))
-            rk_upstreams_forget(r->upstreams, rows[i].id);
+        if (vm && rk_vm_is_restarted(&vm->row, &rows[i]))
+            rk_upstream_pools_close_idle(r->upstreams, rows[i].id);
     }
 }
 
@@ -292,7 +295,7 @@
     free(m);
 }
 
-bool rk_relay_change_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len,
+bool rk_relay_update_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len,
                          char (*removed)[RK_ID_MAX], size_t removed_len)
 {
     const struct message m = {.rows = rows,
@@ -309,10 +312,11 @@
 /* Uses the estimates learned by other nodes as the starting point of this
  * node's. */
 static void set_engine_priors(struct rk_relay *r,
-                              const struct rk_service_use *services, size_t len)
+                              const struct rk_service_load *services, size_t len)
 {
     for (size_t i = 0; i < len; i++) {
-        struct rk_speed *speed = rk_place_speed_of(r->place, services[i].service);
+        struct rk_service_speed *speed =
+            rk_place_service_speed(r->place, services[i].service);
         rk_engine_set_prior(&speed->engine, &services[i].engine);
     }
 }
@@ -324,11 +328,11 @@
     const struct rk_relay_peers *p = m->peers;
     int64_t now_ms = rk_mono_ms();
     rk_place_set_loads(r->place, p->loads, p->loads_len, now_ms);
-    rk_quota_hear(&r->quota, p->nodes_reachable, p->nodes_total, now_ms);
-    rk_place_set_nodes(r->place, p->nodes_total);
+    rk_quota_set_reachable(&r->quota, p->nodes_reachable, p->nodes_total, now_ms);
+    rk_place_set_node_count(r->place, p->nodes_total);
     for (size_t i = 0; i < p->quota_usage_added_len; i++)
-        rk_quota_add(&r->quota, p->quota_usage_added[i].org,
-                     p->quota_usage_added[i].units, now_ms);
+        rk_quota_add_peers(&r->quota, p->quota_usage_added[i].org,
+                           p->quota_usage_added[i].units, now_ms);
     /* Usage from a peer's history is added once after a restart, and once after a
      * gap in the digests. If it were added with every message, the same usage
      * could be counted in two slices of the window. */
@@ -336,13 +340,13 @@
     bool apply_history =
         p->backfill_history || (complete && r->quota.unknown_before_ms);
     for (size_t i = 0; apply_history && i < p->quota_history_len; i++)
-        rk_quota_know(&r->quota, p->quota_history[i].org,
-                      p->quota_history[i].used_slices, now_ms);
+        rk_quota_merge(&r->quota, p->quota_history[i].org,
+                       p->quota_history[i].used_slices, now_ms);
     for (size_t i = 0; i < r->quota.orgs_len; i++)
         r->quota.orgs[i].peers_demand =
-            rk_tally_total(&p->quota_demand, r->quota.orgs[i].name);
+            rk_totals_value(&p->quota_demand, r->quota.orgs[i].name);
     set_engine_priors(r, p->services, p->services_len);
-    rk_quota_remind(&r->quota, p->quota_history_ms);
+    rk_quota_peer_history(&r->quota, p->quota_history_ms);
     r->quota.lag_ms = p->report_lag_ms;
     r->quota.last_report_ms =
         p->since_report_ms >= 0 ? now_ms - p->since_report_ms : 0;
@@ -400,15 +404,15 @@
     for (size_t i = 0; i < m->uses_len; i++)
         rk_quota_restore(&m->r->quota, m->uses[i].org, m->uses[i].used_slices,
                          m->uses[i].demand_per_s, m->age_ms, now_ms);
-    rk_quota_restored(&m->r->quota, m->age_ms);
+    rk_quota_restore_done(&m->r->quota, m->age_ms);
     m->r->quotas_restored = true;
     accept_if_ready(m->r);
     free(m->uses);
     free(m);
 }
 
-bool rk_relay_restore(struct rk_relay *r, struct rk_org_use *uses, size_t len,
-                      int64_t age_ms)
+bool rk_relay_restore_quota_usage(struct rk_relay *r, struct rk_org_use *uses,
+                                  size_t len, int64_t age_ms)
 {
     const struct message m = {.uses = uses, .uses_len = len, .age_ms = age_ms};
     if (post(r, apply_restored_quotas, &m))
@@ -425,8 +429,8 @@
     free(m);
 }
 
-bool rk_relay_set_engines(struct rk_relay *r, struct rk_service_use *services,
-                          size_t len)
+bool rk_relay_set_engine_priors(struct rk_relay *r,
+                                struct rk_service_load *services, size_t len)
 {
     const struct message m = {.services = services, .services_len = len};
     if (post(r, apply_engine_priors, &m))
@@ -479,7 +483,7 @@
     rk_server_set_closing(r->server);
 }
 
-void rk_relay_close(struct rk_relay *r, int64_t ends_in_ms)
+void rk_relay_begin_stop(struct rk_relay *r, int64_t ends_in_ms)
 {
     int64_t now_ms = rk_mono_ms();
     atomic_store(&r->close_ends_ms, now_ms + ends_in_ms);
@@ -493,7 +497,7 @@
     rk_server_close_idle(r->server);
 }
 
-void rk_relay_close_idle(struct rk_relay *r)
+void rk_relay_close_idle_clients(struct rk_relay *r)
 {
     rk_loop_post(r->loop, apply_close_idle, r);
 }
@@ -501,13 +505,13 @@
 static void apply_stop_idle(void *ctx)
 {
     struct rk_relay *r = ctx;
-    if (r->calls_len || rk_server_busy(r->server))
+    if (r->calls_len || rk_server_busy_count(r->server))
         return;
     rk_loop_stop(r->loop);
     r->opt.on_stopped(r->opt.ctx);
 }
 
-void rk_relay_stop_idle(struct rk_relay *r)
+void rk_relay_stop_if_idle(struct rk_relay *r)
 {
     rk_loop_post(r->loop, apply_stop_idle, r);
 }
@@ -548,7 +552,7 @@
         free(r);
         return NULL;
     }
-    r->upstreams = rk_upstreams_create(r->loop);
+    r->upstreams = rk_upstream_pools_create(r->loop);
     r->place = rk_place_create(opt->domain, opt->seed);
     r->rng.state = opt->seed + 1;
     rk_quota_init(&r->quota, opt->bounds.quota_window_ms, opt->bounds.quota_slack,
@@ -571,7 +575,7 @@
         rk_relay_call_abort(r->calls);
     rk_relay_vm_checks_free(r);
     rk_server_destroy(r->server);
-    rk_upstreams_destroy(r->upstreams);
+    rk_upstream_pools_destroy(r->upstreams);
     rk_place_destroy(r->place);
     rk_quota_free(&r->quota);
     rk_usage_free(&r->usage);
--- a/serve/relay.h
+++ b/serve/relay.h
@@ -35,7 +35,7 @@
 };
 
 /* Demand for a service and its calls in flight, as seen by one node. */
-struct rk_service_use {
+struct rk_service_load {
     char service[RK_ID_MAX];
     /* Uncached prompt tokens requested since the start. Each call counts once, or
      * not at all if its caller resumes a stream. A call that no VM can take counts
@@ -47,9 +47,9 @@
 };
 
 /* Returns the entry of a service, or NULL if there is none. */
-const struct rk_service_use *
-rk_service_use_find(const struct rk_service_use *services, size_t len,
-                    const char *service);
+const struct rk_service_load *
+rk_service_load_find(const struct rk_service_load *services, size_t len,
+                     const char *service);
 
 /* What a relay reports to control every 200 ms. The report owns its arrays. */
 struct rk_relay_report {
@@ -61,9 +61,9 @@
     size_t quota_usage_len;
     struct rk_usage_row *usage; /* request counts of recent usage windows */
     size_t usage_len;
-    struct rk_service_use *services;
+    struct rk_service_load *services;
     size_t services_len;
-    struct rk_rollout_seen *canaries; /* observed canary results by rollout */
+    struct rk_rollout_stats *canaries; /* observed canary results by rollout */
     size_t canaries_len;
     /* rows changed here within the last second */
     struct rk_quarantine_row *suspects;
@@ -95,8 +95,8 @@
      * longest history or, if catch_up is set, to the new source of digests */
     struct rk_org_use *quota_history;
     size_t quota_history_len;
-    struct rk_tally quota_demand; /* quota units/s that callers request at peers */
-    struct rk_service_use *services; /* only the engine estimates are set */
+    struct rk_totals quota_demand; /* quota units/s that callers request at peers */
+    struct rk_service_load *services; /* only the engine estimates are set */
     size_t services_len;
     int64_t quota_history_ms; /* length of that peer's history */
     /* apply known[] even if its history is shorter than the quota window, because
@@ -120,7 +120,7 @@
     struct rk_relay_bounds bounds;
     /* Called on the relay's thread. The callee owns the report. */
     void (*on_report)(void *ctx, struct rk_relay_report *report);
-    /* Called on the relay's thread when rk_relay_stop_idle() has stopped it. */
+    /* Called on the relay's thread when rk_relay_stop_if_idle() has stopped it. */
     void (*on_stopped)(void *ctx);
     void *ctx;
 };
@@ -149,7 +149,7 @@
 bool rk_relay_set_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len);
 /* Applies changes to the list of VMs: first removes the VMs with the ids in
  * removed, then adds or replaces rows. */
-bool rk_relay_change_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len,
+bool rk_relay_update_vms(struct rk_relay *r, struct rk_vm_row *rows, size_t len,
                          char (*removed)[RK_ID_MAX], size_t removed_len);
 /* Updates the peers' state. */
 bool rk_relay_set_peers(struct rk_relay *r, struct rk_relay_peers *peers);
@@ -164,13 +164,13 @@
 
 /* Restores the quota usage persisted before a restart. age_ms: how old it is. len
  * 0: nothing was persisted. */
-bool rk_relay_restore(struct rk_relay *r, struct rk_org_use *uses, size_t len,
-                      int64_t age_ms);
+bool rk_relay_restore_quota_usage(struct rk_relay *r, struct rk_org_use *uses,
+                                  size_t len, int64_t age_ms);
 
 /* Sets the persisted estimates of engine speed, used until peers report newer
  * ones. */
-bool rk_relay_set_engines(struct rk_relay *r, struct rk_service_use *services,
-                          size_t len);
+bool rk_relay_set_engine_priors(struct rk_relay *r,
+                                struct rk_service_load *services, size_t len);
 
 /* Merges suspected requests reported by peers or read from the store, and cancels
  * calls that wait at engines and are quarantined now. */
@@ -185,13 +185,13 @@
 /* Any thread: begins a planned stop that ends in ends_in_ms. Each connection is
  * closed after its next answer. Calls that might outlast the stop are refused,
  * except in the first 2.7 s, in which the balancer learns of the stop. */
-void rk_relay_close(struct rk_relay *r, int64_t ends_in_ms);
+void rk_relay_begin_stop(struct rk_relay *r, int64_t ends_in_ms);
 /* Any thread: closes idle client connections. */
-void rk_relay_close_idle(struct rk_relay *r);
+void rk_relay_close_idle_clients(struct rk_relay *r);
 /* Any thread: stops the relay if no call is in flight and no connection has a
  * request, a part of one, or unsent answer bytes. The check runs on the relay's
  * thread, so no call can start between the check and the stop. */
-void rk_relay_stop_idle(struct rk_relay *r);
+void rk_relay_stop_if_idle(struct rk_relay *r);
 /* Any thread: makes rk_relay_run() return. */
 void rk_relay_stop(struct rk_relay *r);
 
--- a/serve/relay_answer.c
+++ b/serve/relay_answer.c
@@ -22,8 +22,8 @@
         return;
     int64_t now_ms = rk_mono_ms(), seen_ms = now_ms - x->job.sent_ms;
     int64_t late_ms = seen_ms - (int64_t)x->job.expected_ms;
-    rk_place_first(x->vm, &x->job, now_ms);
-    rk_latency_observe(RK_LATENCY_MISS, x->query.service,
+    rk_place_note_first_byte(x->vm, &x->job, now_ms);
+    rk_latency_observe(RK_LATENCY_FIRST_BYTE_ERROR, x->query.service,
                        late_ms > 0 ? "late" : "early",
                        late_ms > 0 ? late_ms : -late_ms);
     rk_call_log_first_byte(x, seen_ms);
@@ -127,12 +127,12 @@
                                                            : ANSWER_PASS;
 }
 
-static enum rk_head_fate on_head(void *ctx, const struct rk_head *head)
+static enum rk_head_action on_head(void *ctx, const struct rk_head *head)
 {
     struct rk_relay_call *x = ctx;
     const char *id = rk_head_get(head, x->r->opt.dialect->request_id);
     if (id && strcmp(id, x->id) != 0) {
-        rk_count(RK_C_CROSSED, 1);
+        rk_counter_add(RK_C_MISMATCHED, 1);
         RK_EVENT("call.crossed", RK_S("request", x->id), RK_S("answer_of", id),
                  RK_S("vm", x->vm->row.id));
         return RK_HEAD_SKIP;
@@ -145,17 +145,17 @@
     if (!id && x->answer_class == ANSWER_PASS && head->status / 100 == 2)
         x->answer_class = ANSWER_RETRY;
     if (x->answer_class == ANSWER_NOT_RUN)
-        return RK_HEAD_TAKE;
+        return RK_HEAD_ACCEPT;
     bool stream = x->route->kind == RK_CALL_STREAM;
     if (!stream || head->status / 100 != 2)
         count_usage(x, x->sent_wall_ms);
     if (x->answer_class != ANSWER_PASS)
-        return RK_HEAD_TAKE;
+        return RK_HEAD_ACCEPT;
     if (stream)
         rk_timer_start(x->r->loop, &x->silence_timer, STREAM_SILENCE_MS);
     if (!x->begun)
         begin_answer(x, head);
-    return RK_HEAD_TAKE;
+    return RK_HEAD_ACCEPT;
 }
 
 static void on_event(void *ctx, const char *data, size_t len, const char *id)
@@ -187,13 +187,13 @@
         rk_timer_start(x->r->loop, &x->silence_timer, STREAM_SILENCE_MS);
     if (!x->client)
         return;
-    if (rk_client_unsent(x->client) > UNSENT_MAX_BYTES) {
-        rk_call_cancel_attempt(x, RK_PLACE_CALLED_OFF);
+    if (rk_client_unsent_len(x->client) > UNSENT_MAX_BYTES) {
+        rk_call_cancel_attempt(x, RK_PLACE_CANCELLED);
         rk_call_give_up(x, HTTP_BAD_GATEWAY, 0, "the caller reads too slowly");
         return;
     }
     if (delivers_complete_events(x))
-        rk_events_feed(&x->events, data, len, on_event, x);
+        rk_event_splitter_feed(&x->events, data, len, on_event, x);
     else
         rk_client_data(x->client, data, len);
     rk_call_try_move(x);
--- a/serve/relay_arrive.c
+++ b/serve/relay_arrive.c
@@ -25,7 +25,7 @@
         rk_head_get(rk_client_head(client), r->opt.dialect->request_id);
     RK_EVENT("call.refused", RK_S("request", id ? id : ""), RK_N("status", status),
              RK_S("why", why), RK_N("version", r->routes ? r->routes->version : 0));
-    rk_count(RK_C_BAD_INPUT, 1);
+    rk_counter_add(RK_C_BAD_INPUT, 1);
     rk_call_answer_problem(client, status, retry_after_ms, why);
 }
 
@@ -36,7 +36,7 @@
 {
     const struct rk_head *head = rk_client_head(client);
     const char *host = rk_head_get(head, "Host");
-    char path[RK_ROUTE_TEXT * 4];
+    char path[RK_ROUTE_TEXT_MAX * 4];
     rk_strcpy(path, sizeof(path), rk_head_target(head));
     path[strcspn(path, "?#")] = '\0';
     return host ? rk_routes_find(r->routes, host, path) : NULL;
@@ -69,7 +69,7 @@
     }
     x->is_resume = rk_head_get(head, d->resume_after) != NULL;
     if (prefix)
-        rk_place_parse_parts(&x->query, prefix);
+        rk_place_parse_segments(&x->query, prefix);
     if (x->org && x->org->counts_tokens)
         x->units =
             tokens ? x->query.prompt_tokens + out : (double)x->org->default_units;
@@ -101,12 +101,13 @@
                                 .started_ms = rk_mono_ms(),
                                 .first_ms = -1};
     rk_strcpy(x->id, sizeof(x->id), rk_head_get(head, r->opt.dialect->request_id));
-    x->query.service = rk_route_service(route, (uint32_t)rk_hash_str(0, x->id));
+    x->query.service =
+        rk_route_pick_service(route, (uint32_t)rk_hash_str(0, x->id));
     x->service = rk_routes_service(r->routes, x->query.service);
     x->query.engine = x->service->engine;
     x->query.request_hash = rk_hash_str(0, x->id);
     x->query.route = route->name;
-    x->query.wants_new_version = rk_place_tries(r->place, &x->query);
+    x->query.wants_new_version = rk_place_wants_new_version(r->place, &x->query);
     x->deadline_timer = (struct rk_timer){.fn = rk_call_on_deadline, .ctx = x};
     x->silence_timer = (struct rk_timer){.fn = rk_call_on_silence, .ctx = x};
     x->next = r->calls;
@@ -134,11 +135,11 @@
 static bool admit(struct rk_relay_call *x)
 {
     struct rk_quota *q = &x->r->quota;
-    struct rk_quota_answer answer;
+    struct rk_quota_decision answer;
     if (!x->org || rk_quota_admit(q, x->org->name, x->org->rate, x->org->burst,
                                   x->units, x->started_ms, &answer))
         return true;
-    rk_count(RK_C_QUOTA_REFUSED, 1);
+    rk_counter_add(RK_C_QUOTA_REFUSED, 1);
     RK_EVENT("quota.refused", RK_S("request", x->id),
              RK_S("organisation", x->org->name), RK_N("units", (int64_t)x->units),
              RK_N("used", (int64_t)answer.used),
@@ -158,7 +159,7 @@
     const struct rk_head *head = rk_client_head(client);
     const char *id = rk_head_get(head, r->opt.dialect->request_id);
     const struct rk_org_info *org;
-    rk_count(RK_C_CALLS, 1);
+    rk_counter_add(RK_C_CALLS, 1);
     if (!r->routes) {
         refuse(r, client, HTTP_UNAVAILABLE, RETRY_AFTER_MS,
                "no routes are known yet");
--- a/serve/relay_call.c
+++ b/serve/relay_call.c
@@ -54,20 +54,20 @@
         x->next->prev = x->prev;
     x->r->calls_len--;
     rk_call_move_free(x);
-    rk_events_free(&x->events);
+    rk_event_splitter_free(&x->events);
     rk_routes_unref(x->routes);
     free(x);
 }
 
-void rk_call_end_attempt(struct rk_relay_call *x, enum rk_place_end end)
+void rk_call_end_attempt(struct rk_relay_call *x, enum rk_place_outcome end)
 {
     if (!x->vm)
         return;
-    rk_place_ended(x->r->place, x->vm, &x->job, end, rk_mono_ms());
+    rk_place_note_end(x->r->place, x->vm, &x->job, end, rk_mono_ms());
     x->vm = NULL;
 }
 
-void rk_call_cancel_attempt(struct rk_relay_call *x, enum rk_place_end end)
+void rk_call_cancel_attempt(struct rk_relay_call *x, enum rk_place_outcome end)
 {
     if (x->up)
         rk_upstream_cancel(x->up);
@@ -99,14 +99,15 @@
     rk_call_record_latency(x, !x->client        ? "gone"
                               : x->may_have_run ? "failed"
                                                 : "refused");
-    rk_count(x->may_have_run ? RK_C_REFUSED_MAYBE : RK_C_REFUSED_NOT_RUN, 1);
+    rk_counter_add(
+        x->may_have_run ? RK_C_REFUSED_MAY_HAVE_RUN : RK_C_REFUSED_NOT_RUN, 1);
     if (x->org && !x->ran && !x->may_have_run)
         rk_quota_refund(&x->r->quota, x->org->name, x->units, rk_mono_ms());
     free_call(x);
     if (!client)
         return;
     if (begun)
-        rk_client_cut(client);
+        rk_client_abort(client);
     else
         rk_call_answer_problem(client, status, retry_after_ms, why);
 }
@@ -115,7 +116,7 @@
  * them refuse calls for now (rate limit or cooldown); otherwise the default. */
 static int64_t retry_after_ms(const struct rk_relay_call *x)
 {
-    int64_t wait_ms = rk_place_wait_ms(x->r->place, &x->query, rk_mono_ms());
+    int64_t wait_ms = rk_place_retry_after_ms(x->r->place, &x->query, rk_mono_ms());
     return wait_ms > 0 ? wait_ms : RETRY_AFTER_MS;
 }
 
@@ -132,7 +133,7 @@
 /* Ends a call whose request is quarantined; it is sent to no further VM. */
 static void give_up_quarantined(struct rk_relay_call *x)
 {
-    rk_count(RK_C_STOPPED, 1);
+    rk_counter_add(RK_C_QUARANTINED, 1);
     rk_call_give_up(x, x->may_have_run ? HTTP_BAD_GATEWAY : HTTP_UNAVAILABLE,
                     x->may_have_run ? 0 : QUARANTINE_RETRY_AFTER_MS,
                     "vms ended under this request");
@@ -143,7 +144,7 @@
     struct rk_client *client = x->client;
     bool served = x->status < HTTP_BAD_REQUEST;
     if (served)
-        rk_count(RK_C_ANSWERS_OK, 1);
+        rk_counter_add(RK_C_ANSWERS_OK, 1);
     rk_call_log_end(x, x->status, "");
     rk_call_record_latency(x, served ? "served" : "failed");
     free_call(x);
@@ -168,7 +169,7 @@
     return s;
 }
 
-static struct rk_budget *retry_budget(struct rk_relay_call *x)
+static struct rk_retry_budget *retry_budget(struct rk_relay_call *x)
 {
     return &find_or_add_service(x->r, x->query.service)->budget;
 }
@@ -176,19 +177,19 @@
 void rk_call_earn_retries(struct rk_relay_call *x)
 {
     const struct rk_relay_bounds *bounds = &x->r->opt.bounds;
-    struct rk_budget *b = retry_budget(x);
-    rk_budget_set_share(b, bounds->retry_burst, x->r->quota.nodes_total,
-                        bounds->first_start);
-    rk_budget_earn(b, bounds->retry_pct);
+    struct rk_retry_budget *b = retry_budget(x);
+    rk_retry_budget_set_share(b, bounds->retry_burst, x->r->quota.nodes_total,
+                              bounds->first_start);
+    rk_retry_budget_earn(b, bounds->retry_pct);
 }
 
 bool rk_call_take_retry(struct rk_relay_call *x)
 {
-    if (!rk_budget_spend(retry_budget(x))) {
-        rk_count(RK_C_RETRY_DENIED, 1);
+    if (!rk_retry_budget_spend(retry_budget(x))) {
+        rk_counter_add(RK_C_RETRY_DENIED, 1);
         return false;
     }
-    rk_count(RK_C_RETRIES, 1);
+    rk_counter_add(RK_C_RETRIES, 1);
     return true;
 }
 
@@ -203,14 +204,14 @@
 static void exclude_vm(struct rk_relay_call *x)
 {
     /* A call is sent to a canary version at most once. */
-    if (x->vm && rk_place_is_trial(x->vm))
+    if (x->vm && rk_place_is_canary(x->vm))
         x->query.wants_new_version = false;
-    if (x->vm && x->query.excluded_len < RK_PLACE_EXCLUDED)
+    if (x->vm && x->query.excluded_len < RK_PLACE_MAX_EXCLUDED)
         x->query.excluded[x->query.excluded_len++] = x->vm->hash;
 }
 
 void rk_call_attempt_failed(struct rk_relay_call *x, bool sent,
-                            enum rk_place_end end, const char *what)
+                            enum rk_place_outcome end, const char *what)
 {
     rk_call_log_attempt_failed(x, what, sent);
     rk_call_move_free(x);
@@ -234,8 +235,8 @@
         return;
     }
     if (x->begun) {
-        rk_count(RK_C_RESUMES, 1);
-        rk_events_restart(&x->events);
+        rk_counter_add(RK_C_RESUMES, 1);
+        rk_event_splitter_restart(&x->events);
     }
     rk_call_send(x);
 }
@@ -267,10 +268,10 @@
                          const char *name)
 {
     const struct rk_dialect *d = x->r->opt.dialect;
-    switch (rk_dialect_owner(d, name)) {
-    case RK_HEADER_OURS:
+    switch (rk_dialect_header_owner(d, name)) {
+    case RK_HEADER_RESERVED:
         return false;
-    case RK_HEADER_CALLERS:
+    case RK_HEADER_CALLER:
         /* After the first event of a VM, this node sets the point of resumption
          * itself. */
         return !(x->begun && x->events.last_id[0] &&
@@ -302,7 +303,7 @@
  * received the head: the caller of a resumed stream is already reading it. */
 static int engine_rank(const struct rk_relay_call *x)
 {
-    return rk_rank(base_rank(x), x->begun ? 0 : x->job.load.uncached_tokens);
+    return rk_engine_rank(base_rank(x), x->begun ? 0 : x->job.load.uncached_tokens);
 }
 
 static void build_head(const struct rk_relay_call *x, size_t body_len,
@@ -323,7 +324,7 @@
         rk_buf_printf(b, "%s: %d\r\n", d->rank, engine_rank(x));
     const struct rk_place_vm *source =
         x->service->can_move_kv
-            ? rk_place_source(x->r->place, &x->query, x->vm, rk_mono_ms())
+            ? rk_place_copy_source(x->r->place, &x->query, x->vm, rk_mono_ms())
             : NULL;
     if (source)
         add_line(b, d->kv_source, source->row.addr);
@@ -408,9 +409,10 @@
 
 static void refuse_late(struct rk_relay_call *x)
 {
-    count_demand(x, rk_place_unread(x->r->place, &x->query, x->vm, rk_mono_ms()));
+    count_demand(
+        x, rk_place_unread_tokens(x->r->place, &x->query, x->vm, rk_mono_ms()));
     x->vm = NULL;
-    rk_count(RK_C_LATE_REFUSED, 1);
+    rk_counter_add(RK_C_LATE_REFUSED, 1);
     rk_call_give_up(x, HTTP_UNAVAILABLE,
                     (int64_t)x->forecast.ms - x->route->target_first_byte_ms / 2,
                     "its first byte would come too late");
@@ -423,7 +425,7 @@
     x->move_tried = false;
     x->silence_reported = false;
     x->vm_head_ms = x->vm_first_ms = 0;
-    rk_count(RK_C_ATTEMPTS, 1);
+    rk_counter_add(RK_C_ATTEMPTS, 1);
     rk_call_log_sent(x);
     start_silence_timer(x);
 }
@@ -435,7 +437,8 @@
 {
     struct rk_place *p = x->r->place;
     struct rk_place_vm *vm = rk_place_choose(p, &x->query, now_ms, &x->forecast);
-    if (vm || (!x->query.wants_new_version && !rk_place_may_move(p, &x->query)))
+    if (vm || (!x->query.wants_new_version &&
+               !rk_place_may_use_new_version(p, &x->query)))
         return vm;
     x->query.wants_new_version = !x->query.wants_new_version;
     return rk_place_choose(p, &x->query, now_ms, &x->forecast);
@@ -456,7 +459,7 @@
             refuse_late(x);
             return;
         }
-        rk_place_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
+        rk_place_note_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
         x->job.resumes_stream = x->begun || x->is_resume;
         x->sent_wall_ms = rk_wall_ms();
         if (start_attempt(x)) {
@@ -464,7 +467,7 @@
             return;
         }
         exclude_vm(x);
-        rk_call_end_attempt(x, RK_PLACE_CALLED_OFF);
+        rk_call_end_attempt(x, RK_PLACE_CANCELLED);
     }
     count_demand(x, x->query.prompt_tokens);
     give_up_sending(x, "no vm can take it");
@@ -480,19 +483,19 @@
     struct rk_place_vm *to = rk_place_find(x->r->place, vm_id);
     if (to != from)
         exclude_vm(x);
-    rk_call_end_attempt(x, RK_PLACE_CALLED_OFF);
+    rk_call_end_attempt(x, RK_PLACE_CANCELLED);
     if (!to || (to != from && to->row.leaving) || !rk_place_may_send(to, now_ms)) {
-        rk_call_attempt_failed(x, true, RK_PLACE_CALLED_OFF, "the copy is gone");
+        rk_call_attempt_failed(x, true, RK_PLACE_CANCELLED, "the copy is gone");
         return;
     }
     x->vm = to;
-    rk_place_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
+    rk_place_note_sent(x->r->place, x->vm, &x->query, now_ms, &x->job);
     x->job.resumes_stream = true;
     snprintf(x->kv_source, sizeof(x->kv_source), "%s/%s", from_addr, handle);
     bool sent = start_attempt(x);
     x->kv_source[0] = '\0'; /* used for this attempt only */
     if (!sent) {
-        rk_call_attempt_failed(x, true, RK_PLACE_CALLED_OFF, "no connection");
+        rk_call_attempt_failed(x, true, RK_PLACE_CANCELLED, "no connection");
         return;
     }
     record_sent(x);
@@ -506,10 +509,11 @@
 void rk_call_on_deadline(void *ctx)
 {
     struct rk_relay_call *x = ctx;
-    if (x->up && rk_upstream_sent(x->up) && x->answer_class != ANSWER_NOT_RUN)
+    if (x->up && rk_upstream_may_have_sent(x->up) &&
+        x->answer_class != ANSWER_NOT_RUN)
         x->may_have_run = true;
-    rk_call_cancel_attempt(x, x->begun ? RK_PLACE_CALLED_OFF : RK_PLACE_LOST);
-    rk_count(RK_C_EXPIRED, 1);
+    rk_call_cancel_attempt(x, x->begun ? RK_PLACE_CANCELLED : RK_PLACE_LOST);
+    rk_counter_add(RK_C_EXPIRED, 1);
     rk_call_give_up(x, HTTP_GATEWAY_TIMEOUT, 0, "its time is over");
 }
 
@@ -518,7 +522,7 @@
 {
     struct rk_place_query other = x->query;
     struct rk_engine_forecast forecast;
-    if (x->vm && other.excluded_len < RK_PLACE_EXCLUDED)
+    if (x->vm && other.excluded_len < RK_PLACE_MAX_EXCLUDED)
         other.excluded[other.excluded_len++] = x->vm->hash;
     const struct rk_place_vm *vm =
         rk_place_choose(x->r->place, &other, rk_mono_ms(), &forecast);
@@ -529,7 +533,7 @@
 static void keep_waiting(struct rk_relay_call *x)
 {
     if (x->vm && !x->silence_reported)
-        rk_place_silent(x->vm, &x->job, rk_mono_ms());
+        rk_place_note_unresponsive(x->vm, &x->job, rk_mono_ms());
     x->silence_reported = true;
     start_silence_timer(x);
 }
@@ -542,11 +546,11 @@
     struct rk_relay_call *x = ctx;
     if (!rk_call_repeatable(x) || x->attempts >= x->route->max_attempts)
         return;
-    if (!rk_budget_has(retry_budget(x)) || !has_other_vm(x)) {
+    if (!rk_retry_budget_has(retry_budget(x)) || !has_other_vm(x)) {
         keep_waiting(x);
         return;
     }
-    bool sent = !x->up || rk_upstream_sent(x->up);
+    bool sent = !x->up || rk_upstream_may_have_sent(x->up);
     if (x->up)
         rk_upstream_cancel(x->up);
     x->up = NULL;
@@ -563,7 +567,7 @@
     /* Cutting off a non-repeatable call would leave its outcome unknown. */
     if (runs_on)
         return;
-    rk_call_cancel_attempt(x, RK_PLACE_CALLED_OFF);
+    rk_call_cancel_attempt(x, RK_PLACE_CANCELLED);
     rk_call_log_end(x, 0, "the caller is gone");
     rk_call_record_latency(x, "gone");
     free_call(x);
@@ -572,9 +576,9 @@
 void rk_relay_call_abort(struct rk_relay_call *x)
 {
     struct rk_client *client = x->client;
-    rk_call_cancel_attempt(x, RK_PLACE_CALLED_OFF);
+    rk_call_cancel_attempt(x, RK_PLACE_CANCELLED);
     rk_call_log_end(x, 0, "this node ends");
     free_call(x);
     if (client)
-        rk_client_cut(client);
+        rk_client_abort(client);
 }
--- a/serve/relay_call.h
+++ b/serve/relay_call.h
@@ -12,7 +12,7 @@
 
 struct rk_client;
 struct rk_server;
-struct rk_upstreams;
+struct rk_upstream_pools;
 struct rk_upstream_call;
 struct rk_vm_check;
 
@@ -22,9 +22,9 @@
 /* Per-service state of a relay. */
 struct rk_relay_service {
     char name[RK_ID_MAX];
-    struct rk_budget budget; /* retry budget */
+    struct rk_retry_budget budget; /* retry budget */
     /* uncached prompt tokens requested of engines since the entry was added,
-     * refused calls included; see struct rk_service_use */
+     * refused calls included; see struct rk_service_load */
     double uncached_prompt_tokens;
 };
 
@@ -32,7 +32,7 @@
     struct rk_relay_options opt;
     struct rk_loop *loop;
     struct rk_server *server;
-    struct rk_upstreams *upstreams;
+    struct rk_upstream_pools *upstreams;
     struct rk_place *place;
     struct rk_quota quota;
     struct rk_usage usage;
--- a/serve/relay_call_impl.h
+++ b/serve/relay_call_impl.h
@@ -79,7 +79,7 @@
     bool ran;            /* an attempt has run, so the quota is not refunded */
     bool begun;          /* the caller has received the answer's head */
     int status;          /* HTTP status of that head */
-    struct rk_events events;
+    struct rk_event_splitter events;
     int64_t first_ms; /* time to first byte as the caller sees it; -1: none yet */
     /* copy of the call's KV cache in progress; NULL: none */
     struct rk_call_move *move;
@@ -126,14 +126,14 @@
 void rk_call_send(struct rk_relay_call *x);
 /* Reports the end of the current attempt to placement, without touching the
  * connection. */
-void rk_call_end_attempt(struct rk_relay_call *x, enum rk_place_end end);
+void rk_call_end_attempt(struct rk_relay_call *x, enum rk_place_outcome end);
 /* Cancels the current attempt's upstream call, then ends the attempt. */
-void rk_call_cancel_attempt(struct rk_relay_call *x, enum rk_place_end end);
+void rk_call_cancel_attempt(struct rk_relay_call *x, enum rk_place_outcome end);
 /* Handles an attempt that ended without a final answer: the call is retried,
  * resumed or ended. Its upstream call must have ended or been cancelled. sent: a
  * byte of the request may have reached the VM. what: reason for the log. */
 void rk_call_attempt_failed(struct rk_relay_call *x, bool sent,
-                            enum rk_place_end end, const char *what);
+                            enum rk_place_outcome end, const char *what);
 /* Handles an attempt whose VM proved that the call did not run there. */
 void rk_call_attempt_not_run(struct rk_relay_call *x, const char *what);
 
--- a/serve/relay_log.c
+++ b/serve/relay_log.c
@@ -23,7 +23,7 @@
              RK_N("read_tokens", (int64_t)x->job.load.uncached_tokens),
              RK_N("waiting_tokens", (int64_t)x->job.load.waiting_tokens),
              RK_N("running", (int64_t)x->job.load.running),
-             RK_N("home", rk_place_home(x->r->place, &x->query, x->vm)));
+             RK_N("home", rk_place_preferred_index(x->r->place, &x->query, x->vm)));
 }
 
 void rk_call_log_first_byte(const struct rk_relay_call *x, int64_t seen_ms)
@@ -49,9 +49,9 @@
 void rk_call_record_latency(const struct rk_relay_call *x, const char *outcome)
 {
     if (x->first_ms >= 0)
-        rk_latency_observe(RK_LATENCY_FIRST, x->query.service, outcome,
+        rk_latency_observe(RK_LATENCY_FIRST_BYTE, x->query.service, outcome,
                            x->first_ms);
-    rk_latency_observe(RK_LATENCY_WHOLE, x->query.service, outcome,
+    rk_latency_observe(RK_LATENCY_TOTAL, x->query.service, outcome,
                        rk_mono_ms() - x->started_ms);
 }
 
--- a/serve/relay_move.c
+++ b/serve/relay_move.c
@@ -78,8 +78,8 @@
     rk_strcpy(to, sizeof(to), m->to_id);
     log_move(m, "copied");
     rk_call_move_free(x);
-    rk_count(RK_C_KV_MOVES, 1);
-    rk_events_restart(&x->events);
+    rk_counter_add(RK_C_KV_MOVES, 1);
+    rk_event_splitter_restart(&x->events);
     rk_call_resume_moved(x, to, from, handle);
 }
 
@@ -94,7 +94,7 @@
     if (stream_complete)
         rk_call_end_complete(x);
     else if (stream_ended)
-        rk_call_attempt_failed(x, true, RK_PLACE_CALLED_OFF, "the vm left");
+        rk_call_attempt_failed(x, true, RK_PLACE_CANCELLED, "the vm left");
 }
 
 static void on_timer(void *ctx)
@@ -126,11 +126,11 @@
 
 /* ---- the order to the engine ---- */
 
-static enum rk_head_fate on_head(void *ctx, const struct rk_head *head)
+static enum rk_head_action on_head(void *ctx, const struct rk_head *head)
 {
     struct rk_call_move *m = ctx;
     m->status = head->status;
-    return RK_HEAD_TAKE;
+    return RK_HEAD_ACCEPT;
 }
 
 static void on_body(void *ctx, const char *data, size_t len)
--- a/serve/relay_signals.c
+++ b/serve/relay_signals.c
@@ -14,7 +14,7 @@
 static void reject_signal(const struct rk_relay_call *x, const char *name,
                           const char *text)
 {
-    rk_count(RK_C_VM_SIGNALS_BAD, 1);
+    rk_counter_add(RK_C_VM_SIGNALS_REJECTED, 1);
     RK_WARN("vm.signal_rejected", RK_S("vm", x->vm->row.id), RK_S("header", name),
             RK_S("value", text));
 }
@@ -58,13 +58,13 @@
            (named || rk_head_get(head, d->not_run));
 }
 
-static struct rk_vm_said parse_signals(const struct rk_relay_call *x,
-                                       const struct rk_head *head)
+static struct rk_vm_advertised parse_signals(const struct rk_relay_call *x,
+                                             const struct rk_head *head)
 {
     const struct rk_dialect *d = x->r->opt.dialect;
     const char *leaving = rk_head_get(head, d->leaving);
-    struct rk_vm_said signals = {.leaving = leaving && atoi(leaving) > 0,
-                                 .cooldown_ms = parse_cooldown_ms(x, head)};
+    struct rk_vm_advertised signals = {.leaving = leaving && atoi(leaving) > 0,
+                                       .cooldown_ms = parse_cooldown_ms(x, head)};
     signals.limited = parse_limit(x, head, &signals.limit_per_s);
     signals.unlimited =
         !rk_head_get(head, d->rate_limit) && rk_head_get(head, d->signature);
@@ -80,7 +80,7 @@
                  RK_N("limit_per_1000_s", (int64_t)(v->limit_per_s * MILLI)));
     if (changed & RK_VM_LEAVING_CHANGED)
         RK_EVENT("vm.says_leaving", RK_S("vm", id), RK_S("request", x->id));
-    if (changed & RK_VM_REST_CHANGED)
+    if (changed & RK_VM_COOLDOWN_CHANGED)
         RK_EVENT("vm.rest", RK_S("vm", id), RK_S("request", x->id),
                  RK_N("rest_ms", v->cooldown_until_ms - rk_mono_ms()));
 }
@@ -89,6 +89,7 @@
 {
     if (!is_from_vm(x, head))
         return;
-    const struct rk_vm_said signals = parse_signals(x, head);
-    log_changes(x, rk_place_hear(x->r->place, x->vm, &signals, rk_mono_ms()));
+    const struct rk_vm_advertised signals = parse_signals(x, head);
+    log_changes(x,
+                rk_place_apply_signals(x->r->place, x->vm, &signals, rk_mono_ms()));
 }
--- a/serve/relay_suspect.c
+++ b/serve/relay_suspect.c
@@ -50,25 +50,26 @@
         return x->fingerprint;
     const struct rk_head *head = rk_client_head(x->client);
     const char *host = rk_head_get(head, "Host");
-    struct rk_request_parts parts = {.org = x->org ? x->org->name : "",
-                                     .method = http_method_str(head->method),
-                                     .host = host ? host : "",
-                                     .target = rk_head_target(head)};
+    struct rk_request_identity parts = {.org = x->org ? x->org->name : "",
+                                        .method = http_method_str(head->method),
+                                        .host = host ? host : "",
+                                        .target = rk_head_target(head)};
     parts.body = rk_client_body(x->client, &parts.body_len);
-    x->fingerprint = rk_quarantine_request(&parts);
+    x->fingerprint = rk_quarantine_hash(&parts);
     return x->fingerprint;
 }
 
 bool rk_call_is_quarantined(struct rk_relay_call *x)
 {
     struct rk_quarantine *q = &x->r->quarantine;
-    return q->len && rk_quarantine_stops(q, rk_call_fingerprint(x), rk_mono_ms());
+    return q->len &&
+           rk_quarantine_is_stopped(q, rk_call_fingerprint(x), rk_mono_ms());
 }
 
 void rk_call_clear_suspicion(struct rk_relay_call *x)
 {
     if (rk_call_fingerprint(x))
-        rk_quarantine_ran(&x->r->quarantine, x->fingerprint, rk_mono_ms());
+        rk_quarantine_completed(&x->r->quarantine, x->fingerprint, rk_mono_ms());
 }
 
 void rk_relay_cancel_quarantined(struct rk_relay *r)
@@ -80,9 +81,9 @@
         bool waiting = x->query.engine && x->up && !x->vm_first_ms;
         if (!waiting || !rk_call_is_quarantined(x))
             continue;
-        if (rk_upstream_sent(x->up))
+        if (rk_upstream_may_have_sent(x->up))
             x->may_have_run = true;
-        rk_call_cancel_attempt(x, RK_PLACE_CALLED_OFF);
+        rk_call_cancel_attempt(x, RK_PLACE_CANCELLED);
         rk_call_send(x); /* ends the call, as it is quarantined */
     }
 }
@@ -91,8 +92,8 @@
 
 static void log_suspect(const struct rk_vm_check *k, const struct suspect *s)
 {
-    char name[RK_QUARANTINE_NAME];
-    rk_quarantine_name(s->identity.request, name);
+    char name[RK_QUARANTINE_NAME_MAX];
+    rk_quarantine_format(s->identity.request, name);
     RK_EVENT("request.suspected", RK_S("request", s->call_id),
              RK_S("fingerprint", name), RK_S("organisation", s->identity.org),
              RK_S("route", s->identity.route), RK_S("vm", k->vm_id),
@@ -110,7 +111,7 @@
         const struct rk_vm_end end = {.vm = k->vm_incarnation,
                                       .suspicion = s->suspicion};
         log_suspect(k, s);
-        if (!rk_quarantine_note(q, &s->identity, end, rk_mono_ms()))
+        if (!rk_quarantine_add_end(q, &s->identity, end, rk_mono_ms()))
             continue;
         stops = true;
     }
--- a/serve/traffic.c
+++ b/serve/traffic.c
@@ -82,12 +82,12 @@
     return rk_view_get(t->views);
 }
 
-size_t rk_traffic_in_hand(const struct rk_traffic *t)
+size_t rk_traffic_in_flight(const struct rk_traffic *t)
 {
     return t->exchanges_len;
 }
 
-void rk_traffic_hand_over(struct rk_traffic *t)
+void rk_traffic_end_resumable_streams(struct rk_traffic *t)
 {
     rk_exchange_end_resumable(t);
 }
@@ -108,7 +108,7 @@
     if (v->serial == t->view_serial)
         return;
     t->view_serial = v->serial;
-    rk_router_set_nodes(t->router, serving_nodes(v));
+    rk_router_set_node_count(t->router, serving_nodes(v));
     rk_router_update(t->router, v->config, v->vms, v->vms_len, v->domain,
                      rk_mono_ms());
     rk_exchange_view_changed(t);
--- a/serve/traffic.h
+++ b/serve/traffic.h
@@ -74,7 +74,7 @@
     struct rk_view_reader *views;
     uint64_t view_serial;
     struct rk_forwards *forwards;
-    struct rk_budget budget;
+    struct rk_retry_budget budget;
     struct rk_rng rng;
     struct rk_exchange *exchanges; /* all calls in flight */
     size_t exchanges_len;
@@ -112,10 +112,10 @@
 const struct rk_view *rk_traffic_view(struct rk_traffic *t);
 
 /* Returns the number of calls in flight. A planned stop waits until it is 0. */
-size_t rk_traffic_in_hand(const struct rk_traffic *t);
+size_t rk_traffic_in_flight(const struct rk_traffic *t);
 
 /* Ends streams that can be resumed at another node. Used shortly before the end of
  * the reclaim notice. */
-void rk_traffic_hand_over(struct rk_traffic *t);
+void rk_traffic_end_resumable_streams(struct rk_traffic *t);
 
 #endif
--- a/services/attempt.c
+++ b/services/attempt.c
@@ -21,7 +21,7 @@
     rk_service_end_fn *fn;
     void *ctx;
     char request_id[RK_ID_MAX];
-    char content_type[RK_CTYPE_MAX];
+    char content_type[RK_CONTENT_TYPE_MAX];
     struct rk_buf body;
     struct rk_timer inactivity_timer;
     int64_t inactivity_timeout_ms;
@@ -60,12 +60,13 @@
 {
     struct rk_service_attempt *a = ctx;
     if (a->is_mismatched)
-        rk_count(RK_C_CROSSED, 1);
+        rk_counter_add(RK_C_MISMATCHED, 1);
     struct rk_service_answer answer = {
         .end = {.may_have_reached = res->may_have_reached,
                 .answered = !res->curl_code && !a->is_mismatched,
                 .http_status = (int)res->status,
-                .cooldown_ms = rk_attempt_rest_ms(res->status, a->retry_after_ms)},
+                .cooldown_ms =
+                    rk_attempt_cooldown_ms(res->status, a->retry_after_ms)},
         .content_type = a->content_type,
         .body = a->body.data ? a->body.data : "",
         .len = a->body.len,
--- a/services/upstream.c
+++ b/services/upstream.c
@@ -34,7 +34,7 @@
 
 /* The connections to one address of a VM. */
 struct pool {
-    struct rk_upstreams *u;
+    struct rk_upstream_pools *u;
     struct pool *next;
     char vm_id[RK_ID_MAX];
     char addr[RK_ADDR_MAX];
@@ -42,7 +42,7 @@
     int open;                 /* idle connections and those with a call */
 };
 
-struct rk_upstreams {
+struct rk_upstream_pools {
     struct rk_loop *loop;
     struct pool *pools;
     struct rk_timer sweep;
@@ -94,7 +94,7 @@
 {
     struct rk_upstream_call *call = c->call;
     const struct rk_upstream_failure failure = {.may_have_reached =
-                                                    rk_upstream_sent(call),
+                                                    rk_upstream_may_have_sent(call),
                                                 .reused = call->reused,
                                                 .error = error,
                                                 .cause = what};
@@ -171,7 +171,7 @@
     free(call);
     /* A connection with unsent bytes of this request can't be reused. */
     bool keep = c->reusable && !has_surplus && !c->is_closed_by_vm &&
-                !rk_conn_unsent(c->tcp) && c->keep_alive_ms > 0;
+                !rk_conn_unsent_len(c->tcp) && c->keep_alive_ms > 0;
     if (keep) {
         rk_http1_next(&c->reader);
         c->has_served = true;
@@ -260,7 +260,7 @@
 /* Closes expired connections and frees pools without connections. */
 static void on_sweep(void *ctx)
 {
-    struct rk_upstreams *u = ctx;
+    struct rk_upstream_pools *u = ctx;
     int64_t now_ms = rk_mono_ms();
     for (struct pool **at = &u->pools; *at;) {
         struct pool *p = *at;
@@ -275,16 +275,16 @@
     rk_timer_start(u->loop, &u->sweep, SWEEP_INTERVAL_MS);
 }
 
-struct rk_upstreams *rk_upstreams_create(struct rk_loop *loop)
+struct rk_upstream_pools *rk_upstream_pools_create(struct rk_loop *loop)
 {
-    struct rk_upstreams *u = rk_alloc(1, sizeof(*u));
+    struct rk_upstream_pools *u = rk_alloc(1, sizeof(*u));
     u->loop = loop;
     u->sweep = (struct rk_timer){.fn = on_sweep, .ctx = u};
     rk_timer_start(loop, &u->sweep, SWEEP_INTERVAL_MS);
     return u;
 }
 
-void rk_upstreams_destroy(struct rk_upstreams *u)
+void rk_upstream_pools_destroy(struct rk_upstream_pools *u)
 {
     rk_timer_stop(u->loop, &u->sweep);
     while (u->pools) {
@@ -300,7 +300,7 @@
 /* Returns the pool of a VM's address, and creates it if there is none. A restarted
  * VM may have a new address while calls are still in flight at its old one, so each
  * address has a pool of its own. */
-static struct pool *get_pool(struct rk_upstreams *u, const char *vm_id,
+static struct pool *get_pool(struct rk_upstream_pools *u, const char *vm_id,
                              const char *addr)
 {
     struct pool *p = u->pools;
@@ -350,7 +350,7 @@
     return c;
 }
 
-struct rk_upstream_call *rk_upstream_start(struct rk_upstreams *u,
+struct rk_upstream_call *rk_upstream_start(struct rk_upstream_pools *u,
                                            const struct rk_upstream_spec *spec)
 {
     struct pool *p = get_pool(u, spec->vm_id, spec->addr);
@@ -371,14 +371,14 @@
     return call;
 }
 
-void rk_upstreams_forget(struct rk_upstreams *u, const char *vm_id)
+void rk_upstream_pools_close_idle(struct rk_upstream_pools *u, const char *vm_id)
 {
     for (struct pool *p = u->pools; p; p = p->next)
         while (!strcmp(p->vm_id, vm_id) && p->idle)
             release_conn(p->idle);
 }
 
-bool rk_upstream_sent(const struct rk_upstream_call *call)
+bool rk_upstream_may_have_sent(const struct rk_upstream_call *call)
 {
     return call->reused || rk_conn_has_sent(call->conn->tcp);
 }
--- a/services/upstream.h
+++ b/services/upstream.h
@@ -12,12 +12,12 @@
 
 struct rk_loop;
 struct rk_head;
-struct rk_upstreams;
+struct rk_upstream_pools;
 struct rk_upstream_call;
 
 /* What to do with a response, decided by its head. */
-enum rk_head_fate {
-    RK_HEAD_TAKE, /* it answers the call */
+enum rk_head_action {
+    RK_HEAD_ACCEPT, /* it answers the call */
     RK_HEAD_SKIP, /* it answers another request: discard it and read the next one */
 };
 
@@ -33,7 +33,7 @@
  * after on_end() and on_fail(). on_body() gets the body in pieces, without chunk
  * framing. */
 struct rk_upstream_ops {
-    enum rk_head_fate (*on_head)(void *ctx, const struct rk_head *head);
+    enum rk_head_action (*on_head)(void *ctx, const struct rk_head *head);
     void (*on_body)(void *ctx, const char *data, size_t len);
     void (*on_end)(void *ctx);
     void (*on_fail)(void *ctx, const struct rk_upstream_failure *failure);
@@ -55,26 +55,26 @@
 };
 
 /* Creates an empty set of connection pools on a loop, which must outlive it. */
-struct rk_upstreams *rk_upstreams_create(struct rk_loop *loop);
+struct rk_upstream_pools *rk_upstream_pools_create(struct rk_loop *loop);
 
 /* Closes all idle connections and frees u. No call may be in flight. */
-void rk_upstreams_destroy(struct rk_upstreams *u);
+void rk_upstream_pools_destroy(struct rk_upstream_pools *u);
 
 /* Sends a request on an idle connection or on a new one. Copies what it needs of
  * *spec; spec->ops must outlive the call. Returns NULL if max_conns is reached or
  * no connection can be opened: nothing was sent then, and no callback is called.
  * Never calls back before it returns. */
-struct rk_upstream_call *rk_upstream_start(struct rk_upstreams *u,
+struct rk_upstream_call *rk_upstream_start(struct rk_upstream_pools *u,
                                            const struct rk_upstream_spec *spec);
 
 /* Closes the idle connections to a VM. Used when the VM was restarted. */
-void rk_upstreams_forget(struct rk_upstreams *u, const char *vm_id);
+void rk_upstream_pools_close_idle(struct rk_upstream_pools *u, const char *vm_id);
 
 /* Cancels and frees a call and resets its connection. No callback is called. */
 void rk_upstream_cancel(struct rk_upstream_call *call);
 
 /* Returns whether a byte of the request may have been sent. This is always true on
  * a reused connection. */
-bool rk_upstream_sent(const struct rk_upstream_call *call);
+bool rk_upstream_may_have_sent(const struct rk_upstream_call *call);
 
 #endif
--- a/tests/prop_claims.cc
+++ b/tests/prop_claims.cc
@@ -156,7 +156,7 @@
                                          : RK_ECONFLICT,
                              version, sim.now, sim.now);
     } else if (op.kind == Op::ReadRing) {
-        std::vector<struct rk_slot_read> slots;
+        std::vector<struct rk_claim_slot_value> slots;
         for (auto &e : sim.store)
             if (e.second.version)
                 slots.push_back(
@@ -215,7 +215,7 @@
     case 2: {
         uint64_t t = ++sim.last_ticket;
         sim.ticket_key[t] = arg % kKeys;
-        rk_claims_ask(o->claims, t, key_of(arg % kKeys), false, sim.now);
+        rk_claims_request(o->claims, t, key_of(arg % kKeys), false, sim.now);
         rk_claims_tick(o->claims, sim.now, sim.now);
         break;
     }
--- a/tests/prop_core.cc
+++ b/tests/prop_core.cc
@@ -51,7 +51,7 @@
 // and skips some, and the caller still gets 0..n-1 once each, in order.
 void stream_tokens_are_delivered_once_in_order()
 {
-    struct rk_stream s = {};
+    struct rk_token_stream s = {};
     std::vector<int64_t> delivered;
     int attempts = *rc::gen::inRange(1, 8);
     for (int a = 0; a < attempts; a++) {
@@ -61,7 +61,7 @@
             int64_t index = at++;
             if (*rc::gen::inRange(0, 10) == 0)
                 at += *rc::gen::inRange(-1, 3);
-            enum rk_token_fate f = rk_stream_take(&s, index);
+            enum rk_token_action f = rk_token_stream_accept(&s, index);
             if (f == RK_TOKEN_DELIVER)
                 delivered.push_back(index);
             if (f == RK_TOKEN_GAP)
@@ -89,18 +89,18 @@
     for (int w : words)
         bytes +=
             "data: {\"w\":" + std::to_string(w) + "}\r\n\r\n: comment\nid: 4\n";
-    struct rk_sse whole = {}, cut = {};
+    struct rk_sse_parser whole = {}, cut = {};
     std::vector<std::string> a, b;
-    rk_sse_feed(&whole, bytes.data(), bytes.size(), collect, &a);
+    rk_sse_parser_feed(&whole, bytes.data(), bytes.size(), collect, &a);
     for (size_t at = 0; at < bytes.size();) {
         size_t n = *rc::gen::inRange<size_t>(1, 50);
         if (n > bytes.size() - at)
             n = bytes.size() - at;
-        rk_sse_feed(&cut, bytes.data() + at, n, collect, &b);
+        rk_sse_parser_feed(&cut, bytes.data() + at, n, collect, &b);
         at += n;
     }
-    rk_sse_free(&whole);
-    rk_sse_free(&cut);
+    rk_sse_parser_free(&whole);
+    rk_sse_parser_free(&cut);
     RC_ASSERT(a.size() == words.size());
     RC_ASSERT(a == b);
 }
@@ -227,7 +227,7 @@
     std::vector<std::string> owners_before;
     for (uint32_t s = 0; s < 64; s++)
         owners_before.push_back(
-            rk_members_at(a.get(), rk_shard_owner(a.get(), s))->id);
+            rk_members_at(a.get(), rk_shard_target(a.get(), s))->id);
     struct rk_member lost = *rk_members_at(a.get(), pick<size_t>(1, n));
     lost.state = RK_MEMBER_DEAD;
     bool last_of_domain = true;
@@ -238,7 +238,7 @@
     }
     rk_members_merge(a.get(), &lost, -1, 1);
     for (uint32_t s = 0; s < 64; s++) {
-        const char *now = rk_members_at(a.get(), rk_shard_owner(a.get(), s))->id;
+        const char *now = rk_members_at(a.get(), rk_shard_target(a.get(), s))->id;
         RC_ASSERT(strcmp(now, lost.id) != 0);
         if (owners_before[s] != lost.id && !last_of_domain)
             RC_ASSERT(owners_before[s] == now);
@@ -267,12 +267,12 @@
             change(i, *rc::gen::inRange(0, 4), *rc::gen::inRange(-3, 12)));
     struct rk_changelog *in_order = rk_changelog_create();
     for (int i = 0; i < n; i++)
-        rk_changelog_take(in_order, i + 1, log[i].c_str());
+        rk_changelog_append(in_order, i + 1, log[i].c_str());
     struct rk_changelog *node = rk_changelog_create();
     int64_t head = 0;
     auto order = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, n));
     for (int i : order) {
-        rk_changelog_take(node, i + 1, log[i].c_str());
+        rk_changelog_append(node, i + 1, log[i].c_str());
         RC_ASSERT(rk_changelog_head(node) >= head);
         head = rk_changelog_head(node);
     }
@@ -282,7 +282,7 @@
         free(snapshot);
     }
     for (int i = 0; i < n; i++)
-        rk_changelog_take(node, i + 1, log[i].c_str());
+        rk_changelog_append(node, i + 1, log[i].c_str());
     char *a = rk_changelog_snapshot(in_order), *b = rk_changelog_snapshot(node);
     bool same = !strcmp(a, b);
     free(a);
@@ -324,8 +324,8 @@
         char text[RK_LEASE_VALUE_MAX];
         int64_t expect;
         if (action == 0) {
-            rk_lease_seen(x, version, value.c_str(), now);
-        } else if (rk_lease_wants(x, now, text, &expect)) {
+            rk_lease_read_done(x, version, value.c_str(), now);
+        } else if (rk_lease_next_write(x, now, text, &expect)) {
             bool applied = expect == version;
             int fate = *rc::gen::inRange(0, 4);
             if (fate == 3)
@@ -335,11 +335,11 @@
                 value = text;
             }
             now += *rc::gen::inRange(0, 300); // the holder may be paused here
-            rk_lease_written(x,
-                             fate >= 2 ? RK_EUNKNOWN
-                             : applied ? RK_OK
-                                       : RK_ECONFLICT,
-                             version, now);
+            rk_lease_write_done(x,
+                                fate >= 2 ? RK_EUNKNOWN
+                                : applied ? RK_OK
+                                          : RK_ECONFLICT,
+                                version, now);
         }
         int valid = 0;
         int64_t epoch = 0;
@@ -361,15 +361,15 @@
                     other = new_lease(1, 1);
     char text[RK_LEASE_VALUE_MAX];
     int64_t expect, epoch, now = *rc::gen::inRange(1, 1000);
-    rk_lease_seen(&before, 0, "", now);
-    RC_ASSERT(rk_lease_wants(&before, now, text, &expect));
+    rk_lease_read_done(&before, 0, "", now);
+    RC_ASSERT(rk_lease_next_write(&before, now, text, &expect));
     std::string value = text;
     now += *rc::gen::inRange(0, 900);
-    rk_lease_seen(&after, 1, value.c_str(), now);
-    rk_lease_seen(&other, 1, value.c_str(), now);
-    RC_ASSERT(!rk_lease_wants(&other, now, text, &expect));
-    RC_ASSERT(rk_lease_wants(&after, now, text, &expect) && expect == 1);
-    rk_lease_written(&after, RK_OK, 2, now);
+    rk_lease_read_done(&after, 1, value.c_str(), now);
+    rk_lease_read_done(&other, 1, value.c_str(), now);
+    RC_ASSERT(!rk_lease_next_write(&other, now, text, &expect));
+    RC_ASSERT(rk_lease_next_write(&after, now, text, &expect) && expect == 1);
+    rk_lease_write_done(&after, RK_OK, 2, now);
     RC_ASSERT(rk_lease_valid(&after, now, &epoch) && epoch == 2);
 }
 
@@ -379,7 +379,7 @@
 // by the size of its requests: under steady demand slot time follows the weights.
 void shares_follow_weights()
 {
-    struct rk_admit *a = rk_admit_create();
+    struct rk_fair_queue *a = rk_fair_queue_create();
     int64_t weights[3], used[3] = {};
     for (auto &w : weights)
         w = *rc::gen::inRange(1, 6);
@@ -392,18 +392,18 @@
         w->rank = 3;
         w->deadline_ms = *rc::gen::inRange(0, 1000);
         w->cost_ms = *rc::gen::inRange(1, 50);
-        rk_admit_push(a, w);
+        rk_fair_queue_push(a, w);
     }
     int64_t total = 0;
     for (int n = 0; n < 150; n++) {
-        struct rk_waiter *w = rk_admit_peek(a, true, 0);
-        rk_admit_take(a, w);
+        struct rk_waiter *w = rk_fair_queue_peek(a, true, 0);
+        rk_fair_queue_serve(a, w);
         used[w->org[1] - '0'] += w->cost_ms;
         total += w->cost_ms;
     }
     for (auto &w : waiters)
-        rk_admit_remove(a, &w);
-    rk_admit_destroy(a);
+        rk_fair_queue_remove(a, &w);
+    rk_fair_queue_destroy(a);
     int64_t sum = weights[0] + weights[1] + weights[2];
     for (int i = 0; i < 3; i++) {
         double share = static_cast<double>(total) * weights[i] / sum;
@@ -415,7 +415,7 @@
 // before its deadline and first from then on, or it would starve.
 void ranks_and_promotion()
 {
-    struct rk_admit *a = rk_admit_create();
+    struct rk_fair_queue *a = rk_fair_queue_create();
     struct rk_waiter urgent = {}, normal = {}, deferred = {};
     int64_t deadline = *rc::gen::inRange(1000, 5000);
     strcpy(urgent.org, "u");
@@ -427,16 +427,16 @@
     deferred.deferrable = true;
     deferred.promote_ms = 500;
     deferred.deadline_ms = deadline;
-    rk_admit_push(a, &deferred);
-    rk_admit_push(a, &normal);
-    rk_admit_push(a, &urgent);
-    RC_ASSERT(rk_admit_peek(a, true, 0) == &urgent);
-    rk_admit_take(a, &urgent);
-    RC_ASSERT(rk_admit_peek(a, true, 0) == &normal);
-    RC_ASSERT(rk_admit_peek(a, true, deadline - 500) == &deferred);
-    rk_admit_remove(a, &normal);
-    rk_admit_take(a, &deferred);
-    rk_admit_destroy(a);
+    rk_fair_queue_push(a, &deferred);
+    rk_fair_queue_push(a, &normal);
+    rk_fair_queue_push(a, &urgent);
+    RC_ASSERT(rk_fair_queue_peek(a, true, 0) == &urgent);
+    rk_fair_queue_serve(a, &urgent);
+    RC_ASSERT(rk_fair_queue_peek(a, true, 0) == &normal);
+    RC_ASSERT(rk_fair_queue_peek(a, true, deadline - 500) == &deferred);
+    rk_fair_queue_remove(a, &normal);
+    rk_fair_queue_serve(a, &deferred);
+    rk_fair_queue_destroy(a);
 }
 
 } // namespace
--- a/tests/prop_engine.cc
+++ b/tests/prop_engine.cc
@@ -68,7 +68,7 @@
     for (double tokens : {300.0, 2000.0, 8000.0}) {
         const rk_engine_load load = {tokens, 0, 5};
         double true_ms = engine.first_ms(load),
-               predicted_ms = rk_engine_first(&e, &load).ms;
+               predicted_ms = rk_engine_predict(&e, &load).ms;
         RC_LOG() << tokens << " tokens: " << predicted_ms << " of " << true_ms
                  << " ms";
         RC_ASSERT(std::fabs(predicted_ms - true_ms) <
@@ -118,7 +118,7 @@
     rk_engine e;
     rk_engine_init(&e);
     const rk_engine_load load = {*rc::gen::inRange(0, 60000) * 1.0, 0, 0};
-    rk_engine_forecast f = rk_engine_first(&e, &load);
+    rk_engine_forecast f = rk_engine_predict(&e, &load);
     RC_ASSERT(f.ms - 2 * f.std_error_ms <= 0);
 }
 
@@ -131,7 +131,7 @@
     rk_engine_init(&peer_model);
     rk_engine_init(&e);
     learn_calls(&peer_model, engine, LEARNT_CALLS, 0, random);
-    rk_engine_estimate from_peer = rk_engine_learnt(&peer_model);
+    rk_engine_estimate from_peer = rk_engine_get_estimate(&peer_model);
     rk_engine_set_prior(&e, &from_peer);
     assert_close(e, engine);
     learn_calls(&e, other, 2 * LEARNT_CALLS, 0, random);
@@ -151,10 +151,10 @@
     rk_engine e;
     rk_engine_init(&e);
     learn_calls(&e, engine, LEARNT_CALLS, 0, random);
-    rk_engine_estimate before = rk_engine_learnt(&e);
+    rk_engine_estimate before = rk_engine_get_estimate(&e);
     learn_calls(&e, overloaded, LEARNT_CALLS / 2, 0, random);
     learn_calls(&e, engine, LEARNT_CALLS, 0, random);
-    rk_engine_estimate after = rk_engine_learnt(&e);
+    rk_engine_estimate after = rk_engine_get_estimate(&e);
     RC_ASSERT(rk_engine_read_per_s(&after) > 0.5 * rk_engine_read_per_s(&before));
 }
 
--- a/tests/prop_following.cc
+++ b/tests/prop_following.cc
@@ -69,7 +69,7 @@
     {
         const Node &n = nodes[i];
         return n.watches && !n.store_refuses && n.store_answered_ms >= 0 &&
-               now_ms - n.store_answered_ms < RK_FOLLOWING_STALE_MS;
+               now_ms - n.store_answered_ms < RK_WATCH_POLICY_STALE_MS;
     }
     bool has_preceding_watch(size_t i) const
     {
@@ -171,7 +171,7 @@
 void decide_watch(Domain *d, size_t i)
 {
     Node &n = d->nodes[i];
-    rk_following f = {};
+    rk_watch_policy_input f = {};
     f.up_ms = d->now_ms - n.started_ms;
     f.listed = true;
     f.ready = n.confirmed_ms >= 0;
@@ -180,7 +180,7 @@
     f.age_ms = f.ready ? d->now_ms - n.confirmed_ms : -1;
     f.has_preceding_watch = d->has_preceding_watch(i);
     f.watches = n.watches;
-    n.watches = rk_following_should(&f);
+    n.watches = rk_watch_policy_is_needed(&f);
 }
 
 // Ends a node's watch when its time is over, and opens one if the node should
@@ -189,7 +189,7 @@
 {
     Node &n = d->nodes[i];
     if (n.watch_opened_ms >= 0 &&
-        d->now_ms - n.watch_opened_ms >= RK_FOLLOWING_WATCH_MS) {
+        d->now_ms - n.watch_opened_ms >= RK_WATCH_POLICY_TIMEOUT_MS) {
         // An answer without updates confirms the data.
         n.store_answered_ms = n.confirmed_ms = d->now_ms;
         n.watch_opened_ms = -1;
@@ -232,7 +232,7 @@
     for (size_t i = 0; i < d->nodes.size(); i++) {
         if (!d->is_running(i))
             continue;
-        if (d->now_ms % RK_FOLLOWING_TICK_MS == 0)
+        if (d->now_ms % RK_WATCH_POLICY_CHECK_MS == 0)
             decide_watch(d, i);
         run_watch(d, i);
     }
@@ -244,9 +244,9 @@
 // retry after a refusal, one report, and the time to notice that bridges are gone.
 int64_t bound_ms(size_t nodes_before)
 {
-    return RK_FOLLOWING_STALE_MS +
-           static_cast<int64_t>(nodes_before) * RK_FOLLOWING_STAGGER_MS +
-           RK_FOLLOWING_TICK_MS + RETRY_MS + REPORT_MS + REACHABLE_MS;
+    return RK_WATCH_POLICY_STALE_MS +
+           static_cast<int64_t>(nodes_before) * RK_WATCH_POLICY_STAGGER_MS +
+           RK_WATCH_POLICY_CHECK_MS + RETRY_MS + REPORT_MS + REACHABLE_MS;
 }
 
 // Checks the bound for all nodes, once some node was able to watch for that long.
--- a/tests/prop_fuzz.cc
+++ b/tests/prop_fuzz.cc
@@ -127,7 +127,7 @@
         without_nul(damage("{\"id\":\"1\",\"set\":{\"/services/s/vm_slots\":4,"
                            "\"/classes/a\":{\"rank\":2},\"/x/y\":null}}"));
     struct rk_changelog *log = rk_changelog_create();
-    rk_changelog_take(log, 1, s.c_str());
+    rk_changelog_append(log, 1, s.c_str());
     RC_ASSERT(rk_changelog_head(log) == 1);
     rk_changelog_restore(log, s.c_str());
     rk_changelog_restore(
@@ -151,21 +151,21 @@
             ? random_bytes()
             : damage("data: {\"id\":\"r\",\"choices\":[{\"delta\":{\"content\":"
                      "\"w\"}}],\"rk_index\":3}\n\ndata: [DONE]\n\n");
-    struct rk_sse sse = {};
-    rk_sse_feed(&sse, s.data(), s.size(), on_event, nullptr);
-    rk_sse_free(&sse);
+    struct rk_sse_parser sse = {};
+    rk_sse_parser_feed(&sse, s.data(), s.size(), on_event, nullptr);
+    rk_sse_parser_free(&sse);
 }
 
 // Guards against unbounded memory: an upstream may send a line without an end.
 void long_lines_are_bounded()
 {
-    struct rk_sse sse = {};
+    struct rk_sse_parser sse = {};
     std::string part(4096, 'x');
     bool ok = true;
     for (int i = 0; i < 64 && ok; i++)
-        ok = rk_sse_feed(&sse, part.data(), part.size(), on_event, nullptr);
+        ok = rk_sse_parser_feed(&sse, part.data(), part.size(), on_event, nullptr);
     RC_ASSERT(!ok && sse.line.cap <= 4 * RK_SSE_LINE_MAX);
-    rk_sse_free(&sse);
+    rk_sse_parser_free(&sse);
 }
 
 // A caller's completion request, whole or damaged, must be refused or parsed.
@@ -244,13 +244,13 @@
     cfg.max_tickets = 10;
     cfg.claim_timeout_ms = 100;
     struct rk_claims *c = rk_claims_create(&cfg, &ops, nullptr);
-    rk_claims_ask(c, 1, rk_claim_key_make("o", "s", "k", "/", "", 0), false, 1);
+    rk_claims_request(c, 1, rk_claim_key_make("o", "s", "k", "/", "", 0), false, 1);
     rk_claims_tick(c, 1, 1);
     std::string value = without_nul(damage(
         "{\"epoch\":3,\"owner\":\"b\",\"seq\":2,\"sealed\":false,\"newest_ms\":1,"
         "\"nonce\":\"ab\",\"keys\":[\"00112233445566778899aabbccddeeff00112233\"]"
         "}"));
-    struct rk_slot_read slot = {0, 4, value.c_str()};
+    struct rk_claim_slot_value slot = {0, 4, value.c_str()};
     rk_claims_on_ring(c, RK_OK, &slot, 1, 2, 2);
     rk_claims_destroy(c);
 }
--- a/tests/prop_holding.cc
+++ b/tests/prop_holding.cc
@@ -18,12 +18,12 @@
 constexpr int MAX_VMS = 40;
 constexpr int STEPS = 60; // at most, until a plan no longer changes
 
-rk_holding_input any_input()
+rk_sizing_input any_input()
 {
-    rk_holding_input in = {};
+    rk_sizing_input in = {};
     in.domains_len = *rc::gen::inRange<size_t>(1, 6);
     for (size_t i = 0; i < in.domains_len; i++) {
-        rk_holding_domain &d = in.domains[i];
+        rk_sizing_domain &d = in.domains[i];
         snprintf(d.name, sizeof(d.name), "domain-%zu", i);
         d.price = *rc::gen::inRange(5, 20) / 10.0;
         d.on_demand = *rc::gen::inRange(0, MAX_VMS / 2);
@@ -47,9 +47,9 @@
 // are taken back, and against orders that the platform refuses as above max_vms.
 void every_domain_keeps_its_floor_and_its_limit()
 {
-    rk_holding_input in = any_input();
-    rk_holding_target t[RK_HOLDING_DOMAINS];
-    rk_holding_plan(&in, t);
+    rk_sizing_input in = any_input();
+    rk_sizing_target t[RK_SIZING_DOMAINS];
+    rk_sizing_plan(&in, t);
     for (size_t i = 0; i < in.domains_len; i++) {
         RC_ASSERT(t[i].on_demand >= std::max(1, in.min_vms));
         RC_ASSERT(t[i].reclaimable >= 0);
@@ -67,9 +67,9 @@
 // provide any now.
 void nothing_more_is_ordered_in_an_exhausted_domain()
 {
-    rk_holding_input in = any_input();
-    rk_holding_target t[RK_HOLDING_DOMAINS];
-    rk_holding_plan(&in, t);
+    rk_sizing_input in = any_input();
+    rk_sizing_target t[RK_SIZING_DOMAINS];
+    rk_sizing_plan(&in, t);
     for (size_t i = 0; i < in.domains_len; i++)
         if (in.domains[i].no_reclaimable)
             RC_ASSERT(t[i].reclaimable <= in.domains[i].reclaimable);
@@ -79,15 +79,15 @@
 // with no other change, a plan must stop changing within STEPS.
 void a_plan_converges()
 {
-    rk_holding_input in = any_input();
-    rk_holding_target t[RK_HOLDING_DOMAINS];
+    rk_sizing_input in = any_input();
+    rk_sizing_target t[RK_SIZING_DOMAINS];
     in.may_shrink = true;
     bool unchanged = false;
     for (int step = 0; step < STEPS && !unchanged; step++) {
-        rk_holding_plan(&in, t);
+        rk_sizing_plan(&in, t);
         unchanged = true;
         for (size_t i = 0; i < in.domains_len; i++) {
-            rk_holding_domain &d = in.domains[i];
+            rk_sizing_domain &d = in.domains[i];
             unchanged = unchanged && d.on_demand == t[i].on_demand && !d.booting &&
                         d.reclaimable == t[i].reclaimable;
             d.booting = 0;
@@ -111,17 +111,17 @@
         switch (*rc::gen::inRange(0, 3)) {
         case 0:
             rk_reclaims_refused(&d[index], now_ms);
-            RC_ASSERT(!rk_reclaims_may_ask(&d[index], now_ms + 500));
-            RC_ASSERT(rk_reclaims_may_ask(&d[index], now_ms + 10000));
+            RC_ASSERT(!rk_reclaims_may_order(&d[index], now_ms + 500));
+            RC_ASSERT(rk_reclaims_may_order(&d[index], now_ms + 10000));
             break;
         case 1:
             rk_reclaims_granted(d, 3, index);
-            RC_ASSERT(!rk_reclaims_none(d, 3));
-            RC_ASSERT(rk_reclaims_may_ask(&d[(index + 1) % 3], now_ms));
+            RC_ASSERT(!rk_reclaims_all_exhausted(d, 3));
+            RC_ASSERT(rk_reclaims_may_order(&d[(index + 1) % 3], now_ms));
             break;
         default:
-            rk_reclaims_seen(&d[index], *rc::gen::inRange(0, 20),
-                             *rc::gen::inRange(-1, 20), now_ms);
+            rk_reclaims_observe(&d[index], *rc::gen::inRange(0, 20),
+                                *rc::gen::inRange(-1, 20), now_ms);
         }
     }
 }
--- a/tests/prop_limits.cc
+++ b/tests/prop_limits.cc
@@ -147,7 +147,7 @@
                 others.push_back(o.hash);
         rk_vm_signal_set_senders(
             &n.signal,
-            rk_vm_limit_part(&n.signal, n.hash, others.data(), others.size()),
+            rk_vm_limit_senders(&n.signal, n.hash, others.data(), others.size()),
             now_);
     }
 
@@ -159,10 +159,10 @@
         push({now_ + 1 + static_cast<int64_t>(pause(rng_)), Kind::CALL, 0, {}, 0});
         size_t at = below(nodes_.size());
         Node &n = nodes_[at];
-        if (!n.up || rk_vm_signal_bars(&n.signal) ||
+        if (!n.up || rk_vm_signal_blocks(&n.signal) ||
             rk_vm_signal_wait_ms(&n.signal, now_))
             return;
-        rk_vm_signal_sent(&n.signal, now_);
+        rk_vm_signal_note_sent(&n.signal, now_);
         bool is_exempt = now_ - n.fault_ms < EXEMPT_MS;
         arrivals_.push_back(
             {now_, n.knows_limit && now_ - n.learnt_ms >= LEARNT_MS && !is_exempt,
@@ -182,7 +182,7 @@
     void on_answer(const Event &e)
     {
         Node &n = nodes_[e.node];
-        rk_vm_said advertised{};
+        rk_vm_advertised advertised{};
         advertised.limited = e.limit >= 0;
         advertised.unlimited = !advertised.limited;
         advertised.limit_per_s = e.limit;
@@ -192,7 +192,7 @@
             n.knows_limit = true;
             n.learnt_ms = now_;
         }
-        if (!rk_vm_signal_hear(&n.signal, &advertised, now_))
+        if (!rk_vm_signal_apply(&n.signal, &advertised, now_))
             return;
         if (n.signal.senders == RK_SENDERS_UNKNOWN)
             rk_vm_signal_set_senders(&n.signal, static_cast<int>(nodes_.size()),
--- a/tests/prop_lives.cc
+++ b/tests/prop_lives.cc
@@ -85,13 +85,13 @@
             if (!vm)
                 continue;
             Call call{vm, {}};
-            rk_place_sent(p, vm, &q, now_ms, &call.job);
+            rk_place_note_sent(p, vm, &q, now_ms, &call.job);
             calls.push_back(call);
             if (calls.size() % 3 == 0) { // a late end, of any incarnation
                 Call &ended = calls[calls.size() / 2];
                 if (ended.vm)
-                    rk_place_ended(p, ended.vm, &ended.job, RK_PLACE_LOST,
-                                   ++now_ms);
+                    rk_place_note_end(p, ended.vm, &ended.job, RK_PLACE_LOST,
+                                      ++now_ms);
                 ended.vm = nullptr;
             }
         }
@@ -104,7 +104,7 @@
         }
         for (Call &call : calls)
             if (call.vm)
-                rk_place_ended(p, call.vm, &call.job, RK_PLACE_LOST, ++now_ms);
+                rk_place_note_end(p, call.vm, &call.job, RK_PLACE_LOST, ++now_ms);
         rk_place_destroy(p);
     }
 }
@@ -123,12 +123,12 @@
     for (int i = 0; i < n; i++) {
         Call call{rk_place_choose(p, &q, 2, &first), {}};
         RC_ASSERT(call.vm);
-        rk_place_sent(p, call.vm, &q, 2, &call.job);
+        rk_place_note_sent(p, call.vm, &q, 2, &call.job);
         calls.push_back(call);
     }
     rk_place_set_vms(p, &current, 1, 3);
     for (Call &call : calls)
-        rk_place_ended(p, call.vm, &call.job, RK_PLACE_LOST, 4);
+        rk_place_note_end(p, call.vm, &call.job, RK_PLACE_LOST, 4);
     const rk_place_vm *vm = rk_place_find(p, current.id);
     RC_ASSERT(vm->losses_in_row == 0 && vm->paused_until_ms == 0 &&
               vm->running == 0);
--- a/tests/prop_quarantine.cc
+++ b/tests/prop_quarantine.cc
@@ -68,13 +68,13 @@
                                                        : RK_MAY_HAVE_BEGUN};
         switch (*rc::gen::inRange(0, 5)) {
         case 0:
-            rk_quarantine_clear(&t, request, 1);
+            rk_quarantine_reset(&t, request, 1);
             break;
         case 1:
             send_all_rows(t, peer);
             break;
         default:
-            rk_quarantine_note(&t, &names, end, 1);
+            rk_quarantine_add_end(&t, &names, end, 1);
         }
     }
     for (size_t round = 0; round < 3; round++)
@@ -84,8 +84,8 @@
                     send_all_rows(*from, *to);
     for (uint64_t request = 1; request <= REQUESTS; request++)
         for (size_t i = 1; i < TABLES; i++)
-            RC_ASSERT(rk_quarantine_stops(tables[0].get(), request, 1) ==
-                      rk_quarantine_stops(tables[i].get(), request, 1));
+            RC_ASSERT(rk_quarantine_is_stopped(tables[0].get(), request, 1) ==
+                      rk_quarantine_is_stopped(tables[i].get(), request, 1));
 }
 
 // ---- fleets ----
@@ -233,7 +233,8 @@
     // Sends a call to a VM that runs, unless the request is stopped.
     void send_to_vm(Call call)
     {
-        if (rk_quarantine_stops(nodes_[call.node].get(), call.request, now_ + 1)) {
+        if (rk_quarantine_is_stopped(nodes_[call.node].get(), call.request,
+                                     now_ + 1)) {
             out_.other_stopped += !call.crashes_vm;
             return;
         }
@@ -279,7 +280,7 @@
                 return;
             }
             if (!call.crashes_vm && now_ >= call.ends_ms) {
-                rk_quarantine_clear(nodes_[call.node].get(), call.request,
+                rk_quarantine_reset(nodes_[call.node].get(), call.request,
                                     now_ + 1);
                 vm.calls[i] = vm.calls.back();
                 vm.calls.pop_back();
@@ -329,11 +330,11 @@
         const rk_suspicion s = suspicion(call);
         rk_quarantine *t = nodes_[call.node].get();
         if (s == RK_NOT_SUSPECT) {
-            rk_quarantine_ran(t, call.request, now_ + 1);
+            rk_quarantine_completed(t, call.request, now_ + 1);
             return;
         }
         const rk_quarantine_row names = make_row(call.request);
-        rk_quarantine_note(t, &names, {incarnation, s}, now_ + 1);
+        rk_quarantine_add_end(t, &names, {incarnation, s}, now_ + 1);
         const rk_quarantine_row *row = rk_quarantine_find(t, call.request);
         if (row && (call.crashes_vm || call.tries > 0))
             send_update(call.node, *row);
--- a/tests/prop_rollout.cc
+++ b/tests/prop_rollout.cc
@@ -28,25 +28,25 @@
 }
 
 // Adds random calls to one version, of which some failed.
-void add_calls(rk_trial_rows *rows)
+void add_calls(rk_canary_rows *rows)
 {
     const char *route = *rc::gen::arbitrary<bool>() ? "r" : "s";
     const char *domain = *rc::gen::arbitrary<bool>() ? "a" : "b";
-    rk_trial_row *row =
-        rk_trial_row_at(rows, route, domain, *rc::gen::arbitrary<bool>());
+    rk_canary_row *row =
+        rk_canary_get_row(rows, route, domain, *rc::gen::arbitrary<bool>());
     const double calls = *rc::gen::inRange(0, 40);
-    rk_trial_seen more = {};
+    rk_canary_stats more = {};
     more.calls = calls;
     more.failed = calls * *rc::gen::inRange(0, 11) / 10.0;
     more.timed = calls;
     more.log_sum = calls * *rc::gen::inRange(-20, 21) / 10.0;
     more.log_sq = more.log_sum * more.log_sum / (calls > 0 ? calls : 1);
-    rk_trial_add(&row->stats, &more);
+    rk_canary_merge(&row->stats, &more);
 }
 
-rk_rollout_view any_view(int64_t now_ms, const rk_trial_rows *rows)
+rk_rollout_input any_view(int64_t now_ms, const rk_canary_rows *rows)
 {
-    rk_rollout_view v = {};
+    rk_rollout_input v = {};
     v.now_ms = now_ms;
     v.old_vms = *rc::gen::inRange<size_t>(0, 60);
     v.new_vms = *rc::gen::inRange<size_t>(0, 60);
@@ -62,20 +62,20 @@
 {
     int64_t now_ms = 1000;
     rk_rollout r = any_rollout(now_ms);
-    static rk_trial_rows rows;
+    static rk_canary_rows rows;
     rows.len = 0;
     for (int i = 0; i < STEPS; i++) {
         const rk_rollout_rule before = r.rule;
         now_ms += *rc::gen::inRange(0, 600);
         add_calls(&rows);
-        const rk_rollout_view v = any_view(now_ms, &rows);
+        const rk_rollout_input v = any_view(now_ms, &rows);
         const bool changed = rk_rollout_step(&r, &v);
         RC_ASSERT(r.rule.phase >= before.phase);
         RC_ASSERT(changed == (r.rule.revision > before.revision));
-        RC_ASSERT(r.rule.share <= RK_ROLLOUT_ALL);
-        if (before.phase >= RK_ROLLOUT_TAKEN)
+        RC_ASSERT(r.rule.share <= RK_ROLLOUT_SHARE_ALL);
+        if (before.phase >= RK_ROLLOUT_COMMITTED)
             RC_ASSERT(!changed && r.rule.phase == before.phase);
-        if (r.rule.phase == RK_ROLLOUT_GIVEN_BACK)
+        if (r.rule.phase == RK_ROLLOUT_ROLLED_BACK)
             RC_ASSERT(r.rule.share == 0u);
     }
 }
@@ -86,23 +86,23 @@
 {
     int64_t now_ms = 1000;
     rk_rollout r = any_rollout(now_ms);
-    static rk_trial_rows rows;
+    static rk_canary_rows rows;
     rows.len = 0;
-    rk_trial_row *old_row = rk_trial_row_at(&rows, "r", "a", false);
-    rk_trial_row *new_row = rk_trial_row_at(&rows, "r", "a", true);
-    for (int i = 0; i < STEPS && r.rule.phase == RK_ROLLOUT_TRIAL; i++) {
-        rk_trial_seen more = {};
+    rk_canary_row *old_row = rk_canary_get_row(&rows, "r", "a", false);
+    rk_canary_row *new_row = rk_canary_get_row(&rows, "r", "a", true);
+    for (int i = 0; i < STEPS && r.rule.phase == RK_ROLLOUT_CANARY; i++) {
+        rk_canary_stats more = {};
         more.calls = more.timed = *rc::gen::inRange(0, 30);
-        rk_trial_add(&old_row->stats, &more);
-        const rk_rollout_view v = any_view(now_ms, &rows);
+        rk_canary_merge(&old_row->stats, &more);
+        const rk_rollout_input v = any_view(now_ms, &rows);
         rk_rollout_step(&r, &v);
         const double allowed =
             r.bounds.share * (old_row->stats.calls + new_row->stats.calls) +
             r.bounds.slack;
-        if (r.rule.phase == RK_ROLLOUT_TRIAL && new_row->stats.calls >= allowed)
+        if (r.rule.phase == RK_ROLLOUT_CANARY && new_row->stats.calls >= allowed)
             RC_ASSERT(r.rule.share == 0u);
         more.calls = more.timed = r.rule.share ? *rc::gen::inRange(0, 5) : 0;
-        rk_trial_add(&new_row->stats, &more);
+        rk_canary_merge(&new_row->stats, &more);
         now_ms += 200;
     }
 }
@@ -113,16 +113,16 @@
 {
     int64_t now_ms = 1000;
     rk_rollout r = any_rollout(now_ms);
-    static rk_trial_rows rows;
+    static rk_canary_rows rows;
     rows.len = 0;
     const int64_t ends_ms = r.ordered_ms + r.order.duration_ms;
     while (now_ms < ends_ms) {
-        const rk_rollout_view v = any_view(now_ms, &rows);
+        const rk_rollout_input v = any_view(now_ms, &rows);
         rk_rollout_step(&r, &v);
         now_ms += 200;
     }
     for (int i = 0; i < 15; i++, now_ms += 200) {
-        const rk_rollout_view v = any_view(now_ms, &rows);
+        const rk_rollout_input v = any_view(now_ms, &rows);
         rk_rollout_step(&r, &v);
     }
     RC_ASSERT(rk_rollout_state_of(&r) >= RK_ROLLOUT_DONE);
@@ -134,12 +134,12 @@
 {
     rk_rollout_rule rule = {};
     snprintf(rule.version, sizeof(rule.version), "v2");
-    rule.share = *rc::gen::inRange(0u, RK_ROLLOUT_ALL + 1u);
+    rule.share = *rc::gen::inRange(0u, RK_ROLLOUT_SHARE_ALL + 1u);
     const uint64_t seed = *rc::gen::arbitrary<uint64_t>();
     int new_version_calls = 0;
     for (uint64_t i = 0; i < 2000; i++)
-        new_version_calls += rk_rollout_tries(&rule, seed + i);
-    const double expected = 2000.0 * rule.share / RK_ROLLOUT_ALL;
+        new_version_calls += rk_rollout_uses_new(&rule, seed + i);
+    const double expected = 2000.0 * rule.share / RK_ROLLOUT_SHARE_ALL;
     RC_ASSERT(new_version_calls > expected - 150 &&
               new_version_calls < expected + 150);
 }
--- a/tests/test_arena.c
+++ b/tests/test_arena.c
@@ -27,7 +27,7 @@
     struct rk_arena *a = rk_arena_create();
     for (int round = 0; round < 3; round++) {
         for (int i = 0; i < ITEMS; i++) {
-            allocs[i] = rk_arena_take(a, alloc_len(i));
+            allocs[i] = rk_arena_alloc(a, alloc_len(i));
             assert_int_equal((uintptr_t)allocs[i] % alignof(max_align_t), 0);
             memset(allocs[i], i % 251, alloc_len(i));
         }
--- a/tests/test_bridges.c
+++ b/tests/test_bridges.c
@@ -71,7 +71,7 @@
     r.domain = (char *)domain_of(from);
     r.capacity = CAPACITY;
     r.incarnation = 1;
-    rk_report_take(rk_mesh_learn(&f->meshes[to], id, addr), &r);
+    rk_report_receive(rk_mesh_find_or_add(&f->meshes[to], id, addr), &r);
 }
 
 /* Makes a digest of the fleet by a node. id and addr hold its texts and must
@@ -106,7 +106,7 @@
         row->heard = true;
         ptrs[d.n_members++] = row;
     }
-    rk_digest_take(rk_mesh_learn(&f->meshes[to], id, addr), &d);
+    rk_digest_receive(rk_mesh_find_or_add(&f->meshes[to], id, addr), &d);
 }
 
 /* Fills in which nodes a node elects as bridges; returns the number of those in the
@@ -174,7 +174,7 @@
     receive_report(&f, 0, 1);
     format_name(id, addr, 1);
     /* Node 2 knows only the address of node 1. */
-    rk_mesh_learn(&f.meshes[2], id, addr);
+    rk_mesh_find_or_add(&f.meshes[2], id, addr);
     receive_digest(&f, 0, 2, CAPACITY);
     assert_int_equal(rk_mesh_find(&f.meshes[0], id)->capacity, CAPACITY);
     fleet_free(&f);
@@ -216,7 +216,7 @@
     fleet_init(&f);
     for (int i = 2; i < NODES; i++) {
         format_name(id, addr, i);
-        rk_strcpy(rk_mesh_learn(&f.meshes[1], id, addr)->domain, RK_ID_MAX,
+        rk_strcpy(rk_mesh_find_or_add(&f.meshes[1], id, addr)->domain, RK_ID_MAX,
                   domain_of(i));
     }
     receive_digest(&f, 0, 1, CAPACITY); /* lists all others */
@@ -242,7 +242,7 @@
     use.asking = DEMAND;
     d.uses = &ptr;
     d.n_uses = 1;
-    rk_digest_take(rk_mesh_learn(&f->meshes[to], id, addr), &d);
+    rk_digest_receive(rk_mesh_find_or_add(&f->meshes[to], id, addr), &d);
 }
 
 /* Units of an organisation that peers used since they were last passed on. */
@@ -283,7 +283,7 @@
     Rillknot__Digest d;
     init_digest(&d, id, addr, from);
     d.brief = true;
-    rk_digest_take(rk_mesh_learn(&f->meshes[to], id, addr), &d);
+    rk_digest_receive(rk_mesh_find_or_add(&f->meshes[to], id, addr), &d);
 }
 
 /* Guards against demand of other domains that is taken for 0, or usage counted
@@ -292,14 +292,14 @@
 {
     (void)state;
     static struct fleet f;
-    struct rk_tally asking = {0};
+    struct rk_totals asking = {0};
     fleet_init(&f);
     receive_usage_digest(&f, 0, 1, "a", 10);
     receive_brief_digest(&f, 0, 1);
-    rk_loads_peers_asking(&f.meshes[0], &asking, rk_mono_ms());
-    assert_float_equal(rk_tally_total(&asking, "a"), DEMAND, 0.001);
+    rk_loads_add_peer_demand(&f.meshes[0], &asking, rk_mono_ms());
+    assert_float_equal(rk_totals_value(&asking, "a"), DEMAND, 0.001);
     assert_float_equal(peer_units_of(&f.meshes[0], "a"), 0, 0.001);
-    rk_tally_free(&asking);
+    rk_totals_free(&asking);
     fleet_free(&f);
 }
 
@@ -312,9 +312,9 @@
     static struct fleet f;
     fleet_init(&f);
     receive_brief_digest(&f, 0, 1);
-    assert_null(rk_digest_of_fleet(&f.meshes[0], rk_mono_ms()));
+    assert_null(rk_digest_fleet_source(&f.meshes[0], rk_mono_ms()));
     receive_usage_digest(&f, 0, 1, "a", 100000);
-    assert_non_null(rk_digest_of_fleet(&f.meshes[0], rk_mono_ms()));
+    assert_non_null(rk_digest_fleet_source(&f.meshes[0], rk_mono_ms()));
     assert_float_equal(peer_units_of(&f.meshes[0], "a"), 0, 0.001);
     receive_brief_digest(&f, 0, 1);
     receive_usage_digest(&f, 0, 1, "a", 100030);
@@ -354,15 +354,15 @@
         use.units = reports[i].units;
         r.uses = uses;
         r.n_uses = 1;
-        rk_report_take(rk_mesh_learn(&f.meshes[0], id, addr), &r);
+        rk_report_receive(rk_mesh_find_or_add(&f.meshes[0], id, addr), &r);
         double counted = 0;
         for (size_t j = 0; j < f.meshes[0].peer_uses_len; j++)
             counted += f.meshes[0].peer_uses[j].units;
         assert_true(counted == reports[i].counted);
     }
     free(f.meshes[0].peer_uses);
-    rk_tally_free(&f.meshes[0].domain_uses);
-    rk_tally_free(&f.meshes[0].fleet_uses);
+    rk_totals_free(&f.meshes[0].domain_uses);
+    rk_totals_free(&f.meshes[0].fleet_uses);
     fleet_free(&f);
 }
 
--- a/tests/test_clock.c
+++ b/tests/test_clock.c
@@ -88,9 +88,9 @@
     struct rk_lease l = {.holder = "node-1", .ttl_ms = LEASE_MS};
     char value[RK_LEASE_VALUE_MAX];
     int64_t expect, epoch;
-    rk_lease_seen(&l, 0, "", rk_mono_ms());
-    assert_true(rk_lease_wants(&l, rk_mono_ms(), value, &expect));
-    rk_lease_written(&l, RK_OK, 1, rk_mono_ms());
+    rk_lease_read_done(&l, 0, "", rk_mono_ms());
+    assert_true(rk_lease_next_write(&l, rk_mono_ms(), value, &expect));
+    rk_lease_write_done(&l, RK_OK, 1, rk_mono_ms());
     assert_true(rk_lease_valid(&l, rk_mono_ms(), &epoch));
     suspend();
     assert_false(rk_lease_valid(&l, rk_mono_ms(), &epoch));
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -134,7 +134,7 @@
     assert_true(rk_config_policy(c, "s", "look")->repeatable);
     assert_string_equal(rk_config_policy(c, "s", "other")->call, "");
     assert_null(rk_config_policy(c, "x", ""));
-    assert_string_equal(rk_config_model(c, "m")->service, "e");
+    assert_string_equal(rk_config_policy_of_model(c, "m")->service, "e");
     assert_int_equal(rk_config_org(c, "p")->weight, 5);
     assert_null(rk_config_org(c, "nobody"));
     assert_int_equal(rk_config_class(c, "c")->rank, 1);
@@ -148,7 +148,7 @@
  * tail. */
 static void make_prompt(struct rk_prompt *p, const char *head, int words, int tail)
 {
-    struct rk_prompt_reader r;
+    struct rk_prompt_builder r;
     char word[64];
     rk_prompt_begin(&r, p);
     for (int i = 0; i < words; i++) {
@@ -166,25 +166,25 @@
 {
     (void)state;
     static struct rk_prompt a, b;
-    struct rk_prefixes *p = rk_prefixes_create();
+    struct rk_prefix_index *p = rk_prefix_index_create();
     uint64_t clocks[3] = {0}, sizes[3] = {1000, 1000, 1000};
     uint32_t cached[3];
     make_prompt(&a, "x", 320, 1);
     make_prompt(&b, "x", 320, 2);
     assert_int_equal(a.tokens, 321);
     assert_int_equal(a.root, b.root);
-    rk_prefixes_insert(p, &a, 1, clocks[1]);
-    rk_prefixes_match(p, &b, clocks, sizes, cached, 3);
+    rk_prefix_index_insert(p, &a, 1, clocks[1]);
+    rk_prefix_index_match(p, &b, clocks, sizes, cached, 3);
     assert_int_equal(cached[0], 0);
     assert_int_equal(cached[1], 320);
     clocks[1] = 1000; /* as many tokens as its cache holds */
-    rk_prefixes_match(p, &b, clocks, sizes, cached, 3);
+    rk_prefix_index_match(p, &b, clocks, sizes, cached, 3);
     assert_int_equal(cached[1], 0);
-    rk_prefixes_insert(p, &a, 2, 0);
-    rk_prefixes_forget(p, 2);
-    rk_prefixes_match(p, &b, clocks, sizes, cached, 3);
+    rk_prefix_index_insert(p, &a, 2, 0);
+    rk_prefix_index_remove_vm(p, 2);
+    rk_prefix_index_match(p, &b, clocks, sizes, cached, 3);
     assert_int_equal(cached[2], 0);
-    rk_prefixes_destroy(p);
+    rk_prefix_index_destroy(p);
 }
 
 /* Guards against request fields that are lost on the way to the upstream, which is
@@ -304,7 +304,7 @@
     f.vms[1].state = RK_VM_LEAVING;
     rk_router_update(f.r, f.cfg, f.vms, 2, "d", 2);
     assert_true(rk_router_vm_leaving(f.r, j.vm));
-    rk_router_retry(f.r, &j, 3);
+    rk_router_requeue(f.r, &j, 3);
     assert_false(rk_router_can_serve(f.r, &j));
     rk_router_end(f.r, &j, false, 4);
     j = job_for("s", NULL);
@@ -353,7 +353,7 @@
     router_setup(&f, 1, "s");
     a.org_max = b.org_max = 1;
     assert_int_equal(rk_router_submit(f.r, &a, 0, &after), RK_SUBMIT_QUEUED);
-    assert_int_equal(rk_router_submit(f.r, &b, 0, &after), RK_SUBMIT_ORG_FULL);
+    assert_int_equal(rk_router_submit(f.r, &b, 0, &after), RK_SUBMIT_ORG_LIMIT);
     rk_router_end(f.r, &a, false, 1);
     assert_int_equal(rk_router_submit(f.r, &b, 2, &after), RK_SUBMIT_QUEUED);
     rk_router_end(f.r, &b, false, 3);
@@ -410,13 +410,13 @@
     struct rk_plan_input in = plan_input();
     struct rk_plan plan;
     in.demand_slots = 3;
-    rk_plan_refused(&in.classes[0], in.now_ms);
+    rk_plan_start_refused(&in.classes[0], in.now_ms);
     rk_plan_make(&in, &plan);
     assert_int_equal(plan.actions[0].cls, 1);
     int64_t first = in.classes[0].refused_until_ms;
-    rk_plan_refused(&in.classes[0], in.now_ms);
+    rk_plan_start_refused(&in.classes[0], in.now_ms);
     assert_true(in.classes[0].refused_until_ms - in.now_ms > first - in.now_ms);
-    rk_plan_started(&in.classes[0]);
+    rk_plan_start_granted(&in.classes[0]);
     rk_plan_make(&in, &plan);
     assert_int_equal(plan.actions[0].cls, 0);
 }
@@ -429,11 +429,11 @@
     struct rk_plan_input in = plan_input();
     in.classes[0].reclaims_per_hour = 4; /* recomputed tokens cost 3.2 an hour */
     in.weight_recompute = 0.1;
-    assert_true(rk_plan_price(&in, &in.classes[0]) <
-                rk_plan_price(&in, &in.classes[1]));
+    assert_true(rk_plan_effective_price(&in, &in.classes[0]) <
+                rk_plan_effective_price(&in, &in.classes[1]));
     in.weight_recompute = 1;
-    assert_true(rk_plan_price(&in, &in.classes[0]) >
-                rk_plan_price(&in, &in.classes[1]));
+    assert_true(rk_plan_effective_price(&in, &in.classes[0]) >
+                rk_plan_effective_price(&in, &in.classes[1]));
 }
 
 /* Guards against a loss of capacity while expensive VMs are replaced: one is
@@ -489,13 +489,13 @@
 static void the_budget_bounds_retries(void **state)
 {
     (void)state;
-    struct rk_budget b = {0};
+    struct rk_retry_budget b = {0};
     int spent = 0;
     for (int i = 0; i < 1000; i++) {
-        rk_budget_earn(&b, 10);
-        spent += rk_budget_spend(&b);
+        rk_retry_budget_earn(&b, 10);
+        spent += rk_retry_budget_spend(&b);
     }
-    assert_in_range(spent, 100, 100 + RK_BUDGET_BURST);
+    assert_in_range(spent, 100, 100 + RK_RETRY_BUDGET_BURST);
 }
 
 /* Guards against a restart that renews the budget: 295 nodes use up their retries,
@@ -510,11 +510,11 @@
     int sent = 0;
     for (int restart = 0; restart < 2; restart++)
         for (int node = 0; node < nodes; node++) {
-            struct rk_budget b = {0};
+            struct rk_retry_budget b = {0};
             for (int call = 0; call < calls; call++) {
-                rk_budget_set_share(&b, burst, nodes, restart == 0);
-                rk_budget_earn(&b, pct);
-                while (rk_budget_spend(&b))
+                rk_retry_budget_set_share(&b, burst, nodes, restart == 0);
+                rk_retry_budget_earn(&b, pct);
+                while (rk_retry_budget_spend(&b))
                     sent++;
             }
         }
@@ -530,14 +530,14 @@
     struct rk_lease l = {.holder = "me", .ttl_ms = 1000};
     char value[RK_LEASE_VALUE_MAX];
     int64_t expect;
-    rk_lease_seen(&l, 0, "", 1);
-    assert_true(rk_lease_wants(&l, 2, value, &expect));
+    rk_lease_read_done(&l, 0, "", 1);
+    assert_true(rk_lease_next_write(&l, 2, value, &expect));
     assert_int_equal(expect, 0);
-    rk_lease_written(&l, RK_ECONFLICT, 0, 3);
-    assert_false(rk_lease_wants(&l, 4, value, &expect));
-    rk_lease_seen(&l, 1, "{\"holder\":\"x\",\"epoch\":1,\"beat\":2}", 5);
-    assert_false(rk_lease_wants(&l, 900, value, &expect));
-    assert_true(rk_lease_wants(&l, 1100, value, &expect));
+    rk_lease_write_done(&l, RK_ECONFLICT, 0, 3);
+    assert_false(rk_lease_next_write(&l, 4, value, &expect));
+    rk_lease_read_done(&l, 1, "{\"holder\":\"x\",\"epoch\":1,\"beat\":2}", 5);
+    assert_false(rk_lease_next_write(&l, 900, value, &expect));
+    assert_true(rk_lease_next_write(&l, 1100, value, &expect));
     assert_int_equal(expect, 1);
 }
 
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -90,7 +90,7 @@
         snprintf(domain, sizeof(domain), "d%d", i % DOMAINS);
         f->places[i] = rk_place_create(domain, (uint64_t)i + 1);
         rk_place_set_vms(f->places[i], f->rows, VMS, 0);
-        rk_engine_set_prior(&rk_place_speed_of(f->places[i], "llm")->engine,
+        rk_engine_set_prior(&rk_place_service_speed(f->places[i], "llm")->engine,
                             &learnt);
     }
     return f;
@@ -125,15 +125,15 @@
     double slowdown = f->fault == SLOW && is_faulty(f, c->vm, now_ms) ? 5 : 1;
     switch (c->stage) {
     case READING:
-        rk_place_first(c->place_vm, &c->job, now_ms);
+        rk_place_note_first_byte(c->place_vm, &c->job, now_ms);
         c->stage = STREAMING;
         schedule(f, c, (double)now_ms + STREAM_MS * slowdown);
         return;
     case STREAMING:
-        rk_place_ended(p, c->place_vm, &c->job, RK_PLACE_DONE, now_ms);
+        rk_place_note_end(p, c->place_vm, &c->job, RK_PLACE_DONE, now_ms);
         break;
     case LOST:
-        rk_place_ended(p, c->place_vm, &c->job, RK_PLACE_LOST, now_ms);
+        rk_place_note_end(p, c->place_vm, &c->job, RK_PLACE_LOST, now_ms);
         break;
     }
     f->engines[c->vm].running--;
@@ -152,7 +152,7 @@
     q.prompt_tokens = shared[kind] + own[kind];
     snprintf(parts, sizeof(parts), "s%u-%u:%d,own%llx:%d", kind, subject,
              shared[kind], (unsigned long long)q.request_hash, own[kind]);
-    rk_place_parse_parts(&q, parts);
+    rk_place_parse_segments(&q, parts);
     return q;
 }
 
@@ -163,7 +163,7 @@
     struct rk_engine_forecast forecast;
     c->place_vm = rk_place_choose(f->places[c->node], q, now_ms, &forecast);
     c->vm = atoi(c->place_vm->row.id + strlen("vm-"));
-    rk_place_sent(f->places[c->node], c->place_vm, q, now_ms, &c->job);
+    rk_place_note_sent(f->places[c->node], c->place_vm, q, now_ms, &c->job);
     f->seconds[now_ms / RK_MS_PER_S].arrivals++;
 }
 
@@ -184,8 +184,8 @@
             return true;
         f->seconds[now_ms / RK_MS_PER_S].refused++;
         q.excluded[q.excluded_len++] = c->place_vm->hash;
-        rk_place_ended(f->places[c->node], c->place_vm, &c->job, RK_PLACE_REFUSED,
-                       now_ms);
+        rk_place_note_end(f->places[c->node], c->place_vm, &c->job,
+                          RK_PLACE_REFUSED, now_ms);
     }
     return false;
 }
--- a/tests/test_holding.c
+++ b/tests/test_holding.c
@@ -14,9 +14,9 @@
 
 /* ---- the plan ---- */
 
-static struct rk_holding_input three_domain_input(void)
+static struct rk_sizing_input three_domain_input(void)
 {
-    return (struct rk_holding_input){
+    return (struct rk_sizing_input){
         .domains = {{.name = "a", .price = 0.85, .on_demand = 1, .reclaimable = 1},
                     {.name = "b", .price = 1.2, .on_demand = 1, .reclaimable = 1},
                     {.name = "c", .price = 1.0, .on_demand = 1, .reclaimable = 1}},
@@ -27,7 +27,7 @@
         .may_shrink = true};
 }
 
-static int total_of(const struct rk_holding_target *targets, bool reclaimable)
+static int total_of(const struct rk_sizing_target *targets, bool reclaimable)
 {
     int sum = 0;
     for (int i = 0; i < 3; i++)
@@ -40,17 +40,17 @@
 static void the_floor_is_one_on_demand_vm_per_domain(void **state)
 {
     (void)state;
-    struct rk_holding_target t[RK_HOLDING_DOMAINS];
-    struct rk_holding_input in = three_domain_input();
-    rk_holding_plan(&in, t);
+    struct rk_sizing_target t[RK_SIZING_DOMAINS];
+    struct rk_sizing_input in = three_domain_input();
+    rk_sizing_plan(&in, t);
     for (int i = 0; i < 3; i++)
         assert_true(t[i].on_demand == 1 && t[i].reclaimable == 2);
     in.need = 8.2;
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(total_of(t, false), 3);
     assert_int_equal(total_of(t, true), 6);
     in.need = 100; /* more than the platform's limit */
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     for (int i = 0; i < 3; i++)
         assert_int_equal(t[i].on_demand + t[i].reclaimable, 6);
 }
@@ -63,15 +63,15 @@
 {
     (void)state;
     const double reads_per_s = 50000; /* default for VMs that were not measured */
-    struct rk_holding_target t[RK_HOLDING_DOMAINS];
-    struct rk_holding_input in = {
+    struct rk_sizing_target t[RK_SIZING_DOMAINS];
+    struct rk_sizing_input in = {
         .domains_len = 5, .min_vms = 61, .max_vms = 3879, .spot_price = 0.22};
     in.need = in.need_fast =
-        fmin(9695, rk_holding_most(333 * 18000.0, reads_per_s));
+        fmin(9695, rk_sizing_max_need(333 * 18000.0, reads_per_s));
     in.idle = in.may_shrink = true;
     for (size_t i = 0; i < in.domains_len; i++)
-        in.domains[i] = (struct rk_holding_domain){.price = 1, .on_demand = 1939};
-    rk_holding_plan(&in, t);
+        in.domains[i] = (struct rk_sizing_domain){.price = 1, .on_demand = 1939};
+    rk_sizing_plan(&in, t);
     int reclaimable = 0;
     for (size_t i = 0; i < in.domains_len; i++)
         reclaimable += t[i].reclaimable;
@@ -79,8 +79,8 @@
     assert_true(reclaimable + 5 * 61 >= ceil(in.need));
     /* Where quotas are twice the demand, or there are none, the bound exceeds the
      * VMs that are held. */
-    assert_true(rk_holding_most(245000, reads_per_s) > 9);
-    assert_true(rk_holding_most(INFINITY, reads_per_s) > 9695);
+    assert_true(rk_sizing_max_need(245000, reads_per_s) > 9);
+    assert_true(rk_sizing_max_need(INFINITY, reads_per_s) > 9695);
 }
 
 /* Guards against a lack of VMs while no reclaimable ones are available, and just
@@ -89,31 +89,31 @@
 static void on_demand_substitutes_are_released_in_steps(void **state)
 {
     (void)state;
-    struct rk_holding_target t[RK_HOLDING_DOMAINS];
-    struct rk_holding_input in = three_domain_input();
+    struct rk_sizing_target t[RK_SIZING_DOMAINS];
+    struct rk_sizing_input in = three_domain_input();
     for (int i = 0; i < 3; i++)
         in.domains[i].reclaimable = 0;
     in.need = in.need_fast = 7.5;
     in.max_vms = 4; /* the missing reclaimable VMs must not count */
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(total_of(t, false), 3); /* reclaimable VMs are on order */
     in.all_exhausted = true;
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(total_of(t, false), 6);
     assert_int_equal(t[0].on_demand, 4); /* in the cheapest domain */
     in.domains[0].on_demand = 4;
     in.all_exhausted = false;
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(t[0].on_demand, 4); /* nothing replaces them yet */
     in.domains[0].reclaimable = in.domains[1].reclaimable = 2;
     in.domains[2].reclaimable = 1; /* one is missing */
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(t[0].on_demand, 3);
     in.may_shrink = false;
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(t[0].on_demand, 4);
     in.idle = true;
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(t[0].on_demand, 1);
 }
 
@@ -121,14 +121,14 @@
 static void substitutes_are_released_when_all_are_replaced(void **state)
 {
     (void)state;
-    struct rk_holding_target t[RK_HOLDING_DOMAINS];
-    struct rk_holding_input in = three_domain_input();
+    struct rk_sizing_target t[RK_SIZING_DOMAINS];
+    struct rk_sizing_input in = three_domain_input();
     in.need = in.need_fast = 7.5;
     in.may_shrink = false;
     in.domains[0].on_demand = 4;
     for (int i = 0; i < 3; i++)
         in.domains[i].reclaimable = 2;
-    rk_holding_plan(&in, t);
+    rk_sizing_plan(&in, t);
     assert_int_equal(total_of(t, false), 3);
 }
 
@@ -137,8 +137,8 @@
 static void many_substitutes_are_released_within_a_minute(void **state)
 {
     (void)state;
-    struct rk_holding_target t[RK_HOLDING_DOMAINS];
-    struct rk_holding_input in = three_domain_input();
+    struct rk_sizing_target t[RK_SIZING_DOMAINS];
+    struct rk_sizing_input in = three_domain_input();
     in.max_vms = 40;
     in.need = in.need_fast = 45;
     for (int i = 0; i < 3; i++) {
@@ -146,7 +146,7 @@
         in.domains[i].reclaimable = 14;
     }
     for (int step = 0; step < 12; step++) {
-        rk_holding_plan(&in, t);
+        rk_sizing_plan(&in, t);
         for (int i = 0; i < 3; i++)
             in.domains[i].on_demand = t[i].on_demand;
     }
@@ -158,15 +158,15 @@
 static void demand_rises_at_once_and_falls_slowly(void **state)
 {
     (void)state;
-    double need = rk_holding_need(60000, 20000, 10, 128);
+    double need = rk_sizing_need(60000, 20000, 10, 128);
     assert_true(need > 5 && need < 7);
-    assert_true(rk_holding_need(60000, 80000, 10, 128) < need / 3);
-    assert_true(rk_holding_need(0, 20000, 100, 32) >
-                rk_holding_need(0, 20000, 100, 128));
-    assert_true(rk_holding_smooth(2, 6, 1000, 20000) == 6);
-    double later = rk_holding_smooth(6, 1, 1000, 20000);
+    assert_true(rk_sizing_need(60000, 80000, 10, 128) < need / 3);
+    assert_true(rk_sizing_need(0, 20000, 100, 32) >
+                rk_sizing_need(0, 20000, 100, 128));
+    assert_true(rk_sizing_smooth(2, 6, 1000, 20000) == 6);
+    double later = rk_sizing_smooth(6, 1, 1000, 20000);
     assert_true(later > 5 && later < 6);
-    assert_true(rk_holding_smooth(6, 1, 100000, 20000) == 1);
+    assert_true(rk_sizing_smooth(6, 1, 100000, 20000) == 1);
 }
 
 /* ---- waves of reclaims ----
@@ -313,25 +313,26 @@
 static void plan_and_order(struct cloud *c)
 {
     static const double prices[] = {1.0, 0.8, 1.25};
-    struct rk_holding_input in = {.domains_len = 3,
-                                  .min_vms = 1,
-                                  .max_vms = 40,
-                                  .spot_price = SPOT_PRICE,
-                                  .need = NEEDED_VMS,
-                                  .need_fast = NEEDED_VMS,
-                                  .may_shrink = c->now_ms - c->reduced_ms >= 4000};
-    struct rk_holding_target t[RK_HOLDING_DOMAINS];
+    struct rk_sizing_input in = {.domains_len = 3,
+                                 .min_vms = 1,
+                                 .max_vms = 40,
+                                 .spot_price = SPOT_PRICE,
+                                 .need = NEEDED_VMS,
+                                 .need_fast = NEEDED_VMS,
+                                 .may_shrink = c->now_ms - c->reduced_ms >= 4000};
+    struct rk_sizing_target t[RK_SIZING_DOMAINS];
     for (int i = 0; i < 3; i++) {
-        struct rk_holding_domain *d = &in.domains[i];
-        *d = (struct rk_holding_domain){.price = prices[i],
-                                        .on_demand = count_vms(c, i, false, true),
-                                        .reclaimable = count_vms(c, i, true, true)};
+        struct rk_sizing_domain *d = &in.domains[i];
+        *d = (struct rk_sizing_domain){.price = prices[i],
+                                       .on_demand = count_vms(c, i, false, true),
+                                       .reclaimable = count_vms(c, i, true, true)};
         d->booting = count_vms(c, i, false, false) - d->on_demand;
-        rk_reclaims_seen(&c->reclaims[i], d->reclaimable, c->granted[i], c->now_ms);
-        d->no_reclaimable = !rk_reclaims_may_ask(&c->reclaims[i], c->now_ms);
+        rk_reclaims_observe(&c->reclaims[i], d->reclaimable, c->granted[i],
+                            c->now_ms);
+        d->no_reclaimable = !rk_reclaims_may_order(&c->reclaims[i], c->now_ms);
     }
-    in.all_exhausted = rk_reclaims_none(c->reclaims, 3);
-    rk_holding_plan(&in, t);
+    in.all_exhausted = rk_reclaims_all_exhausted(c->reclaims, 3);
+    rk_sizing_plan(&in, t);
     for (int i = 0; i < 3; i++) {
         if (t[i].on_demand < in.domains[i].on_demand)
             c->reduced_ms = c->now_ms;
@@ -443,12 +444,12 @@
 {
     (void)state;
     struct rk_reclaims_domain d = {0};
-    rk_reclaims_seen(&d, 8, 8, 1000);
-    rk_reclaims_seen(&d, 6, 8, 1200);
-    assert_true(rk_reclaims_may_ask(&d, 1200));
-    rk_reclaims_seen(&d, 3, 8, 1400);
-    assert_false(rk_reclaims_may_ask(&d, 1400));
-    assert_true(rk_reclaims_may_ask(&d, 5000));
+    rk_reclaims_observe(&d, 8, 8, 1000);
+    rk_reclaims_observe(&d, 6, 8, 1200);
+    assert_true(rk_reclaims_may_order(&d, 1200));
+    rk_reclaims_observe(&d, 3, 8, 1400);
+    assert_false(rk_reclaims_may_order(&d, 1400));
+    assert_true(rk_reclaims_may_order(&d, 5000));
 }
 
 /* Guards against VMs stopped by an order that are taken for reclaimed ones. */
@@ -456,9 +457,9 @@
 {
     (void)state;
     struct rk_reclaims_domain d = {0};
-    rk_reclaims_seen(&d, 8, 2, 1000);
-    rk_reclaims_seen(&d, 2, 2, 1200);
-    assert_true(rk_reclaims_may_ask(&d, 1200));
+    rk_reclaims_observe(&d, 8, 2, 1000);
+    rk_reclaims_observe(&d, 2, 2, 1200);
+    assert_true(rk_reclaims_may_order(&d, 1200));
 }
 
 /* Guards against domains that are not asked again after another one granted an
@@ -467,15 +468,15 @@
 {
     (void)state;
     struct rk_reclaims_domain d[2] = {0};
-    assert_false(rk_reclaims_none(d, 2));
+    assert_false(rk_reclaims_all_exhausted(d, 2));
     rk_reclaims_refused(&d[0], 1000);
-    assert_false(rk_reclaims_none(d, 2));
+    assert_false(rk_reclaims_all_exhausted(d, 2));
     rk_reclaims_refused(&d[1], 1100);
-    assert_true(rk_reclaims_none(d, 2));
-    assert_false(rk_reclaims_may_ask(&d[0], 1200));
+    assert_true(rk_reclaims_all_exhausted(d, 2));
+    assert_false(rk_reclaims_may_order(&d[0], 1200));
     rk_reclaims_granted(d, 2, 1);
-    assert_false(rk_reclaims_none(d, 2));
-    assert_true(rk_reclaims_may_ask(&d[0], 1300));
+    assert_false(rk_reclaims_all_exhausted(d, 2));
+    assert_true(rk_reclaims_may_order(&d[0], 1300));
 }
 
 int main(void)
