--- a/tests/test_hosted.c
+++ b/tests/test_hosted.c
@@ -19,7 +19,7 @@
 static void add_route(struct rk_routes *r, const char *name, const char *host,
                       const char *prefix, const char *service)
 {
-    struct rk_route *route = rk_routes_add(r);
+    struct rk_route *route = rk_routes_add_route(r);
     rk_strcpy(route->name, sizeof(route->name), name);
     rk_strcpy(route->host, sizeof(route->host), host);
     rk_strcpy(route->prefix, sizeof(route->prefix), prefix);
@@ -114,19 +114,19 @@
 {
     (void)state;
     struct rk_routes *r = rk_routes_create();
-    assert_true(isinf(rk_routes_quotas_per_s(r)));
+    assert_true(isinf(rk_routes_quota_tokens_per_s(r)));
     for (int i = 0; i < 3; i++) {
         struct rk_org_info *org = rk_routes_add_org(r);
         snprintf(org->name, sizeof(org->name), "org-%d", i);
         org->counts_tokens = true;
         org->rate = 100;
     }
-    assert_true(rk_routes_quotas_per_s(r) == 300);
+    assert_true(rk_routes_quota_tokens_per_s(r) == 300);
     r->orgs[1].counts_tokens = false; /* counts requests, of any size */
-    assert_true(isinf(rk_routes_quotas_per_s(r)));
+    assert_true(isinf(rk_routes_quota_tokens_per_s(r)));
     r->orgs[1].counts_tokens = true;
     r->orgs[2].rate = 0;
-    assert_true(isinf(rk_routes_quotas_per_s(r)));
+    assert_true(isinf(rk_routes_quota_tokens_per_s(r)));
     rk_routes_unref(r);
 }
 
@@ -137,10 +137,10 @@
     struct rk_route route = {.shares = {{"a", 90}, {"b", 10}}, .shares_len = 2};
     int b = 0;
     for (uint32_t i = 0; i < 1000; i++)
-        b += !strcmp(rk_route_service(&route, i * 7919), "b");
+        b += !strcmp(rk_route_pick_service(&route, i * 7919), "b");
     assert_in_range(b, 80, 120);
     route.shares[0].weight = 0;
-    assert_string_equal(rk_route_service(&route, 5), "b");
+    assert_string_equal(rk_route_pick_service(&route, 5), "b");
 }
 
 /* ---- usage ---- */
@@ -161,7 +161,7 @@
                     rk_usage_merge(&u, &row);
                 }
     assert_int_equal(u.len, 300 * 16 * 4);
-    rk_usage_forget(&u, 2);
+    rk_usage_remove_before(&u, 2);
     assert_int_equal(u.len, 300 * 16 * 2);
     assert_int_equal(rk_usage_sum(&u, 3, "org-7"), 300 * 301 / 2);
     rk_usage_count(&u, 300, 3, "org-7");
@@ -176,7 +176,7 @@
 {
     (void)state;
     struct rk_usage u = {.since_ms = 9000};
-    struct rk_usage_row persisted = {.node = RK_USAGE_KEPT,
+    struct rk_usage_row persisted = {.node = RK_USAGE_PERSISTED,
                                      .window = 7,
                                      .org = "a",
                                      .count = 100,
@@ -202,7 +202,7 @@
     (void)state;
     struct rk_usage u = {0};
     struct rk_usage_row rows[] = {
-        {.node = RK_USAGE_KEPT,
+        {.node = RK_USAGE_PERSISTED,
          .window = 7,
          .org = "a",
          .count = 100,
@@ -223,10 +223,10 @@
 {
     (void)state;
     struct rk_usage u = {0};
-    struct rk_tally sums = {0};
+    struct rk_totals sums = {0};
     struct rk_rng rng = {.state = 7};
     for (int i = 0; i < 4000; i++) {
-        uint64_t node = rk_rng_below(&rng, 60); /* 0: RK_USAGE_KEPT */
+        uint64_t node = rk_rng_below(&rng, 60); /* 0: RK_USAGE_PERSISTED */
         struct rk_usage_row row = {.node = node,
                                    .window = rk_rng_below(&rng, 2),
                                    .count = rk_rng_below(&rng, node ? 20 : 300),
@@ -241,7 +241,7 @@
         const struct rk_usage_row *record = NULL;
         uint64_t reported = 0, counted_after = 0;
         for (size_t j = 0; j < u.len; j++)
-            if (u.rows[j].node == RK_USAGE_KEPT && u.rows[j].window == 1 &&
+            if (u.rows[j].node == RK_USAGE_PERSISTED && u.rows[j].window == 1 &&
                 !strcmp(u.rows[j].org, org))
                 record = &u.rows[j];
         for (size_t j = 0; j < u.len; j++) {
@@ -256,7 +256,7 @@
         assert_int_equal((uint64_t)sums.rows[i].total,
                          reported > all ? reported : all);
     }
-    rk_tally_free(&sums);
+    rk_totals_free(&sums);
     rk_usage_free(&u);
 }
 
@@ -276,7 +276,7 @@
     assert_int_equal(rk_usage_sum(&u, 7, "a"), 7);
     assert_int_equal(rk_usage_sum(&u, 8, "a"), 0);
     assert_int_equal(rk_usage_sum(&u, 7, "b"), 0);
-    rk_usage_forget(&u, 8);
+    rk_usage_remove_before(&u, 8);
     assert_int_equal(rk_usage_sum(&u, 7, "a"), 0);
     rk_usage_free(&u);
 }
@@ -298,21 +298,21 @@
     static const char text[] = "id: 1\ndata: a\n\nid:22\r\ndata: b\r\n\r\n"
                                ": comment\n\ndata: no id\n\nid: 3\ndata: half";
     for (size_t cut = 1; cut < sizeof(text); cut++) {
-        struct rk_events e = {0};
+        struct rk_event_splitter e = {0};
         struct rk_buf out = {0};
         for (size_t at = 0; at < sizeof(text) - 1; at += cut) {
             size_t left = sizeof(text) - 1 - at;
-            rk_events_feed(&e, text + at, cut < left ? cut : left, collect_event,
-                           &out);
+            rk_event_splitter_feed(&e, text + at, cut < left ? cut : left,
+                                   collect_event, &out);
         }
         assert_string_equal(out.data, "id: 1\ndata: a\n\n|id:22\r\ndata: b\r\n\r\n|"
                                       ": comment\n\n|data: no id\n\n|");
         assert_string_equal(e.last_id, "22");
         assert_int_equal(e.partial.len, strlen("id: 3\ndata: half"));
-        rk_events_restart(&e);
-        rk_events_feed(&e, "id: 4\n\n", 7, collect_event, &out);
+        rk_event_splitter_restart(&e);
+        rk_event_splitter_feed(&e, "id: 4\n\n", 7, collect_event, &out);
         assert_string_equal(e.last_id, "4");
-        rk_events_free(&e);
+        rk_event_splitter_free(&e);
         rk_buf_free(&out);
     }
 }
--- a/tests/test_org_uses.c
+++ b/tests/test_org_uses.c
@@ -16,7 +16,7 @@
 
 struct node {
     struct rk_org_use uses[ORGS];
-    struct rk_tally reported; /* what the bridge knows */
+    struct rk_totals reported; /* what the bridge knows */
     struct rk_rng rng;
 };
 
@@ -52,11 +52,11 @@
     rk_org_uses_begin(bridge);
     for (int i = 0; i < ORGS; i++) {
         const struct rk_org_use *use = &n->uses[i];
-        bool changed = rk_org_use_is_news(use, &n->reported);
+        bool changed = rk_org_use_changed(use, &n->reported);
         if (!changed && !(all && use->units != 0))
             continue;
-        *increase += rk_org_uses_rise(bridge, use->org, use->units);
-        rk_org_uses_at(bridge, use->org)->demand_per_s = use->demand_per_s;
+        *increase += rk_org_uses_set_units(bridge, use->org, use->units);
+        rk_org_uses_get(bridge, use->org)->demand_per_s = use->demand_per_s;
         rows++;
     }
     return rows;
@@ -95,7 +95,7 @@
     assert_true(increase == total_units(&n));
     assert_true(rows < 6 * REPORTS); /* a full report has 333 */
     rk_org_uses_free(&bridge);
-    rk_tally_free(&n.reported);
+    rk_totals_free(&n.reported);
 }
 
 /* Guards against a new bridge that loses usage or counts it twice: its first report
@@ -121,10 +121,10 @@
     assert_true(initial + increase == total_units(&n));
     rk_org_uses_clear(&new_bridge);
     assert_int_equal(new_bridge.len, 0);
-    assert_true(rk_org_uses_rise(&new_bridge, "org-1", 5) == 5);
+    assert_true(rk_org_uses_set_units(&new_bridge, "org-1", 5) == 5);
     rk_org_uses_free(&old_bridge);
     rk_org_uses_free(&new_bridge);
-    rk_tally_free(&n.reported);
+    rk_totals_free(&n.reported);
 }
 
 int main(void)
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -39,7 +39,7 @@
 {
     struct rk_place_query q = {
         .service = "llm", .engine = true, .prompt_tokens = tokens};
-    rk_place_parse_parts(&q, segments);
+    rk_place_parse_segments(&q, segments);
     return q;
 }
 
@@ -57,12 +57,12 @@
     for (int i = 0; i < 20; i++) {
         struct rk_place_vm *v = rk_place_choose(p, &q, 1000 + i, &forecast);
         assert_ptr_equal(v, first);
-        rk_place_sent(p, v, &q, 1000 + i, &job);
-        rk_place_first(v, &job, 1050 + i);
-        rk_place_ended(p, v, &job, RK_PLACE_DONE, 1050 + i);
+        rk_place_note_sent(p, v, &q, 1000 + i, &job);
+        rk_place_note_first_byte(v, &job, 1050 + i);
+        rk_place_note_end(p, v, &job, RK_PLACE_DONE, 1050 + i);
     }
     struct rk_place_query other = engine_query("dd:1,ee:30000", 30001);
-    rk_place_sent(p, first, &other, 1020, &job);
+    rk_place_note_sent(p, first, &other, 1020, &job);
     assert_ptr_not_equal(rk_place_choose(p, &q, 1021, &forecast), first);
     rk_place_destroy(p);
 }
@@ -103,8 +103,8 @@
     rk_place_set_vms(p, rows, 3, 0);
     struct rk_place_vm *v = rk_place_choose(p, &q, 1000, &forecast);
     assert_string_equal(v->row.id, "vm-b");
-    rk_place_sent(p, v, &q, 1000, &job);
-    rk_place_ended(p, v, &job, RK_PLACE_LOST, 1001);
+    rk_place_note_sent(p, v, &q, 1000, &job);
+    rk_place_note_end(p, v, &job, RK_PLACE_LOST, 1001);
     assert_string_equal(rk_place_choose(p, &q, 1002, &forecast)->row.id, "vm-c");
     q.excluded[q.excluded_len++] = rk_hash_str(0, "vm-c");
     assert_string_equal(rk_place_choose(p, &q, 1002, &forecast)->row.id, "vm-b");
@@ -123,11 +123,11 @@
     struct rk_engine_forecast forecast;
     struct rk_place_job job;
     struct rk_place_vm *v = rk_place_choose(p, &q, 1000, &forecast);
-    rk_place_sent(p, v, &q, 1000, &job);
+    rk_place_note_sent(p, v, &q, 1000, &job);
     rk_place_set_vms(p, rows, 0, 0);
     assert_null(rk_place_choose(p, &q, 1000, &forecast));
     assert_ptr_equal(rk_place_vms(p), v);
-    rk_place_ended(p, v, &job, RK_PLACE_DONE, 1001);
+    rk_place_note_end(p, v, &job, RK_PLACE_DONE, 1001);
     assert_null(rk_place_vms(p));
     rk_place_destroy(p);
 }
@@ -263,25 +263,25 @@
         snprintf(rows[i].id, sizeof(rows[i].id), "vm-%d", i);
     }
     rk_place_set_vms(p, rows, VMS, 0);
-    assert_int_equal(rk_place_busy_len(p), 0);
+    assert_int_equal(rk_place_active_len(p), 0);
     for (int i = 0; i < ACTIVE; i++) {
         loads[i].running = 1;
         rk_strcpy(loads[i].id, sizeof(loads[i].id), rows[i].id);
     }
     rk_place_set_loads(p, loads, ACTIVE, 1000);
-    assert_int_equal(rk_place_busy_len(p), ACTIVE);
+    assert_int_equal(rk_place_active_len(p), ACTIVE);
     struct rk_place_vm *v = rk_place_choose(p, &q, 1000, &forecast);
-    rk_place_sent(p, v, &q, 1000, &job);
+    rk_place_note_sent(p, v, &q, 1000, &job);
     rk_place_set_loads(p, loads, ACTIVE / 2, 1250);
-    assert_int_equal(rk_place_busy_len(p), ACTIVE / 2 + !v->peers_running);
+    assert_int_equal(rk_place_active_len(p), ACTIVE / 2 + !v->peers_running);
     assert_int_equal(rk_place_own_loads(p, 1250, &own), 1);
     assert_string_equal(own[0].id, v->row.id);
     free(own);
-    assert_int_equal(rk_place_in_hand(p, "llm").running, 1);
+    assert_int_equal(rk_place_in_flight(p, "llm").running, 1);
     rk_place_set_vms(p, rows, 0, 1300); /* only the one with a call is kept */
-    assert_int_equal(rk_place_busy_len(p), 1);
-    rk_place_ended(p, v, &job, RK_PLACE_DONE, 1400);
-    assert_int_equal(rk_place_busy_len(p), 0);
+    assert_int_equal(rk_place_active_len(p), 1);
+    rk_place_note_end(p, v, &job, RK_PLACE_DONE, 1400);
+    assert_int_equal(rk_place_active_len(p), 0);
     rk_place_destroy(p);
     free(rows);
 }
@@ -328,7 +328,7 @@
     struct rk_engine_forecast forecast;
     struct rk_place_job job;
     struct rk_place_vm *preferred = rk_place_choose(p, &q, 1000, &forecast);
-    rk_place_sent(p, preferred, &q, 1000, &job);
+    rk_place_note_sent(p, preferred, &q, 1000, &job);
     assert_true(job.load.uncached_tokens < 1000);
     rk_place_destroy(p);
 }
@@ -345,19 +345,19 @@
     struct rk_place_query q = engine_query("a:3000,b:100", 3100);
     struct rk_engine_forecast forecast;
     struct rk_place_vm *preferred = rk_place_choose(p, &q, 1000, &forecast);
-    assert_int_equal(rk_place_home(p, &q, preferred), 0);
-    const struct rk_place_vm *second = rk_place_source(p, &q, preferred, 1000);
+    assert_int_equal(rk_place_preferred_index(p, &q, preferred), 0);
+    const struct rk_place_vm *second = rk_place_copy_source(p, &q, preferred, 1000);
     assert_non_null(second);
-    assert_int_equal(rk_place_home(p, &q, second), 1);
-    assert_ptr_equal(rk_place_source(p, &q, second, 1000), preferred);
+    assert_int_equal(rk_place_preferred_index(p, &q, second), 1);
+    assert_ptr_equal(rk_place_copy_source(p, &q, second, 1000), preferred);
     for (int i = 0; i < 3; i++)
         rows[i].leaving = !strcmp(rows[i].id, preferred->row.id);
     rk_place_set_vms(p, rows, 3, 0);
     struct rk_place_vm *next = rk_place_choose(p, &q, 1000, &forecast);
     assert_ptr_not_equal(next, preferred);
-    assert_ptr_equal(rk_place_source(p, &q, next, 1000), preferred);
+    assert_ptr_equal(rk_place_copy_source(p, &q, next, 1000), preferred);
     preferred->paused_until_ms = 2000; /* as after a loss */
-    assert_ptr_not_equal(rk_place_source(p, &q, next, 1000), preferred);
+    assert_ptr_not_equal(rk_place_copy_source(p, &q, next, 1000), preferred);
     rk_place_destroy(p);
 }
 
@@ -370,7 +370,7 @@
     struct rk_place_query q = engine_query("a:100,b:3000", 3100);
     struct rk_engine_forecast forecast;
     struct rk_place_vm *vm = rk_place_choose(p, &q, 1000, &forecast);
-    assert_null(rk_place_source(p, &q, vm, 1000));
+    assert_null(rk_place_copy_source(p, &q, vm, 1000));
     rk_place_destroy(p);
 }
 
@@ -388,9 +388,9 @@
     struct rk_place_job job;
     struct rk_place_vm *slow = rk_place_choose(p, &q, 1000, &forecast);
     for (int i = 0; i < 5; i++) {
-        rk_place_sent(p, slow, &q, 1000, &job);
-        rk_place_first(slow, &job, 1000 + (int64_t)(job.expected_ms * 6));
-        rk_place_ended(p, slow, &job, RK_PLACE_DONE, 1600);
+        rk_place_note_sent(p, slow, &q, 1000, &job);
+        rk_place_note_first_byte(slow, &job, 1000 + (int64_t)(job.expected_ms * 6));
+        rk_place_note_end(p, slow, &job, RK_PLACE_DONE, 1600);
     }
     assert_ptr_not_equal(rk_place_choose(p, &q, 1700, &forecast), slow);
     assert_ptr_equal(rk_place_choose(p, &q, 60000, &forecast), slow);
@@ -402,13 +402,13 @@
 static void unanswered_calls_count_as_slow(void **state)
 {
     (void)state;
-    struct rk_pace health = {0};
-    assert_true(rk_pace_factor(&health, 0) == 1);
+    struct rk_vm_health health = {0};
+    assert_true(rk_vm_health_slowdown(&health, 0) == 1);
     for (int i = 0; i < 3; i++)
-        rk_pace_fail(&health, 4000, 100, 1000);
-    assert_true(rk_pace_factor(&health, 0) > 1.5);
-    struct rk_pace later = rk_pace_at(&health, 30000);
-    assert_true(rk_pace_factor(&later, 0) < 1.01);
+        rk_vm_health_note_failure(&health, 4000, 100, 1000);
+    assert_true(rk_vm_health_slowdown(&health, 0) > 1.5);
+    struct rk_vm_health later = rk_vm_health_decayed(&health, 30000);
+    assert_true(rk_vm_health_slowdown(&later, 0) < 1.01);
 }
 
 /* Guards against estimates for plain services that do not follow the measured
@@ -416,14 +416,14 @@
 static void plain_call_times_are_learned(void **state)
 {
     (void)state;
-    struct rk_speeds speeds = {0};
-    struct rk_speed *s = rk_speeds_of(&speeds, "slots");
-    assert_ptr_equal(rk_speeds_of(&speeds, "slots"), s);
+    struct rk_service_speeds speeds = {0};
+    struct rk_service_speed *s = rk_service_speeds_get(&speeds, "slots");
+    assert_ptr_equal(rk_service_speeds_get(&speeds, "slots"), s);
     for (int i = 0; i < 100; i++)
-        rk_speed_plain_learn(s, 0.5, 90);
+        rk_service_speed_note_plain(s, 0.5, 90);
     assert_true(s->plain_ms > 55 && s->plain_ms < 65);
-    assert_true(rk_speed_plain(s, 1) > rk_speed_plain(s, 0));
-    rk_speeds_free(&speeds);
+    assert_true(rk_service_speed_plain_ms(s, 1) > rk_service_speed_plain_ms(s, 0));
+    rk_service_speeds_free(&speeds);
 }
 
 /* ---- refusals ---- */
@@ -433,8 +433,8 @@
                         const struct rk_place_query *q, int64_t now_ms)
 {
     struct rk_place_job job;
-    rk_place_sent(p, v, q, now_ms, &job);
-    rk_place_ended(p, v, &job, RK_PLACE_REFUSED, now_ms);
+    rk_place_note_sent(p, v, q, now_ms, &job);
+    rk_place_note_end(p, v, &job, RK_PLACE_REFUSED, now_ms);
 }
 
 /* Guards against calls to a VM that refuses them, at the node that saw the refusals
@@ -470,14 +470,14 @@
 static void a_refusal_with_a_cooldown_has_no_other_effect(void **state)
 {
     (void)state;
-    const struct rk_vm_said cooldown = {.cooldown_ms = 1000};
+    const struct rk_vm_advertised cooldown = {.cooldown_ms = 1000};
     struct rk_vm_row rows[3];
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000,bb:100", 4100);
     struct rk_engine_forecast forecast;
     struct rk_place_vm *first = rk_place_choose(p, &q, 1000, &forecast);
     for (int i = 0; i < 8; i++) {
-        rk_place_hear(p, first, &cooldown, 1000);
+        rk_place_apply_signals(p, first, &cooldown, 1000);
         refuse_call(p, first, &q, 1000);
     }
     assert_ptr_not_equal(rk_place_choose(p, &q, 1999, &forecast), first);
@@ -491,18 +491,18 @@
 static void a_limited_vm_is_chosen_only_at_its_rate(void **state)
 {
     (void)state;
-    const struct rk_vm_said one_per_s = {.limited = true, .limit_per_s = 1};
+    const struct rk_vm_advertised one_per_s = {.limited = true, .limit_per_s = 1};
     struct rk_vm_row rows[3];
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000,bb:100", 4100);
     struct rk_engine_forecast forecast;
     struct rk_place_job job;
     struct rk_place_vm *first = rk_place_choose(p, &q, 1000, &forecast);
-    rk_place_set_nodes(p, 1);
-    rk_place_hear(p, first, &one_per_s, 1000);
+    rk_place_set_node_count(p, 1);
+    rk_place_apply_signals(p, first, &one_per_s, 1000);
     assert_ptr_not_equal(rk_place_choose(p, &q, 1999, &forecast), first);
     assert_ptr_equal(rk_place_choose(p, &q, 2000, &forecast), first);
-    rk_place_sent(p, first, &q, 2000, &job);
+    rk_place_note_sent(p, first, &q, 2000, &job);
     assert_ptr_not_equal(rk_place_choose(p, &q, 2999, &forecast), first);
     assert_ptr_equal(rk_place_choose(p, &q, 3000, &forecast), first);
     rk_place_destroy(p);
@@ -513,7 +513,7 @@
 static void a_limit_outlasts_gaps_in_the_list(void **state)
 {
     (void)state;
-    const struct rk_vm_said one_per_s = {.limited = true, .limit_per_s = 1};
+    const struct rk_vm_advertised one_per_s = {.limited = true, .limit_per_s = 1};
     struct rk_vm_row rows[3];
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000", 4000);
@@ -523,16 +523,16 @@
     rk_place_set_vms(p, rows, 0, 600); /* nothing was advertised yet */
     rk_place_set_vms(p, rows, 3, 700);
     for (size_t i = 0; i < 3; i++)
-        rk_place_hear(p, rk_place_find(p, rows[i].id), &one_per_s, 1000);
+        rk_place_apply_signals(p, rk_place_find(p, rows[i].id), &one_per_s, 1000);
     assert_null(rk_place_choose(p, &q, 1500, &forecast));
     rk_place_set_vms(p, rows, 0, 1600);
     rk_place_set_vms(p, rows, 3, 1700);
     assert_null(rk_place_choose(p, &q, 1800, &forecast));
-    assert_true(rk_place_wait_ms(p, &q, 1800) > 0);
+    assert_true(rk_place_retry_after_ms(p, &q, 1800) > 0);
     rows[0].started_ms = 5; /* another incarnation */
     rk_place_set_vms(p, rows, 3, 1900);
     assert_string_equal(rk_place_choose(p, &q, 1900, &forecast)->row.id, "vm-a");
-    assert_int_equal(rk_place_wait_ms(p, &q, 1900), 0);
+    assert_int_equal(rk_place_retry_after_ms(p, &q, 1900), 0);
     rk_place_destroy(p);
 }
 
@@ -541,7 +541,7 @@
 static void a_vm_that_advertised_leaving_is_not_chosen_again(void **state)
 {
     (void)state;
-    const struct rk_vm_said leaving_signal = {.leaving = true};
+    const struct rk_vm_advertised leaving_signal = {.leaving = true};
     struct rk_vm_row rows[3];
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000", 4000);
@@ -549,7 +549,7 @@
     struct rk_place_vm *first = rk_place_choose(p, &q, 1000, &forecast);
     char id[RK_ID_MAX];
     rk_strcpy(id, sizeof(id), first->row.id);
-    rk_place_hear(p, first, &leaving_signal, 1000);
+    rk_place_apply_signals(p, first, &leaving_signal, 1000);
     assert_true(first->row.leaving);
     rk_place_set_vms(p, rows, 3, 1100); /* listed as ready */
     assert_string_not_equal(rk_place_choose(p, &q, 1100, &forecast)->row.id, id);
@@ -567,8 +567,8 @@
     struct rk_vm_row rows[3];
     struct rk_place *p = rk_place_create("here", 1);
     struct rk_place *other = create_with_three_vms(rows);
-    const struct rk_vm_signal update = {.incarnation = rk_vm_life(&rows[1]),
-                                        .leaving = true};
+    const struct rk_vm_signal update = {
+        .incarnation = rk_vm_incarnation_hash(&rows[1]), .leaving = true};
     rk_place_set_signals(p, &update, 1, 100);
     rk_place_set_signals(other, &update, 1, 100);
     rk_place_set_vms(p, rows, 3, 200);
@@ -584,16 +584,16 @@
 static void a_vm_gets_no_calls_until_its_cooldown_ends(void **state)
 {
     (void)state;
-    const struct rk_vm_said cooldown = {.cooldown_ms = 3000};
+    const struct rk_vm_advertised cooldown = {.cooldown_ms = 3000};
     struct rk_vm_row rows[3];
     struct rk_place *p = create_with_three_vms(rows);
     struct rk_place_query q = engine_query("aa:4000", 4000);
     struct rk_engine_forecast forecast;
     for (size_t i = 0; i < 3; i++)
-        rk_place_hear(p, rk_place_find(p, rows[i].id), &cooldown,
-                      1000 + 100 * (int64_t)i);
+        rk_place_apply_signals(p, rk_place_find(p, rows[i].id), &cooldown,
+                               1000 + 100 * (int64_t)i);
     assert_null(rk_place_choose(p, &q, 1300, &forecast));
-    assert_int_equal(rk_place_wait_ms(p, &q, 1300), 2700);
+    assert_int_equal(rk_place_retry_after_ms(p, &q, 1300), 2700);
     rk_place_set_vms(p, rows, 0, 1400);
     rk_place_set_vms(p, rows, 3, 1500);
     assert_null(rk_place_choose(p, &q, 3999, &forecast));
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -28,12 +28,12 @@
 {
     const struct rk_quarantine_row key = make_row(request, "clinic");
     const struct rk_vm_end end = {.vm = vm, .suspicion = suspicion};
-    return rk_quarantine_note(&table, &key, end, 1);
+    return rk_quarantine_add_end(&table, &key, end, 1);
 }
 
 static bool is_stopped(uint64_t request)
 {
-    return rk_quarantine_stops(&table, request, 1);
+    return rk_quarantine_is_stopped(&table, request, 1);
 }
 
 /* Empties the tables before each test. */
@@ -65,7 +65,7 @@
 static void four_ends_are_needed_while_several_requests_end_vms(void **state)
 {
     (void)state;
-    for (uint64_t request = 1; request <= RK_QUARANTINE_CROWD; request++) {
+    for (uint64_t request = 1; request <= RK_QUARANTINE_CROWD_MIN; request++) {
         note_end(request, (uint32_t)(10 * request), RK_HAD_JUST_BEGUN);
         note_end(request, (uint32_t)(10 * request + 1), RK_HAD_JUST_BEGUN);
     }
@@ -105,12 +105,12 @@
     (void)state;
     note_end(7, 1, RK_HAD_JUST_BEGUN);
     note_end(7, 2, RK_HAD_JUST_BEGUN);
-    rk_quarantine_clear(&table, 7, 1);
+    rk_quarantine_reset(&table, 7, 1);
     note_end(7, 3, RK_HAD_JUST_BEGUN);
     assert_false(is_stopped(7));
     note_end(7, 4, RK_HAD_JUST_BEGUN);
     assert_true(note_end(7, 5, RK_HAD_JUST_BEGUN));
-    rk_quarantine_ran(&table, 7, 1); /* another VM was running it meanwhile */
+    rk_quarantine_completed(&table, 7, 1); /* another VM was running it meanwhile */
     assert_false(is_stopped(7));
 }
 
@@ -119,7 +119,7 @@
 static void a_request_that_just_completed_is_not_suspected(void **state)
 {
     (void)state;
-    rk_quarantine_ran(&table, 7, 1);
+    rk_quarantine_completed(&table, 7, 1);
     for (uint32_t vm = 1; vm <= 6; vm++)
         assert_false(note_end(7, vm, RK_HAD_JUST_BEGUN));
     assert_null(rk_quarantine_find(&table, 7));
@@ -131,7 +131,7 @@
     assert_true(rk_quarantine_merge(&table, &row, false, 1));
     assert_false(is_stopped(7));
     rk_quarantine_merge(&other, rk_quarantine_find(&table, 7), false, 1);
-    assert_false(rk_quarantine_stops(&other, 7, 1));
+    assert_false(rk_quarantine_is_stopped(&other, 7, 1));
 }
 
 /* Guards against a request that is never suspected because it completed once: VMs
@@ -139,7 +139,7 @@
 static void a_request_that_completed_long_ago_is_suspected(void **state)
 {
     (void)state;
-    rk_quarantine_ran(&table, 7, 1 - 2 * MINUTE_MS);
+    rk_quarantine_completed(&table, 7, 1 - 2 * MINUTE_MS);
     for (uint32_t vm = 1; vm <= 3; vm++)
         note_end(7, vm, RK_HAD_JUST_BEGUN);
     assert_true(is_stopped(7));
@@ -198,13 +198,13 @@
     for (uint32_t vm = 1; vm <= 3; vm++)
         note_end(7, vm, RK_HAD_JUST_BEGUN);
     struct rk_quarantine_row old = *rk_quarantine_find(&table, 7);
-    rk_quarantine_clear(&table, 7, 1);
+    rk_quarantine_reset(&table, 7, 1);
     assert_false(rk_quarantine_merge(&table, &old, false, 1));
     assert_false(is_stopped(7));
     /* A node that had stopped it learns that it is cleared. */
     rk_quarantine_merge(&other, &old, false, 1);
     rk_quarantine_merge(&other, rk_quarantine_find(&table, 7), false, 1);
-    assert_false(rk_quarantine_stops(&other, 7, 1));
+    assert_false(rk_quarantine_is_stopped(&other, 7, 1));
 }
 
 /* Guards against an organisation whose thousands of suspect requests fill the
@@ -214,8 +214,8 @@
     (void)state;
     struct rk_quarantine_row key = make_row(1, "rank");
     for (uint32_t vm = 1; vm <= 3; vm++)
-        rk_quarantine_note(&table, &key, (struct rk_vm_end){vm, RK_HAD_JUST_BEGUN},
-                           1);
+        rk_quarantine_add_end(&table, &key,
+                              (struct rk_vm_end){vm, RK_HAD_JUST_BEGUN}, 1);
     for (uint32_t i = 0; i < 20 * RK_QUARANTINE_ROWS; i++)
         note_end(100 + i, 10 + i, RK_HAD_JUST_BEGUN);
     assert_true(is_stopped(1));
@@ -230,7 +230,7 @@
     for (uint32_t vm = 1; vm <= 3; vm++)
         note_end(7, vm, RK_HAD_JUST_BEGUN);
     note_end(8, 1, RK_MAY_HAVE_BEGUN);
-    assert_true(rk_quarantine_stops(&table, 7, 50 * MINUTE_MS));
+    assert_true(rk_quarantine_is_stopped(&table, 7, 50 * MINUTE_MS));
     rk_quarantine_expire(&table, 100 * MINUTE_MS);
     assert_true(is_stopped(7));
     assert_null(rk_quarantine_find(&table, 8));
@@ -243,24 +243,24 @@
 static void each_field_changes_the_request_hash(void **state)
 {
     (void)state;
-    const struct rk_request_parts fields = {.org = "clinic",
-                                            .method = "POST",
-                                            .host = "api.example",
-                                            .target = "/a/b",
-                                            .body = "x",
-                                            .body_len = 1};
-    struct rk_request_parts changed = fields;
-    uint64_t request = rk_quarantine_request(&fields);
-    assert_int_equal(request, rk_quarantine_request(&changed));
+    const struct rk_request_identity fields = {.org = "clinic",
+                                               .method = "POST",
+                                               .host = "api.example",
+                                               .target = "/a/b",
+                                               .body = "x",
+                                               .body_len = 1};
+    struct rk_request_identity changed = fields;
+    uint64_t request = rk_quarantine_hash(&fields);
+    assert_int_equal(request, rk_quarantine_hash(&changed));
     changed.body_len = 0;
-    assert_int_not_equal(request, rk_quarantine_request(&changed));
+    assert_int_not_equal(request, rk_quarantine_hash(&changed));
     changed = fields;
     changed.org = "rank";
-    assert_int_not_equal(request, rk_quarantine_request(&changed));
+    assert_int_not_equal(request, rk_quarantine_hash(&changed));
     changed = fields;
     changed.host = "api.example/a"; /* the same characters in a row */
     changed.target = "/b";
-    assert_int_not_equal(request, rk_quarantine_request(&changed));
+    assert_int_not_equal(request, rk_quarantine_hash(&changed));
 }
 
 int main(void)
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -20,10 +20,10 @@
 {
     struct rk_quota copy = *q;
     copy.orgs = rk_alloc(q->orgs_cap + 1, sizeof(*copy.orgs));
-    copy.names = (struct rk_names){0};
+    copy.names = (struct rk_name_index){0};
     for (size_t i = 0; i < q->orgs_len; i++) {
         copy.orgs[i] = q->orgs[i];
-        rk_names_add(&copy.names, copy.orgs, sizeof(*copy.orgs), i);
+        rk_name_index_add(&copy.names, copy.orgs, sizeof(*copy.orgs), i);
     }
     return copy;
 }
@@ -34,7 +34,7 @@
                               double units)
 {
     double sum = 0;
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     for (int64_t t = from_ms; t < to_ms; t += step_ms)
         if (rk_quota_admit(q, "org", rate, burst, units, t, &decision))
             sum += units;
@@ -69,7 +69,7 @@
     (void)state;
     const int orgs = 2 * 333;
     SCOPED struct rk_quota q = single_node_quota(0);
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     char org[RK_ID_MAX];
     for (int i = 0; i < orgs; i++) {
         double admitted = 0;
@@ -104,7 +104,7 @@
         q.overrun = 0.1;
         q.nodes_total = 7;
         q.nodes_reachable = side;
-        struct rk_quota_answer decision;
+        struct rk_quota_decision decision;
         assert_true(rk_quota_admit(&q, "org", 100, 100, 1, 100000, &decision));
         assert_true(decision.limit > 900.0 * side / 7);
         sum += decision.limit;
@@ -127,15 +127,16 @@
 static struct rk_quota partition_side(int nodes, double load)
 {
     struct rk_quota q;
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     rk_quota_init(&q, WINDOW_MS, PARTITION_SLACK, 0);
     q.overrun = 0.1;
-    rk_quota_hear(&q, PARTITION_NODES, PARTITION_NODES, PARTITION_MS - WINDOW_MS);
+    rk_quota_set_reachable(&q, PARTITION_NODES, PARTITION_NODES,
+                           PARTITION_MS - WINDOW_MS);
     rk_quota_admit(&q, "org", PARTITION_RATE, PARTITION_RATE, 0,
                    PARTITION_MS - WINDOW_MS, &decision);
     for (int ms = PARTITION_MS - WINDOW_MS; ms < PARTITION_MS; ms += 250)
-        rk_quota_add(&q, "org", load * PARTITION_RATE / 4, ms);
-    rk_quota_hear(&q, nodes, PARTITION_NODES, PARTITION_MS);
+        rk_quota_add_peers(&q, "org", load * PARTITION_RATE / 4, ms);
+    rk_quota_set_reachable(&q, nodes, PARTITION_NODES, PARTITION_MS);
     return q;
 }
 
@@ -143,7 +144,7 @@
 static double request_from_side(struct rk_quota *q, double per_s, int from_ms,
                                 int to_ms)
 {
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     double pending = 0, admitted = 0;
     for (int ms = from_ms; ms < to_ms; ms += 10)
         for (pending += per_s / 100; pending >= UNITS_PER_CALL;
@@ -198,11 +199,12 @@
     SCOPED struct rk_quota q = partition_side(59, 0.55);
     double per_s = 0.55 * PARTITION_RATE * 59 / PARTITION_NODES;
     request_from_side(&q, per_s, PARTITION_MS, PARTITION_MS + 6000);
-    rk_quota_hear(&q, PARTITION_NODES, PARTITION_NODES, PARTITION_MS + 6000);
-    rk_quota_add(&q, "org",
-                 0.55 * PARTITION_RATE * 6 * (PARTITION_NODES - 59) /
-                     PARTITION_NODES,
-                 PARTITION_MS + 6000);
+    rk_quota_set_reachable(&q, PARTITION_NODES, PARTITION_NODES,
+                           PARTITION_MS + 6000);
+    rk_quota_add_peers(&q, "org",
+                       0.55 * PARTITION_RATE * 6 * (PARTITION_NODES - 59) /
+                           PARTITION_NODES,
+                       PARTITION_MS + 6000);
     double admitted =
         request_from_side(&q, per_s, PARTITION_MS + 6000, PARTITION_MS + 7000);
     assert_true(admitted >= per_s - 2 * UNITS_PER_CALL);
@@ -217,7 +219,7 @@
     (void)state;
     SCOPED struct rk_quota q;
     rk_quota_init(&q, WINDOW_MS, 0, 0);
-    double most = 900.0 / RK_UNKNOWN_NODES + 1;
+    double most = 900.0 / RK_ASSUMED_NODES + 1;
     assert_true(admit_each_step(&q, 100, 100, 100000, 108000, 10, 1) <= most);
 }
 
@@ -270,10 +272,10 @@
 {
     (void)state;
     SCOPED struct rk_quota q = single_node_quota(0);
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     rk_quota_admit(&q, "org", 100, 100, 1, 100000, &decision);
-    rk_quota_add(&q, "org", 300, 100150);
-    rk_quota_add(&q, "org", 300, 100250);
+    rk_quota_add_peers(&q, "org", 300, 100150);
+    rk_quota_add_peers(&q, "org", 300, 100250);
     assert_false(rk_quota_admit(&q, "org", 100, 100, 10, 100260, &decision));
     assert_true(decision.retry_after_ms > 0);
 }
@@ -337,7 +339,7 @@
 static void request_from_node(struct fleet *f, int step, int node, double rate,
                               double burst, double units)
 {
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     if (!rk_quota_admit(&f->node[node].q, "org", rate, burst, units,
                         100000 + step * STEP_MS, &decision))
         return;
@@ -353,7 +355,7 @@
         int at = step % (AGE_STEPS + 1);
         n->past_own[at] = n->own;
         n->past_demand[at] =
-            n->q.orgs_len ? rk_quota_asking(&n->q.orgs[0], 100000 + step * STEP_MS)
+            n->q.orgs_len ? rk_quota_demand(&n->q.orgs[0], 100000 + step * STEP_MS)
                           : 0;
         f->demand[step] += n->past_demand[at];
     }
@@ -376,7 +378,8 @@
         if ((step * STEP_MS + i * 37) % DIGEST_INTERVAL_MS >= STEP_MS)
             continue;
         double peers = f->total[then] - n->past_own[at];
-        rk_quota_add(&n->q, "org", peers - n->reported, 100000 + step * STEP_MS);
+        rk_quota_add_peers(&n->q, "org", peers - n->reported,
+                           100000 + step * STEP_MS);
         n->q.orgs[0].peers_demand = f->demand[then] - n->past_demand[at];
         n->reported = peers;
     }
@@ -520,13 +523,13 @@
 static double refused_share_after_restart(double load, double rate, double *most)
 {
     const int nodes = 295, age_ms = 1500, start_ms = 100000;
-    double slices[RK_QUOTA_PARTS], used = load * rate;
+    double slices[RK_QUOTA_SLICES], used = load * rate;
     struct fleet *f = create_fleet(nodes, 72000);
     struct caller c = {.rng.state = 3, .rate = rate, .per_s = rate * load};
     /* The quota of a window of eight seconds is the rate of nine seconds. */
     if (used > rate * 9 / 8)
         used = rate * 9 / 8;
-    for (size_t i = 0; i < RK_QUOTA_PARTS; i++)
+    for (size_t i = 0; i < RK_QUOTA_SLICES; i++)
         slices[i] = used;
     for (int i = 0; i < nodes; i++) {
         struct rk_quota *q = &f->node[i].q;
@@ -534,7 +537,7 @@
         q->nodes_total = nodes;
         q->rng.state = (uint64_t)i + 1;
         rk_quota_restore(q, "org", slices, load * rate, age_ms, start_ms);
-        rk_quota_restored(q, age_ms);
+        rk_quota_restore_done(q, age_ms);
     }
     for (int step = 0; step < 1000 / STEP_MS; step++)
         run_caller_step(f, &c, step);
@@ -573,11 +576,11 @@
 {
     (void)state;
     SCOPED struct rk_quota q = single_node_quota(100000);
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     assert_false(rk_quota_admit(&q, "org", 100, 100, 100, 100100, &decision));
-    const double slices[RK_QUOTA_PARTS] = {300};
-    rk_quota_know(&q, "org", slices, 100200);
-    rk_quota_remind(&q, WINDOW_MS);
+    const double slices[RK_QUOTA_SLICES] = {300};
+    rk_quota_merge(&q, "org", slices, 100200);
+    rk_quota_peer_history(&q, WINDOW_MS);
     assert_in_range((int)admit_each_step(&q, 100, 100, 100250, 100260, 1, 100), 600,
                     600);
 }
@@ -589,13 +592,13 @@
     (void)state;
     SCOPED struct rk_quota peer = single_node_quota(0),
                            fresh = single_node_quota(101500);
-    struct rk_quota_answer decision;
-    double slices[RK_QUOTA_PARTS];
+    struct rk_quota_decision decision;
+    double slices[RK_QUOTA_SLICES];
     for (int i = 0; i < 80; i++)
         rk_quota_admit(&peer, "org", 100, 100, 10, 100000 + i * 10, &decision);
-    rk_quota_tell(&peer, &peer.orgs[0], slices, 101600);
-    rk_quota_know(&fresh, "org", slices, 101600);
-    rk_quota_remind(&fresh, WINDOW_MS);
+    rk_quota_report(&peer, &peer.orgs[0], slices, 101600);
+    rk_quota_merge(&fresh, "org", slices, 101600);
+    rk_quota_peer_history(&fresh, WINDOW_MS);
     for (int64_t t = 102000; t < 107500; t += 500) {
         rk_quota_admit(&fresh, "org", 100, 100, 0, t, &decision);
         assert_true(decision.used >= 799);
@@ -610,9 +613,9 @@
 {
     (void)state;
     SCOPED struct rk_quota q = single_node_quota(100000);
-    const double slices[RK_QUOTA_PARTS] = {880};
+    const double slices[RK_QUOTA_SLICES] = {880};
     rk_quota_restore(&q, "org", slices, 0, 1000, 100000);
-    rk_quota_restored(&q, 1000);
+    rk_quota_restore_done(&q, 1000);
     double early = admit_each_step(&q, 100, 100, 100000, 106000, 10, 1);
     assert_true(880 + early <= 900 + 1);
     assert_true(admit_each_step(&q, 100, 100, 107600, 108600, 10, 1) > 50);
@@ -624,10 +627,10 @@
 static void persisted_usage_leaves_the_window_evenly(void **state)
 {
     (void)state;
-    const double slices[RK_QUOTA_PARTS] = {50, 50, 50, 50, 50, 50, 50, 50};
+    const double slices[RK_QUOTA_SLICES] = {50, 50, 50, 50, 50, 50, 50, 50};
     SCOPED struct rk_quota q = single_node_quota(100000);
     rk_quota_restore(&q, "org", slices, 0, 1000, 100000);
-    rk_quota_restored(&q, 1000);
+    rk_quota_restore_done(&q, 1000);
     double at_once = admit_each_step(&q, 100, 100, 100000, 100100, 1, 10);
     assert_true(at_once > 350 && at_once < 900 - 350);
     assert_true(admit_each_step(&q, 100, 100, 104000, 104100, 1, 10) > 100);
@@ -638,20 +641,20 @@
 static void restored_usage_is_persisted_again(void **state)
 {
     (void)state;
-    double slices[RK_QUOTA_PARTS] = {880};
+    double slices[RK_QUOTA_SLICES] = {880};
     SCOPED struct rk_quota q = single_node_quota(100000);
-    assert_false(rk_quota_knows_all(&q, 100000));
+    assert_false(rk_quota_is_complete(&q, 100000));
     rk_quota_restore(&q, "org", slices, 0, 500, 100000);
-    rk_quota_restored(&q, 500);
-    assert_true(rk_quota_knows_all(&q, 100000));
-    rk_quota_tell(&q, &q.orgs[0], slices, 101000);
+    rk_quota_restore_done(&q, 500);
+    assert_true(rk_quota_is_complete(&q, 100000));
+    rk_quota_report(&q, &q.orgs[0], slices, 101000);
     /* Peers have restored it, too. */
     assert_true(slices[0] + slices[1] + slices[2] == 0);
-    rk_quota_keep(&q, &q.orgs[0], 900, 100, slices, 101000);
+    rk_quota_persist(&q, &q.orgs[0], 900, 100, slices, 101000);
     assert_true(slices[1] + slices[2] >= 880);
     SCOPED struct rk_quota second = single_node_quota(101500);
     rk_quota_restore(&second, "org", slices, 0, 500, 101500);
-    rk_quota_restored(&second, 500);
+    rk_quota_restore_done(&second, 500);
     assert_true(admit_each_step(&second, 100, 100, 101500, 105500, 10, 1) <= 21);
 }
 
@@ -663,16 +666,16 @@
 static void possible_usage_is_persisted(void **state)
 {
     (void)state;
-    double slices[RK_QUOTA_PARTS] = {50};
+    double slices[RK_QUOTA_SLICES] = {50};
     SCOPED struct rk_quota first = single_node_quota(100000);
     rk_quota_restore(&first, "org", slices, 0, 4700, 100000);
-    rk_quota_restored(&first, 4700);
-    assert_true(rk_quota_knows_all(&first, 101000));
+    rk_quota_restore_done(&first, 4700);
+    assert_true(rk_quota_is_complete(&first, 101000));
     double used = admit_each_step(&first, 100, 100, 100000, 104000, 10, 1);
-    rk_quota_keep(&first, &first.orgs[0], 900, 100, slices, 103900);
+    rk_quota_persist(&first, &first.orgs[0], 900, 100, slices, 103900);
     SCOPED struct rk_quota second = single_node_quota(105000);
     rk_quota_restore(&second, "org", slices, 0, 1100, 105000);
-    rk_quota_restored(&second, 1100);
+    rk_quota_restore_done(&second, 1100);
     /* All of the quota may have been used just before the first restart. Until that
      * has left the window, units are admitted at no more than four fifths of the
      * rate. */
@@ -685,10 +688,10 @@
 static void old_persisted_usage_is_a_lower_bound(void **state)
 {
     (void)state;
-    const double slices[RK_QUOTA_PARTS] = {50, 50, 50, 50, 50, 50, 50, 50};
+    const double slices[RK_QUOTA_SLICES] = {50, 50, 50, 50, 50, 50, 50, 50};
     SCOPED struct rk_quota q = single_node_quota(100000);
     rk_quota_restore(&q, "org", slices, 0, 5000, 100000);
-    rk_quota_restored(&q, 5000);
+    rk_quota_restore_done(&q, 5000);
     assert_true(admit_each_step(&q, 100, 100, 100000, 100100, 1, 10) < 50);
 }
 
@@ -697,12 +700,12 @@
 {
     (void)state;
     SCOPED struct rk_quota q = single_node_quota(0);
-    struct rk_quota_answer decision;
+    struct rk_quota_decision decision;
     assert_true(rk_quota_admit(&q, "org", 10, 10, 90, 100000, &decision));
     assert_false(rk_quota_admit(&q, "org", 10, 10, 90, 100010, &decision));
     rk_quota_refund(&q, "org", 90, 100020);
     assert_true(rk_quota_admit(&q, "org", 10, 10, 90, 100030, &decision));
-    assert_true(rk_quota_known(&q.orgs[0]) == 90);
+    assert_true(rk_quota_used(&q.orgs[0]) == 90);
 }
 
 int main(void)
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -107,7 +107,8 @@
     generate_calls(calls);
     for (int i = 0; i < CALLS; i++) {
         int base_rank = kinds[calls[i].kind].base_rank;
-        calls[i].rank = by_size ? rk_rank(base_rank, calls[i].tokens) : base_rank;
+        calls[i].rank =
+            by_size ? rk_engine_rank(base_rank, calls[i].tokens) : base_rank;
     }
     prefill_all(calls);
     for (int i = 0; i < CALLS; i++) {
@@ -139,18 +140,19 @@
 static void ranks_grow_with_base_rank_and_prompt_size(void **state)
 {
     (void)state;
-    assert_int_equal(rk_rank(0, 0), 0);
-    assert_int_equal(rk_rank(2, 0), 2);
+    assert_int_equal(rk_engine_rank(0, 0), 0);
+    assert_int_equal(rk_engine_rank(2, 0), 2);
     for (int base_rank = 0; base_rank <= 12; base_rank++) {
-        int lowest = rk_rank(base_rank, 0);
-        assert_true(rk_rank(base_rank + 1, 700) >= rk_rank(base_rank, 700));
+        int lowest = rk_engine_rank(base_rank, 0);
+        assert_true(rk_engine_rank(base_rank + 1, 700) >=
+                    rk_engine_rank(base_rank, 700));
         for (double tokens = 0; tokens < 60000; tokens += 500) {
-            int rank = rk_rank(base_rank, tokens);
-            assert_true(rank >= lowest && rank <= RK_RANK_LAST);
+            int rank = rk_engine_rank(base_rank, tokens);
+            assert_true(rank >= lowest && rank <= RK_ENGINE_RANK_MAX);
             lowest = rank;
         }
     }
-    assert_int_equal(rk_rank(-3, -1), 0);
+    assert_int_equal(rk_engine_rank(-3, -1), 0);
 }
 
 int main(void)
--- a/tests/test_returning.c
+++ b/tests/test_returning.c
@@ -49,7 +49,7 @@
     assert_int_equal(size.largest, large);
     for (int i = 0; i < nodes; i++) {
         double draw = rk_rng_below(&rng, 1000) / 1000.0;
-        int64_t wait_ms = rk_returning_wait_ms(
+        int64_t wait_ms = rk_read_delay_ms(
             &size, i < large ? LARGE_CAPACITY : SMALL_CAPACITY, draw);
         readers[wait_ms < 7999 ? wait_ms : 7999]++;
     }
@@ -89,10 +89,10 @@
     (void)state;
     struct rk_fleet_size size = {0};
     /* The size of the fleet is unknown. */
-    assert_int_equal(rk_returning_wait_ms(&size, SMALL_CAPACITY, 1), 0);
+    assert_int_equal(rk_read_delay_ms(&size, SMALL_CAPACITY, 1), 0);
     for (int i = 0; i < 12; i++)
         rk_fleet_size_add(&size, SMALL_CAPACITY);
-    assert_int_equal(rk_returning_wait_ms(&size, SMALL_CAPACITY, 1), 0);
+    assert_int_equal(rk_read_delay_ms(&size, SMALL_CAPACITY, 1), 0);
 }
 
 /* Guards against nodes that wait indefinitely for others that may never restart. */
@@ -101,9 +101,9 @@
     (void)state;
     struct rk_fleet_size size = {
         .nodes = 985, .largest = 50, .capacity = LARGE_CAPACITY};
-    assert_true(rk_returning_wait_ms(&size, LARGE_CAPACITY, 1) <= 200);
-    assert_true(rk_returning_wait_ms(&size, SMALL_CAPACITY, 0) >= 1000);
-    assert_true(rk_returning_wait_ms(&size, SMALL_CAPACITY, 1) <= 5000);
+    assert_true(rk_read_delay_ms(&size, LARGE_CAPACITY, 1) <= 200);
+    assert_true(rk_read_delay_ms(&size, SMALL_CAPACITY, 0) >= 1000);
+    assert_true(rk_read_delay_ms(&size, SMALL_CAPACITY, 1) <= 5000);
 }
 
 int main(void)
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -78,8 +78,8 @@
     const struct new_version *version;
     struct rk_rng rng;
     /* The last results, which reach the leader after LAG_MS. */
-    struct rk_trial_rows rows[LAG_STEPS + 1];
-    struct rk_trial_rows results; /* of all calls so far */
+    struct rk_canary_rows rows[LAG_STEPS + 1];
+    struct rk_canary_rows results; /* of all calls so far */
     /* The last rules, which reach the nodes after RULE_MS. */
     uint32_t shares[RULE_STEPS + 1], vms[RULE_STEPS + 1];
     int64_t fiftieth_ms; /* when the 50th bad answer came; 0: not yet */
@@ -125,23 +125,23 @@
     static const char *const domains[] = {"a", "b", "c"};
     char route_name[8];
     int route = random_route(w);
-    bool is_new = uniform(w) * RK_ROLLOUT_ALL < share;
+    bool is_new = uniform(w) * RK_ROLLOUT_SHARE_ALL < share;
     /* The VMs that get new calls rotate; any domain will do here. */
     int domain = (int)rk_rng_below(&w->rng, DOMAINS);
-    double load = (double)share / RK_ROLLOUT_ALL * w->service->vms /
+    double load = (double)share / RK_ROLLOUT_SHARE_ALL * w->service->vms /
                   (vms ? vms : (uint32_t)w->service->vms);
     bool bad = is_new && is_bad(w->version, route, load, now_ms);
     double failing = w->service->failing[route] + (bad ? w->version->failed : 0);
     if (domain == w->version->failing_domain)
         failing = 0.5;
     snprintf(route_name, sizeof(route_name), "r%d", route);
-    struct rk_trial_row *row =
-        rk_trial_row_at(&w->results, route_name, domains[domain], is_new);
+    struct rk_canary_row *row =
+        rk_canary_get_row(&w->results, route_name, domains[domain], is_new);
     bool fails = uniform(w) < failing;
     if (fails)
-        rk_trial_note_failure(&row->stats, false);
+        rk_canary_add_failure(&row->stats, false);
     else
-        rk_trial_note_time(&row->stats,
+        rk_canary_add_time(&row->stats,
                            100 * exp(normal(w) * w->service->spread) *
                                (bad ? w->version->slowdown : 1),
                            100);
@@ -164,7 +164,7 @@
  * the calls that go to the new version and the number of VMs that get them, 0: all,
  * and w->out when the rollout ends. */
 typedef void decide_fn(struct strategy *st, struct world *w,
-                       const struct rk_trial_rows *received, int64_t now_ms,
+                       const struct rk_canary_rows *received, int64_t now_ms,
                        uint32_t *share, uint32_t *vms);
 
 static void init_world(struct world *w, const struct service *s,
@@ -191,7 +191,7 @@
         uint32_t vms = w.vms[(step + 1) % (RULE_STEPS + 1)];
         for (int i = 0; i < (int)(calls + 0.5); i++)
             call(&w, share, vms, now_ms);
-        const struct rk_trial_rows *received =
+        const struct rk_canary_rows *received =
             &w.rows[(step + 1) % (LAG_STEPS + 1)];
         uint32_t *new_share = &w.shares[step % (RULE_STEPS + 1)];
         uint32_t *new_vms = &w.vms[step % (RULE_STEPS + 1)];
@@ -207,7 +207,7 @@
 /* ---- sequential: the strategy in use ---- */
 
 static void sequential(struct strategy *st, struct world *w,
-                       const struct rk_trial_rows *received, int64_t now_ms,
+                       const struct rk_canary_rows *received, int64_t now_ms,
                        uint32_t *share, uint32_t *vms)
 {
     const struct rk_rollout_order order = {
@@ -215,7 +215,7 @@
     const struct rk_rollout_bounds bounds = {0.1, 50, 5000};
     if (!now_ms)
         rk_rollout_begin(&st->r, &order, &bounds, now_ms, 0);
-    const struct rk_rollout_view view = {
+    const struct rk_rollout_input view = {
         .now_ms = now_ms,
         .old_vms = (size_t)w->service->vms,
         .new_vms = now_ms >= 1000 ? (size_t)w->service->vms : 0,
@@ -225,28 +225,28 @@
     rk_rollout_step(&st->r, &view);
     *share = st->r.rule.share;
     *vms = st->r.rule.vms;
-    w->out.committed = st->r.rule.phase == RK_ROLLOUT_TAKEN;
-    w->out.rolled_back = st->r.rule.phase == RK_ROLLOUT_GIVEN_BACK;
+    w->out.committed = st->r.rule.phase == RK_ROLLOUT_COMMITTED;
+    w->out.rolled_back = st->r.rule.phase == RK_ROLLOUT_ROLLED_BACK;
 }
 
 /* ---- fixed steps: shares of 1, 5, 10, 25 and 100 in 100, a test at each ---- */
 
 /* Adds up the results of one version over all routes and domains. */
-static void sum_results(const struct rk_trial_rows *t, bool is_new,
-                        struct rk_trial_seen *sum)
+static void sum_results(const struct rk_canary_rows *t, bool is_new,
+                        struct rk_canary_stats *sum)
 {
-    *sum = (struct rk_trial_seen){0};
+    *sum = (struct rk_canary_stats){0};
     for (size_t i = 0; i < t->len; i++)
         if (t->rows[i].of_new_version == is_new)
-            rk_trial_add(sum, &t->rows[i].stats);
+            rk_canary_merge(sum, &t->rows[i].stats);
 }
 
 static void fixed_steps(struct strategy *st, struct world *w,
-                        const struct rk_trial_rows *received, int64_t now_ms,
+                        const struct rk_canary_rows *received, int64_t now_ms,
                         uint32_t *share, uint32_t *vms)
 {
-    static const uint32_t steps[] = {100, 500, 1000, 2500, RK_ROLLOUT_ALL};
-    struct rk_trial_seen new, old;
+    static const uint32_t steps[] = {100, 500, 1000, 2500, RK_ROLLOUT_SHARE_ALL};
+    struct rk_canary_stats new, old;
     sum_results(received, true, &new);
     sum_results(received, false, &old);
     *vms = 0;
@@ -276,10 +276,10 @@
 }
 
 static void bandit(struct strategy *st, struct world *w,
-                   const struct rk_trial_rows *received, int64_t now_ms,
+                   const struct rk_canary_rows *received, int64_t now_ms,
                    uint32_t *share, uint32_t *vms)
 {
-    struct rk_trial_seen new, old;
+    struct rk_canary_stats new, old;
     int wins = 0;
     (void)st;
     sum_results(received, true, &new);
@@ -294,7 +294,7 @@
         w->out.committed = !w->out.rolled_back;
     }
     *share = w->out.rolled_back ? 0
-             : w->out.committed ? RK_ROLLOUT_ALL
+             : w->out.committed ? RK_ROLLOUT_SHARE_ALL
                                 : (uint32_t)(wins * 50);
 }
 
@@ -437,16 +437,16 @@
 static void a_version_in_one_domain_is_judged_by_that_domain(void **state)
 {
     (void)state;
-    static struct rk_trial_rows rows;
+    static struct rk_canary_rows rows;
     rows.len = 0;
-    struct rk_trial_row *old = rk_trial_row_at(&rows, "r", "a", false);
-    struct rk_trial_row *new = rk_trial_row_at(&rows, "r", "a", true);
+    struct rk_canary_row *old = rk_canary_get_row(&rows, "r", "a", false);
+    struct rk_canary_row *new = rk_canary_get_row(&rows, "r", "a", true);
     for (int i = 0; i < 100; i++)
-        rk_trial_note_time(&old->stats, 50, 50);
+        rk_canary_add_time(&old->stats, 50, 50);
     for (int i = 0; i < 12; i++)
-        rk_trial_note_failure(&new->stats, false);
-    assert_int_equal(rk_trial_judge(&rows, 1).verdict, RK_TRIAL_BAD);
-    assert_int_equal(rk_trial_judge(&rows, 2).verdict, RK_TRIAL_SUSPECT);
+        rk_canary_add_failure(&new->stats, false);
+    assert_int_equal(rk_canary_judge(&rows, 1).verdict, RK_CANARY_BAD);
+    assert_int_equal(rk_canary_judge(&rows, 2).verdict, RK_CANARY_SUSPECT);
 }
 
 /* Returns when a version is committed, in ms, that gets too few calls to be found
@@ -456,26 +456,26 @@
     const struct rk_rollout_order order = {
         .service = "s", .version = "v2", .duration_ms = duration_ms};
     const struct rk_rollout_bounds bounds = {0.1, 50, 5000};
-    static struct rk_trial_rows rows;
+    static struct rk_canary_rows rows;
     struct rk_rollout r = {0};
     rows.len = 0;
-    struct rk_trial_row *old = rk_trial_row_at(&rows, "r", "a", false);
-    struct rk_trial_row *new = rk_trial_row_at(&rows, "r", "a", true);
+    struct rk_canary_row *old = rk_canary_get_row(&rows, "r", "a", false);
+    struct rk_canary_row *new = rk_canary_get_row(&rows, "r", "a", true);
     for (int i = 0; i < 20; i++)
-        rk_trial_note_time(&old->stats, 50, 50);
+        rk_canary_add_time(&old->stats, 50, 50);
     for (int i = 0; i < 11; i++)
-        rk_trial_note_time(&new->stats, 50, 50);
+        rk_canary_add_time(&new->stats, 50, 50);
     rk_rollout_begin(&r, &order, &bounds, 0, 0);
     for (int64_t now_ms = 0; now_ms < 2 * duration_ms; now_ms += STEP_MS) {
-        const struct rk_rollout_view view = {.now_ms = now_ms,
-                                             .old_vms = 3,
-                                             .new_vms = 3,
-                                             .new_domains = DOMAINS,
-                                             .old_running = 1,
-                                             .canary_rows = &rows};
+        const struct rk_rollout_input view = {.now_ms = now_ms,
+                                              .old_vms = 3,
+                                              .new_vms = 3,
+                                              .new_domains = DOMAINS,
+                                              .old_running = 1,
+                                              .canary_rows = &rows};
         rk_rollout_step(&r, &view);
-        assert_int_not_equal(r.rule.phase, RK_ROLLOUT_GIVEN_BACK);
-        if (r.rule.phase == RK_ROLLOUT_TAKEN)
+        assert_int_not_equal(r.rule.phase, RK_ROLLOUT_ROLLED_BACK);
+        if (r.rule.phase == RK_ROLLOUT_COMMITTED)
             return now_ms;
     }
     return 2 * duration_ms;
@@ -503,15 +503,15 @@
 static void a_rollout_without_time_is_rolled_back(void **state)
 {
     (void)state;
-    struct rk_trial_rows seen = {0};
+    struct rk_canary_rows seen = {0};
     const struct rk_rollout_order order = {.service = "s", .version = "v2"};
     const struct rk_rollout_bounds bounds = {.share = 0.1, .slack = 50};
-    const struct rk_rollout_view view = {
+    const struct rk_rollout_input view = {
         .old_vms = 3, .new_vms = 3, .new_domains = 3, .canary_rows = &seen};
     struct rk_rollout r = {0};
     rk_rollout_begin(&r, &order, &bounds, 0, 0);
     rk_rollout_step(&r, &view);
-    assert_int_equal(r.rule.phase, RK_ROLLOUT_GIVEN_BACK);
+    assert_int_equal(r.rule.phase, RK_ROLLOUT_ROLLED_BACK);
 }
 
 int main(void)
--- a/tests/test_send_budget.c
+++ b/tests/test_send_budget.c
@@ -32,7 +32,7 @@
 {
     size_t allowed = rk_send_budget_begin(&l->budget, l->queued);
     size_t sent = allowed < ROUND_BYTES ? allowed : ROUND_BYTES;
-    rk_send_budget_note(&l->budget, sent);
+    rk_send_budget_note_sent(&l->budget, sent);
     l->queued += sent;
     l->sent += sent;
     size_t transit_ms = l->queued * ROUND_MS / l->per_round;
@@ -95,7 +95,7 @@
     struct rk_send_budget b = {0};
     for (int i = 0; i < ROUNDS; i++) {
         assert_true(rk_send_budget_begin(&b, 100 * 1024) >= 10 * 1024);
-        rk_send_budget_note(&b, 10 * 1024);
+        rk_send_budget_note_sent(&b, 10 * 1024);
     }
 }
 
--- a/tests/test_vm_signals.c
+++ b/tests/test_vm_signals.c
@@ -13,10 +13,11 @@
 #define INCARNATION 0x5eedULL
 #define MINUTE_MS   (60 * RK_MS_PER_S)
 
-static const struct rk_vm_said no_limit = {.unlimited = true};
-static const struct rk_vm_said ten_per_s = {.limited = true, .limit_per_s = 10};
-static const struct rk_vm_said leaves = {.leaving = true};
-static const struct rk_vm_said cooldown = {.cooldown_ms = 3000};
+static const struct rk_vm_advertised no_limit = {.unlimited = true};
+static const struct rk_vm_advertised ten_per_s = {.limited = true,
+                                                  .limit_per_s = 10};
+static const struct rk_vm_advertised leaves = {.leaving = true};
+static const struct rk_vm_advertised cooldown = {.cooldown_ms = 3000};
 
 static struct rk_vm_signals table;
 
@@ -30,7 +31,7 @@
 
 static struct rk_vm_signal *get_row(int64_t now_ms)
 {
-    return rk_vm_signals_at(&table, INCARNATION, "a-hall", now_ms);
+    return rk_vm_signals_get_or_add(&table, INCARNATION, "a-hall", now_ms);
 }
 
 /* Guards against an old limit that stays in force, and against a change that is not
@@ -39,11 +40,11 @@
 {
     (void)state;
     struct rk_vm_signal *v = get_row(0);
-    assert_int_equal(rk_vm_signal_hear(v, &ten_per_s, 10), RK_VM_LIMIT_CHANGED);
+    assert_int_equal(rk_vm_signal_apply(v, &ten_per_s, 10), RK_VM_LIMIT_CHANGED);
     assert_true(v->limited);
-    assert_int_equal(rk_vm_signal_hear(v, &ten_per_s, 20), 0);
+    assert_int_equal(rk_vm_signal_apply(v, &ten_per_s, 20), 0);
     assert_int_equal(v->limit_confirmed_ms, 20);
-    assert_int_equal(rk_vm_signal_hear(v, &no_limit, 30), RK_VM_LIMIT_CHANGED);
+    assert_int_equal(rk_vm_signal_apply(v, &no_limit, 30), RK_VM_LIMIT_CHANGED);
     assert_false(v->limited);
 }
 
@@ -52,10 +53,10 @@
 static void an_unidentified_answer_ends_no_limit(void **state)
 {
     (void)state;
-    const struct rk_vm_said unidentified = {0};
+    const struct rk_vm_advertised unidentified = {0};
     struct rk_vm_signal *v = get_row(0);
-    rk_vm_signal_hear(v, &ten_per_s, 10);
-    assert_int_equal(rk_vm_signal_hear(v, &unidentified, 20), 0);
+    rk_vm_signal_apply(v, &ten_per_s, 10);
+    assert_int_equal(rk_vm_signal_apply(v, &unidentified, 20), 0);
     assert_true(v->limited);
 }
 
@@ -64,9 +65,9 @@
 /* Returns a row with a limit in requests per second that senders nodes share. */
 static struct rk_vm_signal *limited_row(double per_s, int senders, int64_t now_ms)
 {
-    const struct rk_vm_said signals = {.limited = true, .limit_per_s = per_s};
+    const struct rk_vm_advertised signals = {.limited = true, .limit_per_s = per_s};
     struct rk_vm_signal *v = get_row(now_ms);
-    rk_vm_signal_hear(v, &signals, now_ms);
+    rk_vm_signal_apply(v, &signals, now_ms);
     rk_vm_signal_set_senders(v, senders, now_ms);
     return v;
 }
@@ -80,7 +81,7 @@
     struct rk_vm_signal *v = limited_row(2, 2, 0);
     assert_int_equal(rk_vm_signal_wait_ms(v, 0), 1000);
     assert_int_equal(rk_vm_signal_wait_ms(v, 1000), 0);
-    rk_vm_signal_sent(v, 1500);
+    rk_vm_signal_note_sent(v, 1500);
     assert_int_equal(rk_vm_signal_wait_ms(v, 1600), 900);
     assert_int_equal(rk_vm_signal_wait_ms(v, 2500), 0);
 }
@@ -92,9 +93,9 @@
 {
     (void)state;
     struct rk_vm_signal *v = limited_row(1, 0, 0);
-    assert_true(rk_vm_signal_bars(v));
+    assert_true(rk_vm_signal_blocks(v));
     rk_vm_signal_set_senders(v, 1, 5000);
-    assert_false(rk_vm_signal_bars(v));
+    assert_false(rk_vm_signal_blocks(v));
     assert_int_equal(rk_vm_signal_wait_ms(v, 5000), 1000);
 }
 
@@ -141,7 +142,7 @@
             for (size_t j = 0; j < RK_ARRAY_LEN(nodes); j++)
                 if (j != i)
                     others[len++] = nodes[j];
-            int senders = rk_vm_limit_part(&v, nodes[i], others, len);
+            int senders = rk_vm_limit_senders(&v, nodes[i], others, len);
             assert_true(senders == 0 || senders == expected[l]);
             sharing += senders > 0;
         }
@@ -157,8 +158,8 @@
 {
     (void)state;
     struct rk_vm_signal *v = get_row(0);
-    assert_int_equal(rk_vm_signal_hear(v, &leaves, 10), RK_VM_LEAVING_CHANGED);
-    assert_int_equal(rk_vm_signal_hear(v, &no_limit, 20), 0);
+    assert_int_equal(rk_vm_signal_apply(v, &leaves, 10), RK_VM_LEAVING_CHANGED);
+    assert_int_equal(rk_vm_signal_apply(v, &no_limit, 20), 0);
     assert_true(v->leaving);
 }
 
@@ -166,10 +167,10 @@
 static void the_latest_end_of_cooldowns_counts(void **state)
 {
     (void)state;
-    const struct rk_vm_said shorter_cooldown = {.cooldown_ms = 100};
+    const struct rk_vm_advertised shorter_cooldown = {.cooldown_ms = 100};
     struct rk_vm_signal *v = get_row(0);
-    assert_int_equal(rk_vm_signal_hear(v, &cooldown, 10), RK_VM_REST_CHANGED);
-    assert_int_equal(rk_vm_signal_hear(v, &shorter_cooldown, 20), 0);
+    assert_int_equal(rk_vm_signal_apply(v, &cooldown, 10), RK_VM_COOLDOWN_CHANGED);
+    assert_int_equal(rk_vm_signal_apply(v, &shorter_cooldown, 20), 0);
     assert_int_equal(v->cooldown_until_ms, 3010);
 }
 
@@ -178,14 +179,14 @@
 static void rows_expire_after_two_minutes_and_any_cooldown(void **state)
 {
     (void)state;
-    const struct rk_vm_said long_cooldown = {.cooldown_ms = 10 * MINUTE_MS};
-    rk_vm_signal_hear(get_row(0), &leaves, 0);
-    rk_vm_signals_forget(&table, 2 * MINUTE_MS);
+    const struct rk_vm_advertised long_cooldown = {.cooldown_ms = 10 * MINUTE_MS};
+    rk_vm_signal_apply(get_row(0), &leaves, 0);
+    rk_vm_signals_expire(&table, 2 * MINUTE_MS);
     assert_non_null(rk_vm_signals_find(&table, INCARNATION));
-    rk_vm_signals_forget(&table, 2 * MINUTE_MS + 1);
+    rk_vm_signals_expire(&table, 2 * MINUTE_MS + 1);
     assert_null(rk_vm_signals_find(&table, INCARNATION));
-    rk_vm_signal_hear(get_row(0), &long_cooldown, 0);
-    rk_vm_signals_forget(&table, 9 * MINUTE_MS);
+    rk_vm_signal_apply(get_row(0), &long_cooldown, 0);
+    rk_vm_signals_expire(&table, 9 * MINUTE_MS);
     assert_non_null(rk_vm_signals_find(&table, INCARNATION));
 }
 
@@ -195,8 +196,8 @@
 {
     (void)state;
     for (uint64_t hash = 1; hash <= RK_VM_SIGNALS_MAX; hash++)
-        assert_non_null(rk_vm_signals_at(&table, hash, "", 0));
-    assert_null(rk_vm_signals_at(&table, RK_VM_SIGNALS_MAX + 1, "", 0));
+        assert_non_null(rk_vm_signals_get_or_add(&table, hash, "", 0));
+    assert_null(rk_vm_signals_get_or_add(&table, RK_VM_SIGNALS_MAX + 1, "", 0));
     assert_int_equal(rk_vm_signals_len(&table), RK_VM_SIGNALS_MAX);
 }
 
@@ -205,8 +206,8 @@
 static void incarnations_that_mark_free_slots_are_refused(void **state)
 {
     (void)state;
-    assert_null(rk_vm_signals_at(&table, UINT64_MAX, "", 0));
-    assert_null(rk_vm_signals_at(&table, UINT64_MAX - 1, "", 0));
+    assert_null(rk_vm_signals_get_or_add(&table, UINT64_MAX, "", 0));
+    assert_null(rk_vm_signals_get_or_add(&table, UINT64_MAX - 1, "", 0));
 }
 
 #define TEST(f) cmocka_unit_test_setup_teardown(f, reset_table, reset_table)
--- a/tools/digest_slopes.c
+++ b/tools/digest_slopes.c
@@ -73,7 +73,7 @@
     char id[RK_ID_MAX], addr[RK_ADDR_MAX];
     for (int i = 1; i < nodes; i++) {
         format_peer(id, addr, i);
-        struct member *k = rk_mesh_learn(m, id, addr);
+        struct member *k = rk_mesh_find_or_add(m, id, addr);
         snprintf(k->domain, sizeof(k->domain), "hall-%d", i % DOMAINS);
     }
 }
@@ -119,7 +119,7 @@
         format_peer(id, addr, (1 + i % RK_MESH_BRIDGES) * DOMAINS);
         in->uses[i % ORGS].units += UNITS_PER_CALL;
         struct rk_relay_peers peers = {0};
-        rk_digest_take(rk_mesh_find(m, id), &in->digest);
+        rk_digest_receive(rk_mesh_find(m, id), &in->digest);
         rk_loads_fill(m, &peers, rk_mono_ms());
         free(peers.loads);
     }
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -48,7 +48,7 @@
 /* Fills p with a prompt of this many words; tenants share none of them. */
 static void fill_prompt(struct rk_prompt *p, int tenant, int words)
 {
-    struct rk_prompt_reader r;
+    struct rk_prompt_builder r;
     char word[48];
     rk_prompt_begin(&r, p);
     for (int i = 0; i < words; i++) {
@@ -142,10 +142,10 @@
     struct rk_member m;
     struct rk_vm v;
     for (size_t i = 0; i < rows->gossip.n_members; i++)
-        if (rk_rows_member(rows->gossip.members[i], &m))
+        if (rk_rows_decode_member(rows->gossip.members[i], &m))
             rk_members_merge(to->m, &m, sender, now);
     for (size_t i = 0; i < rows->gossip.n_vms; i++)
-        if (rk_rows_vm(rows->gossip.vms[i], &v))
+        if (rk_rows_decode_vm(rows->gossip.vms[i], &v))
             rk_members_merge_vm(to->m, &v, sender, now);
     for (size_t i = 0; i < rows->gossip.n_loads; i++) {
         const Rillknot__VmLoad *l = rows->gossip.loads[i];
@@ -163,8 +163,8 @@
     int peer = rk_members_index(a->m, rk_members_self(b->m)->id);
     rk_members_delta(a->m, a->sent_marks[to], peer, now, &delta);
     struct rk_rows rows;
-    rk_rows_fill(&rows, a->m, &delta,
-                 !strcmp(self->domain, rk_members_self(b->m)->domain));
+    rk_rows_encode(&rows, a->m, &delta,
+                   !strcmp(self->domain, rk_members_self(b->m)->domain));
     rows.gossip.from = (char *)self->id;
     rows.gossip.from_addr = (char *)self->control_addr;
     rows.gossip.head = self->applied_version;
@@ -242,8 +242,8 @@
         /* A busy engine of 32 slots; its load changes by up to 4 between polls. */
         int load = (int)vm_loads[w] + (int)rk_rng_below(rng, 9) - 4;
         vm_loads[w] = (uint32_t)(load < 0 ? 0 : load > 32 ? 32 : load);
-        rk_members_polled(nodes[polling_node].m, v->id_hash, (uint64_t)now,
-                          vm_loads[w], 0, now);
+        rk_members_load_polled(nodes[polling_node].m, v->id_hash, (uint64_t)now,
+                               vm_loads[w], 0, now);
     }
 }
 
--- a/vmlist/vmlist.c
+++ b/vmlist/vmlist.c
@@ -65,6 +65,6 @@
              since, wait_ms);
     const struct rk_rest_call call = {
         .method = "GET", .url = url, .wait_ms = wait_ms};
-    rk_count(RK_C_OBJECT_READS, 1);
+    rk_counter_add(RK_C_OBJECT_READS, 1);
     rk_rest_start(http, &call, on_answer, op);
 }
