--- a/tests/proc_hosted_bridges.py
+++ b/tests/proc_hosted_bridges.py
@@ -528,8 +528,8 @@
     d, outdated, proxy = large_fleet_with_a_proxied_node()
     with d:
         proxy.frame_limit = SMALL_FRAME
-        proxy.harm(faultproxy.RESET)  # its peers connect again, now with the limit
-        proxy.heal()
+        proxy.set_fault(faultproxy.RESET)  # its peers connect again, now with the limit
+        proxy.clear_fault()
         wait_settled_with_watches_renewed(d)
         d.configure(large_settings(d), wait=False)
         others = [n for n in d.nodes if n is not outdated]
--- a/tests/proc_hosted_calls.py
+++ b/tests/proc_hosted_calls.py
@@ -229,7 +229,7 @@
     """Guards against a refusal that reaches the caller while another worker is free."""
     with plain(bounds={"budgetExtra": 400}) as d:
         for w in d.workers[:1]:
-            w.fault = lambda w, req, conn: w.shed(req, conn)
+            w.fault = lambda w, req, conn: w.refuse_request(req, conn)
         for _ in range(6):
             a = d.call("/r/x")
             assert a.status == 200 and d.runs(a.ident) == 1, a.status
@@ -238,7 +238,7 @@
 def test_a_refusal_is_true_and_says_when_to_come_back():
     """Guards against a 503 that is late, lacks Retry-After, or answers a call that ran."""
     with plain(workers=1, kind="non_idempotent", attempts=1) as d:
-        d.workers[0].fault = lambda w, req, conn: w.shed(req, conn)
+        d.workers[0].fault = lambda w, req, conn: w.refuse_request(req, conn)
         a = d.call("/r/x")
         assert a.status == 503 and float(a.headers["retry-after"]) > 0
         assert a.took_s < IMMEDIATE_S and d.runs(a.ident) == 0
--- a/tests/proc_hosted_leaving.py
+++ b/tests/proc_hosted_leaving.py
@@ -49,7 +49,7 @@
 def test_a_vm_that_advertises_leaving_gets_nothing_while_listed_as_ready():
     """Guards against nodes that use a leaving VM until the store lists it as draining."""
     with Fleet(nodes=4, workers=4) as f:
-        f.keep_asking(40)
+        f.run_callers(40)
         time.sleep(1.5)
         worker, advertised_at = advertise_leaving(f)
         time.sleep(DRAIN_S + 3)
@@ -61,7 +61,7 @@
 def test_a_vm_that_advertises_leaving_gets_nothing_while_the_store_is_away():
     """Guards against nodes that need the store to learn that a VM is leaving."""
     with Fleet(nodes=4, workers=4) as f:
-        f.keep_asking(40)
+        f.run_callers(40)
         time.sleep(1)
         f.d.store.fault = lambda req: 503
         time.sleep(0.5)
@@ -76,7 +76,7 @@
     The entry is removed and written again as ready.
     """
     with Fleet(nodes=2, workers=4) as f:
-        f.keep_asking(40)
+        f.run_callers(40)
         time.sleep(1.5)
         worker, advertised_at = advertise_leaving(f)
         f.d.store.drop("servers", worker.id)
@@ -89,7 +89,7 @@
 def test_a_restarted_vm_is_used_again_after_leaving():
     """Guards against a restarted VM that stays unused because it was leaving before."""
     with Fleet(nodes=2, workers=2) as f:
-        f.keep_asking(40)
+        f.run_callers(40)
         time.sleep(1)
         worker, advertised_at = advertise_leaving(f)
         time.sleep(DRAIN_S)
@@ -104,10 +104,10 @@
 def test_all_nodes_learn_that_a_vm_is_leaving():
     """Guards against nodes that use a leaving VM because none of its answers reached them."""
     with Fleet(nodes=6, workers=4) as f:
-        f.keep_asking(40, nodes=[0])
+        f.run_callers(40, nodes=[0])
         time.sleep(1)
         worker, advertised_at = advertise_leaving(f)
         time.sleep(DRAIN_S)
-        f.keep_asking(60)
+        f.run_callers(60)
         time.sleep(2)
         check_drained(worker, advertised_at)
--- a/tests/proc_hosted_limits.py
+++ b/tests/proc_hosted_limits.py
@@ -7,7 +7,7 @@
 import time
 
 from hosted import wait_until
-from signals import Fleet, most_within
+from signals import Fleet, max_in_window
 
 PROPAGATION_S = 3.0  # from the first answer with a limit until each node knows it
 WINDOW_S = 4.0  # the period in which requests are counted
@@ -25,7 +25,7 @@
 
 def check_limit(worker, limit, since):
     """Checks the limit in each period of WINDOW_S, and returns the largest count."""
-    most = most_within(arrivals(worker, since), WINDOW_S)
+    most = max_in_window(arrivals(worker, since), WINDOW_S)
     assert most <= allowed_arrivals(limit), \
         "%d in %g s, allowed %g" % (most, WINDOW_S, allowed_arrivals(limit))
     return most
@@ -45,7 +45,7 @@
 def test_a_limit_of_one_a_second_holds_over_all_nodes():
     """Guards against nodes that ignore a VM's limit, or each use all of it."""
     with Fleet() as f:
-        f.keep_asking(60)
+        f.run_callers(60)
         time.sleep(2)
         limited, since = set_limits(f, 1)
         time.sleep(PROPAGATION_S + 2 * WINDOW_S)
@@ -61,7 +61,7 @@
     There are more nodes than requests allowed in a period.
     """
     with Fleet(nodes=15) as f:
-        f.keep_asking(90)
+        f.run_callers(90)
         time.sleep(2)
         limited, since = set_limits(f, 1)
         time.sleep(PROPAGATION_S + 2 * WINDOW_S)
@@ -74,7 +74,7 @@
     New settings, which rebuild the list of VMs, must not reset it, either.
     """
     with Fleet(nodes=4, workers=3) as f:
-        f.keep_asking(40)
+        f.run_callers(40)
         time.sleep(2)
         limited, since = set_limits(f, 2, count=1)
         time.sleep(PROPAGATION_S)
@@ -93,7 +93,7 @@
 def test_a_limit_holds_while_the_store_is_away():
     """Guards against a limit that nodes only share by way of the store."""
     with Fleet(nodes=4, workers=3) as f:
-        f.keep_asking(40)
+        f.run_callers(40)
         time.sleep(1)
         f.d.store.fault = lambda req: 503
         time.sleep(1)
@@ -108,7 +108,7 @@
     Nodes must also notice when the VM no longer advertises a limit.
     """
     with Fleet(nodes=4, workers=3) as f:
-        f.keep_asking(40)
+        f.run_callers(40)
         time.sleep(2)
         limited, since = set_limits(f, 5, count=1)
         time.sleep(PROPAGATION_S + 2 * WINDOW_S)
@@ -119,7 +119,7 @@
         time.sleep(WINDOW_S)
         limited[0].limit = None
         removed_at = time.monotonic()
-        wait_until(lambda: most_within(arrivals(limited[0], removed_at), 2) >= 10, 6)
+        wait_until(lambda: max_in_window(arrivals(limited[0], removed_at), 2) >= 10, 6)
         return "%d used of 40" % used
 
 
@@ -148,7 +148,7 @@
     This happens when the only node that may send to such a VM has no callers.
     """
     with Fleet(nodes=8) as f:
-        f.keep_asking(60, nodes=[0, 1, 2])
+        f.run_callers(60, nodes=[0, 1, 2])
         time.sleep(1.5)
         for worker in f.d.workers:
             worker.limit = 1
--- a/tests/proc_hosted_moves.py
+++ b/tests/proc_hosted_moves.py
@@ -75,7 +75,7 @@
         d.drain(first)
         stream.check_whole()
         assert first.moved == [stream.request]
-        assert [w for w in d.workers if stream.request in w.went_on]
+        assert [w for w in d.workers if stream.request in w.resumed_from_copy]
         resumed = arrivals(d, stream)[-1]
         assert resumed.get("Kv-From").startswith(first.addr + "/")
         assert 0 < int(resumed.get("Last-Event-Id")) < EVENTS
@@ -93,7 +93,7 @@
         first.move_fault = fault
         d.drain(first)
         stream.check_whole()
-        assert not [w for w in d.workers if w.went_on]
+        assert not [w for w in d.workers if w.resumed_from_copy]
         return d, first, arrivals(d, stream)
 
 
@@ -108,7 +108,7 @@
         first.move_fault = "full"
         d.drain(first)
         stream.check_whole()
-        assert first.went_on == [stream.request]
+        assert first.resumed_from_copy == [stream.request]
         assert len(arrivals(d, stream)) == 2
 
 
@@ -122,7 +122,7 @@
         first = wait_begun(d, stream)
         d.drain(first)
         stream.check_whole()
-        assert [w for w in d.workers if stream.request in w.went_on]
+        assert [w for w in d.workers if stream.request in w.resumed_from_copy]
         assert sum(w.runs[stream.request] for w in d.workers) == 2  # two parts of a single run
 
 
@@ -162,7 +162,7 @@
         stream = Stream(d)
         first = wait_begun(d, stream)
         for w in d.workers:
-            w.has_copy = lambda req: False
+            w.take_copy = lambda req: False
         d.drain(first)
         stream.check_whole()
         seen = arrivals(d, stream)
@@ -186,8 +186,8 @@
         stream = Stream(d)
         first = wait_begun(d, stream)
         d.drain(first)
-        wait_until(lambda: [w for w in d.workers if w.went_on], 5)
-        second = [w for w in d.workers if w.went_on][0]
+        wait_until(lambda: [w for w in d.workers if w.resumed_from_copy], 5)
+        second = [w for w in d.workers if w.resumed_from_copy][0]
         d.drain(second)
         stream.check_whole()
         assert second.moved == [stream.request]
@@ -207,7 +207,7 @@
         time.sleep(0.2)
         s.close()
         wait_until(lambda: d.gauge(d.nodes[0], "calls_in_hand") == 0, 3)
-        assert not [w for w in d.workers if w.went_on]
+        assert not [w for w in d.workers if w.resumed_from_copy]
 
 
 def prompt_headers(shared):
--- a/tests/proc_hosted_rest.py
+++ b/tests/proc_hosted_rest.py
@@ -27,11 +27,11 @@
 def test_a_vm_that_asks_for_rest_gets_no_calls():
     """Guards against nodes that send to a VM again 100 ms after each refusal."""
     with Fleet(nodes=1, workers=4) as f:
-        f.keep_asking(40, nodes=[0] * 8)
+        f.run_callers(40, nodes=[0] * 8)
         time.sleep(1.5)
         worker = max(f.d.workers, key=lambda w: len(w.seen))
         worker.seen = []
-        worker.rest_s = 3
+        worker.retry_after_s = 3
         began = time.monotonic()
         wait_until(lambda: f.d.gauge(f.d.nodes[0], "vms_resting") == 1, 3)
         time.sleep(7)
@@ -49,8 +49,8 @@
     """
     with Fleet(nodes=1, workers=2) as f:
         for worker in f.d.workers:
-            worker.rest_s = 3
-        f.keep_asking(40, nodes=[0] * 8)
+            worker.retry_after_s = 3
+        f.run_callers(40, nodes=[0] * 8)
         time.sleep(7)
         counts = [arrivals_in_cooldown(w, 3) for w in f.d.workers]
         assert max(counts) <= ALLOWED_ARRIVALS, counts
@@ -65,8 +65,8 @@
     """Guards against a cooldown that is lost when the VM's entry expires and returns."""
     with Fleet(nodes=1, workers=2) as f:
         worker = f.d.workers[0]
-        worker.rest_s = 4
-        f.keep_asking(40, nodes=[0] * 8)
+        worker.retry_after_s = 4
+        f.run_callers(40, nodes=[0] * 8)
         wait_until(lambda: worker.seen)
         f.d.store.drop("servers", worker.id)
         time.sleep(1.2)
@@ -79,8 +79,8 @@
     """Guards against a cooldown without end."""
     with Fleet(nodes=1, workers=2) as f:
         worker = f.d.workers[0]
-        worker.rest_s = 1
-        f.keep_asking(40, nodes=[0] * 8)
+        worker.retry_after_s = 1
+        f.run_callers(40, nodes=[0] * 8)
         wait_until(lambda: worker.seen)
-        worker.rest_s = 0
+        worker.retry_after_s = 0
         wait_until(lambda: worker.runs, 4)
--- a/tests/proc_hosted_rollouts.py
+++ b/tests/proc_hosted_rollouts.py
@@ -85,7 +85,7 @@
     with deployment() as d:
         load = Load(d)
         start = time.monotonic()
-        old, new = d.roll_out("plain", "v2", DURATION_S)
+        old, new = d.start_rollout("plain", "v2", DURATION_S)
         wait_until(lambda: d.rollout_state("plain") == "completed", DURATION_S + 2)
         took = time.monotonic() - start
         time.sleep(1)
@@ -104,7 +104,7 @@
     After the rollback it must get none. Returns the counts as text.
     """
     load = Load(d, targets)
-    old, new = d.roll_out("plain", "v2", DURATION_S, bad)
+    old, new = d.start_rollout("plain", "v2", DURATION_S, bad)
     wait_until(lambda: d.rollout_state("plain") == "rolled_back", DURATION_S + 2)
     time.sleep(0.8)
     got = calls_seen(new)
@@ -137,7 +137,7 @@
     """
     with deployment() as d:
         load = Load(d)
-        old, new = d.roll_out("plain", "v2", DURATION_S, failing_fault(0.5))
+        old, new = d.start_rollout("plain", "v2", DURATION_S, failing_fault(0.5))
         wait_until(lambda: calls_seen(new) > 0, 6)
         wait_until(lambda: samples(d, d.nodes[0], "rollout_phase") ==
                    {("plain", "v2", None): 0}, 2)  # the leader publishes it
@@ -196,7 +196,7 @@
     The node must follow the leader's rollout announcement.
     """
     with deployment() as d:
-        old, new = d.roll_out("plain", "v2", 20.0, failing_fault(1.0), count=1)
+        old, new = d.start_rollout("plain", "v2", 20.0, failing_fault(1.0), count=1)
         wait_until(lambda: d.rollout_state("plain") == "in_progress", 6)
         d.restart_node(1)
         d.wait_ready()
@@ -218,7 +218,7 @@
     Worker.ids = itertools.count(2 ** 20, -1)
     try:
         with deployment() as d:
-            old, new = d.roll_out("plain", "v2", 30.0)
+            old, new = d.start_rollout("plain", "v2", 30.0)
             wait_until(lambda: d.rollout_state("plain") == "in_progress", 6)
             other = (leader_index(d) + 1) % len(d.nodes)
             d.nodes[other].kill()
@@ -239,7 +239,7 @@
     """Guards against a bad version that is kept when the leader is killed during the canary."""
     with deployment() as d:
         load = Load(d)
-        old, new = d.roll_out("plain", "v2", DURATION_S, failing_fault(0.5))
+        old, new = d.start_rollout("plain", "v2", DURATION_S, failing_fault(0.5))
         wait_until(lambda: d.rollout_state("plain") == "in_progress", 6)
         leader = leader_index(d)
         d.nodes[leader].kill()
@@ -260,7 +260,7 @@
     """
     with deployment() as d:
         load = Load(d)
-        old, new = d.roll_out("plain", "v2", 20.0)
+        old, new = d.start_rollout("plain", "v2", 20.0)
         wait_until(lambda: d.rollout_state("plain") == "in_progress", 6)
         leader = leader_index(d)
         epoch = d.store.objects["rillknot-leases"]["duties"]["spec"]["epoch"]
@@ -293,7 +293,7 @@
     """
     with deployment() as d:
         load = Load(d)
-        old, new = d.roll_out("plain", "v2", DURATION_S, failing_fault(0.5))
+        old, new = d.start_rollout("plain", "v2", DURATION_S, failing_fault(0.5))
         wait_until(lambda: d.rollout_state("plain") == "in_progress", 6)
         d.store.fault = lambda req: 503
         time.sleep(4)
@@ -309,7 +309,7 @@
     """Guards against a new version that still gets calls after its rollout was cancelled."""
     with deployment() as d:
         load = Load(d)
-        old, new = d.roll_out("plain", "v2", 20.0)
+        old, new = d.start_rollout("plain", "v2", 20.0)
         wait_until(lambda: calls_seen(new) > 0, 8)
         d.store.drop("rollouts", "plain")
         time.sleep(2)
@@ -328,7 +328,7 @@
     with deployment() as d:
         load = Load(d)
         d.store.fault = lambda req: 503 if "rillknot-rollouts" in req.target else None
-        old, new = d.roll_out("plain", "v2", 20.0)
+        old, new = d.start_rollout("plain", "v2", 20.0)
         time.sleep(1.5)
         d.store.drop("rollouts", "plain")
         time.sleep(2)
@@ -339,7 +339,7 @@
 def test_a_version_without_vms_is_rolled_back_in_time():
     """Guards against a rollout that stays open because no VM of its version starts."""
     with deployment() as d:
-        d.roll_out("plain", "v2", 3.0, count=0)
+        d.start_rollout("plain", "v2", 3.0, count=0)
         wait_until(lambda: d.rollout_state("plain") == "rolled_back", 5)
 
 
@@ -350,7 +350,7 @@
     """
     with deployment(nodes=15) as d:
         load = Load(d, callers=8)
-        old, new = d.roll_out("plain", "v2", DURATION_S, failing_fault(0.5))
+        old, new = d.start_rollout("plain", "v2", DURATION_S, failing_fault(0.5))
         wait_until(lambda: d.rollout_state("plain") == "rolled_back", DURATION_S + 2)
         time.sleep(1.2)
         got, total = calls_seen(new), calls_seen(old) + calls_seen(new)
@@ -360,7 +360,7 @@
         # Retries of calls that failed there may use up a node's share of the retry budget.
         assert set(load.statuses) <= {200, 502}, load.statuses
         load.statuses.clear()
-        d.roll_out("plain", "v3", DURATION_S)
+        d.start_rollout("plain", "v3", DURATION_S)
         wait_until(lambda: d.rollout_state("plain") == "completed", DURATION_S + 2)
         time.sleep(1)
         statuses = load.stop()
@@ -384,7 +384,7 @@
         d.wait_ready()
         time.sleep(0.5)
         load = Load(d, ("/s/x",), callers=8)
-        old, new = d.roll_out("llm", "v2", 9.0)
+        old, new = d.start_rollout("llm", "v2", 9.0)
         wait_until(lambda: d.rollout_state("llm") == "completed", 9.0)
         time.sleep(1)
         statuses = load.stop()
@@ -406,10 +406,10 @@
         d.wait_ready()
         time.sleep(0.5)
         load = Load(d, ("/r/x", "/o/x"))
-        d.roll_out("other", "v2", DURATION_S)
-        old, replaced = d.roll_out("plain", "v2", 30.0)
+        d.start_rollout("other", "v2", DURATION_S)
+        old, replaced = d.start_rollout("plain", "v2", 30.0)
         wait_until(lambda: calls_seen(replaced) > 0, 8)
-        d.roll_out("plain", "v3", DURATION_S)
+        d.start_rollout("plain", "v3", DURATION_S)
         time.sleep(1)
         got = calls_seen(replaced)
         wait_until(lambda: d.rollout_state("plain") == "completed" and
@@ -425,7 +425,7 @@
     with deployment() as d:
         load = Load(d)
         time.sleep(0.5)
-        old, new = d.roll_out("plain", "v2", 0.0)
+        old, new = d.start_rollout("plain", "v2", 0.0)
         wait_until(lambda: d.rollout_state("plain") == "rolled_back", 6)
         time.sleep(0.5)
         statuses = load.stop()
--- a/tests/proc_hosted_signals.py
+++ b/tests/proc_hosted_signals.py
@@ -30,7 +30,7 @@
 def test_a_cooldown_is_logged():
     """Guards against a requested cooldown that is not logged."""
     with Fleet(nodes=1, workers=1) as f:
-        f.d.workers[0].rest_s = 2
+        f.d.workers[0].retry_after_s = 2
         f.ask(0)
         f.d.nodes[0].kill()
         assert event_count(f, 0, "vm.rest") == 1
--- a/tests/proc_reclaim.py
+++ b/tests/proc_reclaim.py
@@ -197,7 +197,7 @@
     within 5 s."""
     with cluster(domains=["klein-hall"], entries=3, engines=0, services=3,
                  platform_cut=True, peer_cuts=True) as c:
-        for name, path in c.platform_path.items():
+        for name, path in c.platform_proxies.items():
             if name != "klein-hall-e0":
                 path.cut()
         c.cuts["klein-hall-e2", "control"].cut()  # no other node can open a link to e2
--- a/tests/proc_settings.py
+++ b/tests/proc_settings.py
@@ -148,12 +148,12 @@
         node = c.entries[-1]
         for e in c.entries:  # the whole failure domain, so that no peer there can help
             if e.domain == node.domain:
-                c.platform_path[e.name].cut()
+                c.platform_proxies[e.name].cut()
         code, out = ctl(c, "settings", "set", "/max_calls=2222")
         assert code == 0, out
         wait_equal(c, 2)  # by gossip from the other failure domains
-        for path in c.platform_path.values():
-            path.mend()
+        for path in c.platform_proxies.values():
+            path.restore()
         code, out = ctl(c, "settings", "set", "/max_calls=2223")
         assert code == 0, out
         wait_equal(c, 3)
--- a/tests/signals.py
+++ b/tests/signals.py
@@ -74,7 +74,7 @@
             self.ask(node, number)
             time.sleep(pause_s)
 
-    def keep_asking(self, per_s, nodes=None):
+    def run_callers(self, per_s, nodes=None):
         """Starts callers that send per_s calls a second in total, evenly to the given
         nodes (default: all), until the fleet stops."""
         nodes = list(nodes or range(len(self.d.nodes)))
@@ -91,7 +91,7 @@
         return sum(a.status == 200 and a.whole for a in answers), len(answers)
 
 
-def most_within(times, window_s):
+def max_in_window(times, window_s):
     """Returns the greatest number of the given times that lie within any window."""
     times = sorted(times)
     return max((sum(at <= t < at + window_s for t in times) for at in times), default=0)
--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -247,7 +247,7 @@
                 pass
         self.conns = []
 
-    def mend(self):
+    def restore(self):
         self.is_cut = False
 
     def close(self):
@@ -297,7 +297,7 @@
         self.cuts = {}
         self.peer_cuts = peer_cuts
         self.platform = self.start("platform", [self.bin("standin-platform")])
-        self.platform_path = {}
+        self.platform_proxies = {}
         self.platform_cut = platform_cut
         self.vms = {}
         for d in self.domains:
@@ -365,9 +365,9 @@
         self._fixed = old
         platform_port = self.platform.port
         if self.platform_cut:
-            if name not in self.platform_path:
-                self.platform_path[name] = CutProxy(self.platform.port)
-            platform_port = self.platform_path[name].port
+            if name not in self.platform_proxies:
+                self.platform_proxies[name] = CutProxy(self.platform.port)
+            platform_port = self.platform_proxies[name].port
         seeds = ["127.0.0.1:%d" % self._advertised(e, "control") for e in list(old)[:3]
                  if e != name]
         conf = {"id": name, "failure_domain": domain,
@@ -491,7 +491,7 @@
             if p.popen.poll() is None:
                 p.kill()
         self._check_sanitizers()
-        for c in list(self.cuts.values()) + list(self.platform_path.values()):
+        for c in list(self.cuts.values()) + list(self.platform_proxies.values()):
             c.close()
 
     def _check_sanitizers(self):
--- a/tools/faultproxy.py
+++ b/tools/faultproxy.py
@@ -132,13 +132,13 @@
         self.addr = "127.0.0.1:%d" % self.sock.getsockname()[1]
         self.loop.call(lambda: self.loop.watch(self.sock, self._accept))
 
-    def harm(self, mode, delay_s=0.0):
+    def set_fault(self, mode, delay_s=0.0):
         """Inject a fault: a mode, and a delay of the data read from now on."""
         self.mode, self.delay_s = mode, delay_s
         if mode == RESET:
             self.loop.call(self._reset)
 
-    def heal(self):
+    def clear_fault(self):
         """End the fault."""
         self.mode, self.delay_s = PASS, 0.0
 
--- a/tools/hosted.py
+++ b/tools/hosted.py
@@ -328,10 +328,10 @@
         self.stops = {}  # threading.Event to stop a running stream, by request id
         self.move_fault = None  # see move()
         self.moved = []  # ids of requests whose KV cache was copied to another worker
-        self.went_on = []  # ids of requests that resumed from a copied KV cache
+        self.resumed_from_copy = []  # ids of requests that resumed from a copied KV cache
         self.limit = None  # accepted requests/s, advertised in each answer
         self.says_leaving = False  # whether each answer advertises that the VM leaves
-        self.rest_s = 0  # if not 0: refuses all requests and asks for this cooldown
+        self.retry_after_s = 0  # if not 0: refuses all requests and asks for this cooldown
         self.stopped = False
         self.born = int(time.time() * 1000)  # start time in ms, the incarnation
         super().__init__()
@@ -366,7 +366,7 @@
         answer_json(conn, 503 if full else 200, {"handle": handle, "made": 1})
         return True
 
-    def has_copy(self, req):
+    def take_copy(self, req):
         """Take the KV cache copy that the request names; return whether it is usable here.
 
         A copy can be used once.
@@ -375,21 +375,21 @@
         ident, addr = Worker.copies.pop(handle, (None, None))
         if ident != req.get("Rillknot-Attempt-Id") or addr != self.addr:
             return False
-        self.went_on.append(ident)
+        self.resumed_from_copy.append(ident)
         return True
 
     def handle(self, req, conn):
         if req.target == "/api/kv-move":
             return self.move(req, conn)
         self.seen.append(req)
-        if req.get("Kv-From") and not self.has_copy(req):
-            return self.shed(req, conn)
+        if req.get("Kv-From") and not self.take_copy(req):
+            return self.refuse_request(req, conn)
         if req.get("Rillknot-Expect-Instance", self.id) != self.id:
             conn.sendall(b"HTTP/1.1 421 Misdirected Request\r\nRillknot-Instance-Id: %s\r\n"
                          b"Content-Length: 0\r\n\r\n" % self.id.encode())
             return True
-        if self.rest_s:
-            return self.shed(req, conn)
+        if self.retry_after_s:
+            return self.refuse_request(req, conn)
         if self.fault:
             result = self.fault(self, req, conn)
             if result is not None:
@@ -421,9 +421,9 @@
                    req.get("Rillknot-Attempt-Id").encode(),
                    self.signature(req).encode(), self.signals(), framing, extra))
 
-    def shed(self, req, conn):
+    def refuse_request(self, req, conn):
         """Refuse a request: 503, declared as not executed."""
-        rest = b"Retry-After: %g\r\n" % self.rest_s if self.rest_s else b""
+        rest = b"Retry-After: %g\r\n" % self.retry_after_s if self.retry_after_s else b""
         conn.sendall(b"HTTP/1.1 503 Service Unavailable\r\nRillknot-Not-Executed: 1\r\n"
                      b"Rillknot-Attempt-Id: %s\r\n%s%sContent-Length: 0\r\n\r\n"
                      % (req.get("Rillknot-Attempt-Id").encode(), self.signals(), rest))
@@ -628,7 +628,7 @@
         self.store.put("servers", worker.id, worker.spec(spot=spot))
         return worker
 
-    def roll_out(self, service, version, duration_s, bad=None, count=None):
+    def start_rollout(self, service, version, duration_s, bad=None, count=None):
         """Order a rollout as an operator does; return the old and the new workers.
 
         Starts workers of the new version beside the old ones, at most count of them; bad
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -332,28 +332,28 @@
     def reload(self, rng):
         self.hosted.nodes[rng.randrange(self.node_count)].signal(signal.SIGHUP)
 
-    def harm(self, proxy, rng, modes):
+    def set_fault(self, proxy, rng, modes):
         """Inject a random fault into the proxy for 0.3 to 4.3 s."""
         mode = rng.choice(modes)
         delay_s = rng.random() * 0.3 if mode == faultproxy.PASS else 0
-        proxy.harm(mode, delay_s)
+        proxy.set_fault(mode, delay_s)
         time.sleep(0.3 + rng.random() * 4)
-        proxy.heal()
+        proxy.clear_fault()
 
     ALL_MODES = (faultproxy.PASS, faultproxy.SILENT, faultproxy.UP_ONLY,
                  faultproxy.DOWN_ONLY, faultproxy.RESET)
 
     def fault_store_path(self, rng):
-        self.harm(rng.choice(self.node_proxies)["store"], rng, self.ALL_MODES)
+        self.set_fault(rng.choice(self.node_proxies)["store"], rng, self.ALL_MODES)
 
     def fault_cloud_path(self, rng):
-        self.harm(rng.choice(self.node_proxies)["cloud"], rng, self.ALL_MODES)
+        self.set_fault(rng.choice(self.node_proxies)["cloud"], rng, self.ALL_MODES)
 
     def fault_peer_path(self, rng):
-        self.harm(rng.choice(self.node_proxies)["control"], rng, self.ALL_MODES)
+        self.set_fault(rng.choice(self.node_proxies)["control"], rng, self.ALL_MODES)
 
     def fault_worker_path(self, rng):
-        self.harm(rng.choice(list(self.worker_proxies.values())), rng, self.ALL_MODES)
+        self.set_fault(rng.choice(list(self.worker_proxies.values())), rng, self.ALL_MODES)
 
     def fault_store(self, rng):
         store, how = self.hosted.store, rng.choice([503, 429, "reset", "silent", "lost"])
@@ -414,9 +414,9 @@
         worker = self.choose_worker(rng)
         if worker is None:
             return
-        worker.rest_s = rng.choice([0.2, 1, 3])
+        worker.retry_after_s = rng.choice([0.2, 1, 3])
         time.sleep(0.3 + rng.random() * 3)
-        worker.rest_s = 0
+        worker.retry_after_s = 0
 
     def advertise_leaving(self, rng):
         """Make a VM advertise in its answers that it leaves; unlist it 3 s later."""
@@ -455,16 +455,16 @@
 
     # ---- checks after the faults ----
 
-    def heal(self):
+    def clear_fault(self):
         """End all faults that are still in effect."""
         self.hosted.store.fault = None
         for path in self.node_proxies:
             for proxy in path.values():
-                proxy.heal()
+                proxy.clear_fault()
         for proxy in self.worker_proxies.values():
-            proxy.heal()
+            proxy.clear_fault()
         for worker in self.hosted.workers:
-            worker.limit, worker.rest_s = None, 0
+            worker.limit, worker.retry_after_s = None, 0
 
     def check_recovery(self):
         """Check that the deployment recovers when all faults have ended.
@@ -517,7 +517,7 @@
             signalling[what] = self.rng.choice(ready)
         signalling["leaving"].says_leaving = True
         signalling["limit"].limit = LIMIT
-        signalling["rest"].rest_s = COOLDOWN_S
+        signalling["rest"].retry_after_s = COOLDOWN_S
         return signalling
 
     def check_signals(self, signalling, since):
@@ -592,7 +592,7 @@
             for thread in callers:
                 thread.start()
             self.inject_faults()
-            self.heal()
+            self.clear_fault()
             self.check_recovery()
         finally:
             self.stop.set()
