--- a/cloud/duties.h
+++ b/cloud/leader_api.h
@@ -2,8 +2,8 @@
  * leader, may make at a time: usage reports and VM counts. Each call carries the
  * leader's name and its fencing token, by which the platform rejects an outdated
  * leader. A platform driver implements the operations. Loop thread only. */
-#ifndef RK_CLOUD_DUTIES_H
-#define RK_CLOUD_DUTIES_H
+#ifndef RK_CLOUD_LEADER_API_H
+#define RK_CLOUD_LEADER_API_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/control/state.h
+++ b/control/state.h
@@ -5,7 +5,7 @@
 
 #include "common/loop.h"
 #include "control/control.h"
-#include "core/changes.h"
+#include "core/changelog.h"
 #include "core/claims.h"
 #include "core/config.h"
 #include "core/members.h"
--- a/control/vms_sync.c
+++ b/control/vms_sync.c
@@ -9,7 +9,7 @@
 #include "common/eventlog.h"
 #include "control/state.h"
 #include "core/shards.h"
-#include "engines/side.h"
+#include "engines/management.h"
 #include "vmlist/vmlist.h"
 
 #define WATCH_WAIT_MS           25000 /* longest time that a watch waits */
--- a/core/trial.c
+++ b/core/canary.c
@@ -1,4 +1,4 @@
-#include "core/trial.h"
+#include "core/canary.h"
 
 #include <math.h>
 #include <string.h>
--- a/core/trial.h
+++ b/core/canary.h
@@ -7,8 +7,8 @@
  * the share of failed calls and on the logarithm of their latency, per route and
  * over all routes. The results of the old version over the same time take the
  * place of the known parameter, and their uncertainty widens the variance. */
-#ifndef RK_CORE_TRIAL_H
-#define RK_CORE_TRIAL_H
+#ifndef RK_CORE_CANARY_H
+#define RK_CORE_CANARY_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/core/changes.c
+++ b/core/changelog.c
@@ -1,4 +1,4 @@
-#include "core/changes.h"
+#include "core/changelog.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/core/changes.h
+++ b/core/changelog.h
@@ -9,8 +9,8 @@
  *
  * null removes a value or a whole node; an object replaces a node. base is the head
  * of the tree that the author edited. */
-#ifndef RK_CORE_CHANGES_H
-#define RK_CORE_CHANGES_H
+#ifndef RK_CORE_CHANGELOG_H
+#define RK_CORE_CHANGELOG_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/core/completion.c
+++ b/core/completion.c
@@ -4,7 +4,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-#include "core/prefix.h"
+#include "core/prefix_index.h"
 
 #define MAX_TOKENS_LIMIT 1000000 /* of a request's "max_tokens" */
 
--- a/core/engine.c
+++ b/core/engine_model.c
@@ -1,4 +1,4 @@
-#include "core/engine.h"
+#include "core/engine_model.h"
 
 #include <math.h>
 #include <string.h>
--- a/core/engine.h
+++ b/core/engine_model.h
@@ -7,8 +7,8 @@
  * Identification", 1999, ch. 11). Huber's weights (1964) limit the effect of
  * outliers such as frozen VMs. Ridge regularisation pulls the estimate towards a
  * prior, which is the estimate of peers where they have reported one. */
-#ifndef RK_CORE_ENGINE_H
-#define RK_CORE_ENGINE_H
+#ifndef RK_CORE_ENGINE_MODEL_H
+#define RK_CORE_ENGINE_MODEL_H
 
 #include <stdbool.h>
 
--- a/core/rank.c
+++ b/core/engine_rank.c
@@ -1,4 +1,4 @@
-#include "core/rank.h"
+#include "core/engine_rank.h"
 
 /* Unread prompt tokens that raise the rank by one. */
 #define TOKENS_PER_STEP 1500
--- a/core/rank.h
+++ b/core/engine_rank.h
@@ -5,8 +5,8 @@
  * the promised ranks: a long prompt would delay short calls behind it for longer
  * than is acceptable, while it is hardly delayed when they overtake it. No I/O,
  * no state. */
-#ifndef RK_CORE_RANK_H
-#define RK_CORE_RANK_H
+#ifndef RK_CORE_ENGINE_RANK_H
+#define RK_CORE_ENGINE_RANK_H
 
 #define RK_ENGINE_RANK_MAX 9 /* least urgent rank that engines support */
 
--- a/core/events.c
+++ b/core/event_splitter.c
@@ -1,4 +1,4 @@
-#include "core/events.h"
+#include "core/event_splitter.h"
 
 #include <string.h>
 
--- a/core/events.h
+++ b/core/event_splitter.h
@@ -1,8 +1,8 @@
 /* Splits a stream of server-sent events into whole events and keeps their bytes
  * unchanged. As a caller gets only whole events, its answer can be continued at
  * another VM after the last of them. Does no I/O. */
-#ifndef RK_CORE_EVENTS_H
-#define RK_CORE_EVENTS_H
+#ifndef RK_CORE_EVENT_SPLITTER_H
+#define RK_CORE_EVENT_SPLITTER_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/core/admit.c
+++ b/core/fair_queue.c
@@ -1,4 +1,4 @@
-#include "core/admit.h"
+#include "core/fair_queue.h"
 
 #include <assert.h>
 #include <stdlib.h>
--- a/core/admit.h
+++ b/core/fair_queue.h
@@ -7,8 +7,8 @@
  * meet its deadline is refused when it arrives, and its caller is told when to
  * retry. One queue per service and traffic thread; does no I/O, and time comes from
  * the caller. */
-#ifndef RK_CORE_ADMIT_H
-#define RK_CORE_ADMIT_H
+#ifndef RK_CORE_FAIR_QUEUE_H
+#define RK_CORE_FAIR_QUEUE_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/core/jsonlines.c
+++ b/core/json_lines.c
@@ -1,4 +1,4 @@
-#include "core/jsonlines.h"
+#include "core/json_lines.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/jsonlines.h
+++ b/core/json_lines.h
@@ -2,8 +2,8 @@
  * wrong setting can name its line: json-c keeps no positions. Also finds duplicate
  * keys, which json-c accepts. Paths are "/a/b" for key "b" in the object of key
  * "a". */
-#ifndef RK_CORE_JSONLINES_H
-#define RK_CORE_JSONLINES_H
+#ifndef RK_CORE_JSON_LINES_H
+#define RK_CORE_JSON_LINES_H
 
 #include <stddef.h>
 
--- a/core/names.c
+++ b/core/name_index.c
@@ -1,4 +1,4 @@
-#include "core/names.h"
+#include "core/name_index.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/names.h
+++ b/core/name_index.h
@@ -1,8 +1,8 @@
 /* Hash index over an array of rows that each begin with their name, for look-ups in
  * constant time. The caller owns the rows. Rows are only added: they are removed
  * all at once, by rk_name_index_clear(). */
-#ifndef RK_CORE_NAMES_H
-#define RK_CORE_NAMES_H
+#ifndef RK_CORE_NAME_INDEX_H
+#define RK_CORE_NAME_INDEX_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/core/org_uses.c
+++ b/core/org_usage.c
@@ -1,4 +1,4 @@
-#include "core/org_uses.h"
+#include "core/org_usage.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/org_uses.h
+++ b/core/org_usage.h
@@ -3,21 +3,21 @@
  * of organisations in any second. When each node of a domain sent all records to
  * its bridge four times a second, the bridge had little time for anything else.
  * Pure: no I/O, no clock. */
-#ifndef RK_CORE_ORG_USES_H
-#define RK_CORE_ORG_USES_H
+#ifndef RK_CORE_ORG_USAGE_H
+#define RK_CORE_ORG_USAGE_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
 #include "common/util.h"
-#include "core/names.h"
+#include "core/name_index.h"
 #include "core/quota.h"
-#include "core/tally.h"
+#include "core/totals.h"
 
 /* Usage of one organisation since the start of the reporting node, in quota
  * units. */
 struct rk_org_use {
-    char org[RK_ID_MAX]; /* must be first: see core/names.h */
+    char org[RK_ID_MAX]; /* must be first: see core/name_index.h */
     double units;
     double demand_per_s; /* units/s requested by callers, refused calls included */
     /* Units that all nodes used within the quota window, as far as the reporting
--- a/core/place.h
+++ b/core/place.h
@@ -15,7 +15,7 @@
 
 #include "common/util.h"
 #include "core/rollout.h"
-#include "core/speeds.h"
+#include "core/service_speed.h"
 #include "core/vm_signals.h"
 
 /* Most prompt segments of a query, and most VMs that it can exclude. */
--- a/core/place_impl.h
+++ b/core/place_impl.h
@@ -1,5 +1,5 @@
 /* Internal state of the placement, shared by place.c, place_jobs.c,
- * place_loads.c, place_signals.c and place_versions.c. Not to be included by
+ * place_loads.c, place_signals.c and place_rollouts.c. Not to be included by
  * other files. */
 #ifndef RK_CORE_PLACE_IMPL_H
 #define RK_CORE_PLACE_IMPL_H
--- a/core/prefix.c
+++ b/core/prefix_index.c
@@ -1,4 +1,4 @@
-#include "core/prefix.h"
+#include "core/prefix_index.h"
 
 #include <ctype.h>
 #include <stdlib.h>
--- a/core/prefix.h
+++ b/core/prefix_index.h
@@ -5,8 +5,8 @@
  * The cache of a VM is modelled by the number of tokens prefilled there: a block
  * is assumed to be evicted once as many tokens as the cache holds were prefilled
  * after its last use. Does no I/O; each traffic thread has its own index. */
-#ifndef RK_CORE_PREFIX_H
-#define RK_CORE_PREFIX_H
+#ifndef RK_CORE_PREFIX_INDEX_H
+#define RK_CORE_PREFIX_INDEX_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/core/procfile.c
+++ b/core/procfile.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/jsonlines.h"
+#include "core/json_lines.h"
 
 #define MAX_FILE_BYTES (4 * 1024 * 1024)
 
--- a/core/quota.h
+++ b/core/quota.h
@@ -12,7 +12,7 @@
 #include <stdint.h>
 
 #include "common/util.h"
-#include "core/names.h"
+#include "core/name_index.h"
 
 /* One bucket more than a window, as the oldest bucket lies only partly within
  * it. */
@@ -23,7 +23,7 @@
 
 /* Usage and demand of one organisation. */
 struct rk_quota_org {
-    char name[RK_ID_MAX];          /* must be first: see core/names.h */
+    char name[RK_ID_MAX];          /* must be first: see core/name_index.h */
     double used[RK_QUOTA_BUCKETS]; /* units used by all nodes, per bucket */
     double own[RK_QUOTA_BUCKETS];  /* units admitted by this node, part of used */
     int64_t bucket;                /* number of the newest bucket */
--- a/core/returning.c
+++ b/core/read_delay.c
@@ -1,4 +1,4 @@
-#include "core/returning.h"
+#include "core/read_delay.h"
 
 #define INTERVAL_MS 4.0 /* between the reads of two nodes */
 /* By then the nodes that read first have sent the state to the others. */
--- a/core/returning.h
+++ b/core/read_delay.h
@@ -6,8 +6,8 @@
  * at once: those with the largest machines, as they become bridges (the relay nodes
  * of their failure domains). The others delay their read, and most of them receive
  * the state from peers before that. Pure: no I/O, no clock. */
-#ifndef RK_CORE_RETURNING_H
-#define RK_CORE_RETURNING_H
+#ifndef RK_CORE_READ_DELAY_H
+#define RK_CORE_READ_DELAY_H
 
 #include <stdint.h>
 
--- a/core/budget.h
+++ b/core/retry_budget.h
@@ -2,8 +2,8 @@
  * burst, instead of a count per call, so that retries can't amplify an overload.
  * Does no I/O and reads no clock. A zeroed struct rk_retry_budget is a valid start.
  */
-#ifndef RK_CORE_BUDGET_H
-#define RK_CORE_BUDGET_H
+#ifndef RK_CORE_RETRY_BUDGET_H
+#define RK_CORE_RETRY_BUDGET_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/core/rollout.h
+++ b/core/rollout.h
@@ -13,7 +13,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "core/trial.h"
+#include "core/canary.h"
 
 #define RK_ROLLOUTS 4 /* services rolled out at the same time, at most */
 /* All calls, in the unit of shares: hundredths of a percent. */
--- a/core/router.h
+++ b/core/router.h
@@ -18,10 +18,10 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "core/admit.h"
+#include "core/fair_queue.h"
 #include "core/config.h"
 #include "core/members.h"
-#include "core/prefix.h"
+#include "core/prefix_index.h"
 
 #define RK_ROUTER_MAX_VMS      512 /* in the node's own failure domain */
 #define RK_ROUTER_MAX_EXCLUDED 8   /* VMs that a job can exclude */
--- a/core/router_impl.h
+++ b/core/router_impl.h
@@ -1,5 +1,6 @@
 /* Internal state of the router, shared by router.c (rows and the lifecycle of
- * jobs) and choice.c (choice of the VM). Not to be included by other files. */
+ * jobs) and router_choice.c (choice of the VM). Not to be included by other files.
+ */
 #ifndef RK_CORE_ROUTER_IMPL_H
 #define RK_CORE_ROUTER_IMPL_H
 
@@ -81,14 +82,14 @@
                                             const struct rk_job *job);
 
 /* Returns the VM for a job, or -1 if the job has to wait. Fills r->cached for
- * prompts. In choice.c. */
+ * prompts. In router_choice.c. */
 int rk_router_choose(struct rk_router *r, struct rk_job *job, int64_t now_ms);
 
 /* Returns the calls at a VM: those of this router and, discounted by the age of the
- * load row, all others. In choice.c. */
+ * load row, all others. In router_choice.c. */
 double rk_router_load(const struct vm *v, int64_t now_ms);
 
-/* Returns true if the job excludes the VM. In choice.c. */
+/* Returns true if the job excludes the VM. In router_choice.c. */
 bool rk_router_is_excluded(const struct rk_job *job, int vm);
 
 #endif
--- a/core/routes.h
+++ b/core/routes.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 #include "common/status.h"
-#include "core/names.h"
+#include "core/name_index.h"
 #include "common/util.h"
 
 #define RK_ROUTE_SHARES_MAX  8   /* services of a route */
--- a/core/speeds.c
+++ b/core/service_speed.c
@@ -1,4 +1,4 @@
-#include "core/speeds.h"
+#include "core/service_speed.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/core/speeds.h
+++ b/core/service_speed.h
@@ -2,15 +2,15 @@
  * of a service as a whole, and the health of each VM relative to it, which shows
  * VMs that are slow, cold or of another hardware generation. No I/O; times are
  * passed in. */
-#ifndef RK_CORE_SPEEDS_H
-#define RK_CORE_SPEEDS_H
+#ifndef RK_CORE_SERVICE_SPEED_H
+#define RK_CORE_SERVICE_SPEED_H
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
 #include "common/util.h"
-#include "core/engine.h"
+#include "core/engine_model.h"
 
 /* Speed of a service. */
 struct rk_service_speed {
--- a/core/settings.c
+++ b/core/settings.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "common/util.h"
-#include "core/jsonlines.h"
+#include "core/json_lines.h"
 
 #define SVC     RK_SEC_SERVICES
 #define ORG     RK_SEC_ORGANISATIONS
--- a/core/holding.c
+++ b/core/sizing.c
@@ -1,4 +1,4 @@
-#include "core/holding.h"
+#include "core/sizing.h"
 
 #include <math.h>
 #include <stdbool.h>
--- a/core/holding.h
+++ b/core/sizing.h
@@ -9,8 +9,8 @@
  * While no reclaimable VMs can be had, those still running are not counted as
  * capacity: waves of reclaims go from domain to domain within seconds, and an
  * on-demand VM boots in four seconds. Pure: no I/O, no clock. */
-#ifndef RK_CORE_HOLDING_H
-#define RK_CORE_HOLDING_H
+#ifndef RK_CORE_SIZING_H
+#define RK_CORE_SIZING_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/core/stream.c
+++ b/core/token_stream.c
@@ -1,5 +1,5 @@
 #include "common/json.h"
-#include "core/stream.h"
+#include "core/token_stream.h"
 
 #include <string.h>
 
--- a/core/stream.h
+++ b/core/token_stream.h
@@ -1,8 +1,8 @@
 /* Reading of a model's answer: the parser of the server-sent events in which an
  * engine streams it, and the check by which the caller gets each token once and in
  * order, also when several attempts produce the answer. Does no I/O. */
-#ifndef RK_CORE_STREAM_H
-#define RK_CORE_STREAM_H
+#ifndef RK_CORE_TOKEN_STREAM_H
+#define RK_CORE_TOKEN_STREAM_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/core/tally.c
+++ b/core/totals.c
@@ -1,4 +1,4 @@
-#include "core/tally.h"
+#include "core/totals.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/tally.h
+++ b/core/totals.h
@@ -1,16 +1,16 @@
 /* Running totals by name. Callers add only the rise of what a source reports, so a
  * sum does not jump when a source restarts or takes over from another one. Pure: no
  * I/O, no clock. */
-#ifndef RK_CORE_TALLY_H
-#define RK_CORE_TALLY_H
+#ifndef RK_CORE_TOTALS_H
+#define RK_CORE_TOTALS_H
 
 #include <stddef.h>
 
 #include "common/util.h"
-#include "core/names.h"
+#include "core/name_index.h"
 
 struct rk_totals_row {
-    char name[RK_ID_MAX]; /* must be first: see core/names.h */
+    char name[RK_ID_MAX]; /* must be first: see core/name_index.h */
     double total;
 };
 
--- a/core/usage.h
+++ b/core/usage.h
@@ -8,7 +8,7 @@
 #include <stdint.h>
 
 #include "common/util.h"
-#include "core/tally.h"
+#include "core/totals.h"
 
 /* One node's count. node: hash of its id and incarnation, or RK_USAGE_PERSISTED for
  * a persisted record of what all nodes had counted, which survives a kill of all
--- a/core/following.c
+++ b/core/watch_policy.c
@@ -1,4 +1,4 @@
-#include "core/following.h"
+#include "core/watch_policy.h"
 
 /* Nodes that start together wait this long for updates from peers. Callers
  * arrive 10 s later. */
--- a/core/following.h
+++ b/core/watch_policy.h
@@ -3,8 +3,8 @@
  * confirmed as current for a while; the nodes that come first in the domain's order
  * start sooner. This way few nodes load the store, and changes still arrive when
  * those nodes are killed, frozen or refused by the store. No I/O. */
-#ifndef RK_CORE_FOLLOWING_H
-#define RK_CORE_FOLLOWING_H
+#ifndef RK_CORE_WATCH_POLICY_H
+#define RK_CORE_WATCH_POLICY_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -45,7 +45,7 @@
  * ranks before it gets answers from the store. The node's own watch makes its
  * knowledge look current, so it must not stop for that. When it did, a domain of
  * 9 nodes, the first two of which the store refused, got no changes for 0.44 of
- * the time; now it is 0.00 of the time (tests/prop_following.cc). */
+ * the time; now it is 0.00 of the time (tests/prop_watch_policy.cc). */
 bool rk_watch_policy_is_needed(const struct rk_watch_policy_input *f);
 
 #endif
--- a/engines/attempt.c
+++ b/engines/attempt.c
@@ -10,7 +10,7 @@
 #include "common/loop.h"
 #include "common/retry_after.h"
 #include "common/util.h"
-#include "core/stream.h"
+#include "core/token_stream.h"
 
 #define URL_MAX    256
 #define HEADER_MAX 96
--- a/engines/attempt.h
+++ b/engines/attempt.h
@@ -1,7 +1,7 @@
 /* One attempt to run a completion at one model engine. Sends the request, reads
  * the streamed response, checks that every chunk belongs to this request, and
- * reports the chunks and the end. core/stream.h decides which tokens the caller
- * still needs. Loop thread only. */
+ * reports the chunks and the end. core/token_stream.h decides which tokens the
+ * caller still needs. Loop thread only. */
 #ifndef RK_ENGINES_ATTEMPT_H
 #define RK_ENGINES_ATTEMPT_H
 
--- a/engines/side.c
+++ b/engines/management.c
@@ -1,4 +1,4 @@
-#include "engines/side.h"
+#include "engines/management.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/engines/side.h
+++ b/engines/management.h
@@ -1,8 +1,8 @@
 /* Client of the engines' management endpoints: load reports, transfer of KV caches
  * and fenced orders. Calls are asynchronous; a callback runs exactly once, never
  * before the call returns. Loop thread only. */
-#ifndef RK_ENGINES_SIDE_H
-#define RK_ENGINES_SIDE_H
+#ifndef RK_ENGINES_MANAGEMENT_H
+#define RK_ENGINES_MANAGEMENT_H
 
 #include <stdint.h>
 
--- a/node/duties.c
+++ b/node/leader.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cloud/duties.h"
+#include "cloud/leader_api.h"
 #include "common/eventlog.h"
 #include "core/lease.h"
 #include "node/state.h"
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -5,7 +5,7 @@
 #define RK_NODE_MESH_IMPL_H
 
 #include "core/send_budget.h"
-#include "core/tally.h"
+#include "core/totals.h"
 #include "node/state.h"
 
 /* Up to this many nodes form a full mesh ("direct"): each reports to each. In a
@@ -272,7 +272,7 @@
 /* Applies a member's report. Returns false if it is from a past incarnation. */
 bool rk_report_receive(struct member *k, const Rillknot__NodeReport *r);
 
-/* ---- report_uses.c: quota usage in reports ---- */
+/* ---- report_quota_usage.c: quota usage in reports ---- */
 
 void rk_report_fill_uses(struct rk_report *p, struct rk_mesh *m,
                          const struct rk_relay_report *r);
@@ -294,7 +294,7 @@
  * bridges of its domain count it; the other nodes count their digests. */
 bool rk_report_is_counted(const struct member *k);
 
-/* ---- usage_tell.c: counts of calls by window ---- */
+/* ---- usage_messages.c: counts of calls by window ---- */
 
 /* Adds this node's counts to its report if they are due. */
 void rk_usage_fill_report(struct rk_report *p, struct rk_mesh *m);
@@ -303,7 +303,7 @@
 /* At a bridge: sends the counts of its domain to the leader if they are due. */
 void rk_usage_send_to_leader(struct rk_mesh *m, int64_t now_ms);
 
-/* ---- tell.c: settings and whole VM lists, sent to one peer at a time ---- */
+/* ---- transfer.c: settings and whole VM lists, sent to one peer at a time ---- */
 
 /* Returns the bytes that wait on this machine, on all links. */
 size_t rk_mesh_waiting_bytes(const struct rk_mesh *m);
@@ -358,7 +358,7 @@
                                           const char *service, bool fleet);
 void rk_engines_fill(const struct rk_mesh *m, struct rk_relay_peers *p);
 
-/* ---- digest.c: received digests ---- */
+/* ---- digest_receive.c: received digests ---- */
 
 /* Stores a digest of k. Returns true if it was counted, so that the relay needs an
  * update. */
@@ -377,7 +377,7 @@
  * this node's own domain. */
 bool rk_digest_is_counted(const struct member *k, int64_t now_ms);
 
-/* ---- digest_tell.c: sent digests ---- */
+/* ---- digest_send.c: sent digests ---- */
 
 /* At a bridge: sends a round of digests if it is due. */
 void rk_digest_send(struct rk_mesh *m);
@@ -388,7 +388,7 @@
 /* Starts counting as a bridge: sets all baselines to what has been used so far. */
 void rk_digest_start_counting(struct rk_mesh *m);
 
-/* ---- rollout_tell.c: rollout announcements and canary statistics ---- */
+/* ---- rollout_messages.c: rollout announcements and canary statistics ---- */
 
 void rk_rollout_receive_announcement(struct rk_mesh *m,
                                      const Rillknot__RolloutWord *msg);
@@ -396,17 +396,18 @@
 /* Sends canary statistics, if due, to the nodes that sum them. */
 void rk_rollout_send_stats(struct rk_mesh *m, int64_t now_ms);
 
-/* ---- quarantine_tell.c: requests under which VMs ended ---- */
+/* ---- quarantine_messages.c: requests under which VMs ended ---- */
 
 void rk_quarantine_send(struct rk_mesh *m, int64_t now_ms);
 void rk_quarantine_receive(struct rk_mesh *m, const Rillknot__Quarantine *msg);
 
-/* ---- signal_tell.c: signals that VMs advertise in their answers ---- */
+/* ---- signal_messages.c: signals that VMs advertise in their answers ---- */
 
 void rk_signal_send(struct rk_mesh *m, int64_t now_ms);
 void rk_signal_receive(struct rk_mesh *m, const Rillknot__VmSignals *msg);
 
-/* ---- enrol.c: registers this node in the store's node list and reads the list */
+/* ---- registration.c: registers this node in the store's node list and reads the
+ * list */
 
 void rk_registration_init(struct rk_mesh *m);
 void rk_registration_start(struct rk_mesh *m);
--- a/node/node.c
+++ b/node/node.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "callers/server.h"
-#include "cloud/duties.h"
+#include "cloud/leader_api.h"
 #include "common/counters.h"
 #include "common/eventlog.h"
 #include "common/http.h"
--- a/node/orders.c
+++ b/node/orders.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cloud/duties.h"
+#include "cloud/leader_api.h"
 #include "common/eventlog.h"
-#include "core/holding.h"
+#include "core/sizing.h"
 #include "core/reclaims.h"
 #include "node/state.h"
 
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cloud/duties.h"
+#include "cloud/leader_api.h"
 #include "common/eventlog.h"
 #include "node/rollouts_impl.h"
 #include "objects/store.h"
--- a/node/rollouts_impl.h
+++ b/node/rollouts_impl.h
@@ -1,10 +1,10 @@
 /* State of rollouts, shared by rollouts.c (announcements, and the versions that may
- * be used), rollouts_hold.c (the rollouts that the leader runs) and
+ * be used), rollouts_leader.c (the rollouts that the leader runs) and
  * rollout_metrics.c. Private to these files; control thread only. */
 #ifndef RK_NODE_ROLLOUTS_IMPL_H
 #define RK_NODE_ROLLOUTS_IMPL_H
 
-#include "node/follow.h"
+#include "node/store_watch.h"
 #include "node/state.h"
 
 #define RK_ROLLOUTS_MAX_SERVICES 32
@@ -57,7 +57,7 @@
 const char *rk_rollouts_previous_version(const struct rk_rollouts *r,
                                          const char *service, const char *version);
 
-/* ---- rollouts_hold.c ---- */
+/* ---- rollouts_leader.c ---- */
 
 void rk_rollouts_init_order_watch(struct rk_rollouts *r);
 /* Drops all runs and lists the orders anew, as this node has just become leader. */
--- a/node/rollouts_hold.c
+++ b/node/rollouts_leader.c
@@ -7,7 +7,7 @@
 
 #include "common/eventlog.h"
 #include "common/json.h"
-#include "core/holding.h"
+#include "core/sizing.h"
 #include "node/rollouts_impl.h"
 #include "objects/store.h"
 
--- a/node/state.h
+++ b/node/state.h
@@ -5,7 +5,7 @@
 
 #include "common/loop.h"
 #include "core/procfile.h"
-#include "core/returning.h"
+#include "core/read_delay.h"
 #include "core/usage.h"
 #include "node/platform.h"
 #include "peers/peers.pb-c.h"
@@ -179,7 +179,7 @@
 /* Tracks demand without ordering. */
 void rk_orders_track_demand(struct rk_orders *o);
 
-/* ---- remember.c: state that has to survive a kill of all nodes at once ---- */
+/* ---- persist.c: state that has to survive a kill of all nodes at once ---- */
 
 struct rk_persist;
 struct rk_persist *rk_persist_create(struct rk_node *n);
@@ -195,7 +195,7 @@
  * be read, or need not be, as this is the deployment's first start. */
 bool rk_persist_is_read(const struct rk_persist *m);
 
-/* ---- returning.c: the read delay of a restarted node ---- */
+/* ---- read_delay.c: the read delay of a restarted node ---- */
 
 struct json_object;
 /* Starts a read delay of limited length, until the fleet's size is known. */
@@ -286,7 +286,7 @@
 /* Appends the metrics of rollouts in Prometheus' text format. */
 void rk_rollouts_render(const struct rk_rollouts *r, struct rk_buf *out);
 
-/* ---- duties.c: the leader's lease, usage reports and orders for VMs ---- */
+/* ---- leader.c: the leader's lease, usage reports and orders for VMs ---- */
 
 struct rk_leader *rk_leader_create(struct rk_node *n);
 void rk_leader_destroy(struct rk_leader *k);
--- a/node/follow.c
+++ b/node/store_watch.c
@@ -1,7 +1,7 @@
-#include "node/follow.h"
+#include "node/store_watch.h"
 
 #include "common/eventlog.h"
-#include "core/following.h"
+#include "core/watch_policy.h"
 
 /* Duration of a watch while the store doesn't answer. It is short, so that the end
  * of the watch soon shows that the store has recovered. */
--- a/node/follow.h
+++ b/node/store_watch.h
@@ -2,8 +2,8 @@
  * polls ("watches") for changes since its revision. A watch that is cut off,
  * doesn't return in time or has lost its history is started again. Control thread
  * only. */
-#ifndef RK_NODE_FOLLOW_H
-#define RK_NODE_FOLLOW_H
+#ifndef RK_NODE_STORE_WATCH_H
+#define RK_NODE_STORE_WATCH_H
 
 #include "common/loop.h"
 #include "node/state.h"
--- a/node/sync.c
+++ b/node/sync.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 #include "common/eventlog.h"
-#include "core/following.h"
+#include "core/watch_policy.h"
 #include "node/sync_impl.h"
 
 /* In a large fleet, least time from an answer with changes to the next watch. */
--- a/node/sync_impl.h
+++ b/node/sync_impl.h
@@ -4,7 +4,7 @@
 #ifndef RK_NODE_SYNC_IMPL_H
 #define RK_NODE_SYNC_IMPL_H
 
-#include "node/follow.h"
+#include "node/store_watch.h"
 #include "node/state.h"
 
 /* Number of removed VMs that are recorded for peers: enough for the loss of the
--- a/operators/session.c
+++ b/operators/settings_session.c
@@ -1,4 +1,4 @@
-#include "operators/session.h"
+#include "operators/settings_session.h"
 
 #include <curl/curl.h>
 #include <inttypes.h>
--- a/operators/session.h
+++ b/operators/settings_session.h
@@ -1,13 +1,13 @@
 /* A command-line tool's access to the settings: reads the change log from the
  * platform, validates a change against the newest tree, and commits it. All calls
  * block; nodes don't use this module. */
-#ifndef RK_OPERATORS_SESSION_H
-#define RK_OPERATORS_SESSION_H
+#ifndef RK_OPERATORS_SETTINGS_SESSION_H
+#define RK_OPERATORS_SETTINGS_SESSION_H
 
 #include <stdint.h>
 
 #include "common/status.h"
-#include "core/changes.h"
+#include "core/changelog.h"
 
 struct rk_session;
 struct rk_buf;
--- a/programs/ctl.c
+++ b/programs/ctl.c
@@ -13,7 +13,7 @@
 #include "common/util.h"
 #include "core/procfile.h"
 #include "core/settings.h"
-#include "operators/session.h"
+#include "operators/settings_session.h"
 
 enum exit_code {
     EXIT_OK = 0,
--- a/programs/replay.c
+++ b/programs/replay.c
@@ -26,7 +26,7 @@
 
 #include "common/json.h"
 #include "common/util.h"
-#include "core/budget.h"
+#include "core/retry_budget.h"
 #include "core/config.h"
 #include "core/members.h"
 #include "core/router.h"
--- a/serve/attempts.c
+++ b/serve/exchange_attempts.c
@@ -8,7 +8,7 @@
 #include "common/counters.h"
 #include "common/eventlog.h"
 #include "engines/attempt.h"
-#include "engines/side.h"
+#include "engines/management.h"
 #include "serve/exchange_impl.h"
 #include "services/attempt.h"
 
--- a/serve/exchange_impl.h
+++ b/serve/exchange_impl.h
@@ -1,11 +1,12 @@
-/* Internals of an exchange, shared by exchange.c, attempts.c and placement.c: its
- * struct and the steps that one file calls in another. Traffic thread only. */
+/* Internals of an exchange, shared by exchange.c, exchange_attempts.c and
+ * exchange_placement.c: its struct and the steps that one file calls in another.
+ * Traffic thread only. */
 #ifndef RK_SERVE_EXCHANGE_IMPL_H
 #define RK_SERVE_EXCHANGE_IMPL_H
 
 #include "common/loop.h"
 #include "core/completion.h"
-#include "core/stream.h"
+#include "core/token_stream.h"
 #include "serve/exchange.h"
 #include "serve/traffic.h"
 
@@ -93,24 +94,26 @@
 /* exchange.c: claims the call if that is required, else queues it. */
 void rk_exchange_claim_or_queue(struct rk_exchange *x);
 
-/* attempts.c: handles a failed attempt at an upstream: the call is retried,
- * resumed, rerouted or ended. detail is copied. */
+/* exchange_attempts.c: handles a failed attempt at an upstream: the call is
+ * retried, resumed, rerouted or ended. detail is copied. */
 void rk_exchange_attempt_failed(struct rk_exchange *x,
                                 const struct rk_attempt_end *end,
                                 const char *detail);
 
-/* placement.c: queues the call here. When the router refuses it for want of a VM or
- * of time, it is forwarded to another failure domain or ended. */
+/* exchange_placement.c: queues the call here. When the router refuses it for want
+ * of a VM or of time, it is forwarded to another failure domain or ended. */
 void rk_exchange_queue(struct rk_exchange *x);
 
-/* placement.c: handles a call that no VM of this failure domain can take. It is
- * forwarded to another domain with spare capacity. Failing that, a repeatable call
- * may go again to VMs that failed it, if reached is true (the failed VM had been
- * reached). Otherwise the call ends now instead of waiting for its deadline. */
+/* exchange_placement.c: handles a call that no VM of this failure domain can take.
+ * It is forwarded to another domain with spare capacity. Failing that, a repeatable
+ * call may go again to VMs that failed it, if reached is true (the failed VM had
+ * been reached). Otherwise the call ends now instead of waiting for its deadline.
+ */
 void rk_exchange_reroute(struct rk_exchange *x, bool reached);
 
-/* placement.c: forwards the call to a peer. to_owner: the peer is the owner of the
- * key's shard and is to claim the key. Returns false if nothing was sent. */
+/* exchange_placement.c: forwards the call to a peer. to_owner: the peer is the
+ * owner of the key's shard and is to claim the key. Returns false if nothing was
+ * sent. */
 bool rk_exchange_forward(struct rk_exchange *x, const struct rk_member *peer,
                          bool to_owner);
 
--- a/serve/relay.h
+++ b/serve/relay.h
@@ -10,13 +10,13 @@
 #include <stdint.h>
 
 #include "core/dialect.h"
-#include "core/engine.h"
+#include "core/engine_model.h"
 #include "core/place.h"
 #include "core/quarantine.h"
-#include "core/org_uses.h"
+#include "core/org_usage.h"
 #include "core/quota.h"
 #include "core/routes.h"
-#include "core/tally.h"
+#include "core/totals.h"
 #include "core/usage.h"
 
 struct rk_relay;
--- a/serve/relay_call.c
+++ b/serve/relay_call.c
@@ -9,7 +9,7 @@
 #include "callers/server.h"
 #include "common/counters.h"
 #include "common/http1.h"
-#include "core/rank.h"
+#include "core/engine_rank.h"
 
 /* Bytes of the headers and of the body of an error answer. */
 #define LINE_MAX_LEN              192
--- a/serve/relay_call.h
+++ b/serve/relay_call.h
@@ -4,8 +4,8 @@
 #define RK_SERVE_RELAY_CALL_H
 
 #include "common/loop.h"
-#include "core/budget.h"
-#include "core/events.h"
+#include "core/retry_budget.h"
+#include "core/event_splitter.h"
 #include "core/quarantine.h"
 #include "core/quota.h"
 #include "serve/relay.h"
@@ -65,9 +65,9 @@
 /* Ends the call and its connections because the relay shuts down. */
 void rk_relay_call_abort(struct rk_relay_call *call);
 
-/* relay_suspect.c: cancels quarantined calls that wait at engines. */
+/* relay_quarantine.c: cancels quarantined calls that wait at engines. */
 void rk_relay_cancel_quarantined(struct rk_relay *r);
-/* relay_suspect.c: cancels and frees all checks of VMs. */
+/* relay_quarantine.c: cancels and frees all checks of VMs. */
 void rk_relay_vm_checks_free(struct rk_relay *r);
 
 #endif
--- a/serve/relay_call_impl.h
+++ b/serve/relay_call_impl.h
@@ -1,7 +1,8 @@
 /* State of a relayed call, shared by relay_call.c (life cycle and attempts),
- * relay_answer.c (the VM's answer), relay_arrive.c (the caller's request),
- * relay_move.c (moves between engines), relay_signals.c (what VMs advertise),
- * relay_suspect.c (requests that crash VMs) and relay_log.c. Relay thread only. */
+ * relay_answer.c (the VM's answer), relay_request.c (the caller's request),
+ * relay_kv_move.c (moves between engines), relay_signals.c (what VMs advertise),
+ * relay_quarantine.c (requests that crash VMs) and relay_log.c. Relay thread only.
+ */
 #ifndef RK_SERVE_RELAY_CALL_IMPL_H
 #define RK_SERVE_RELAY_CALL_IMPL_H
 
@@ -148,7 +149,7 @@
  * default if the service states no limit or the share is below one. */
 int rk_call_max_conns(const struct rk_relay_call *x);
 
-/* ---- relay_move.c ---- */
+/* ---- relay_kv_move.c ---- */
 /* Starts to move the stream away from its VM if that VM is leaving, another one can
  * take it, and the retry budget allows it. */
 void rk_call_try_move(struct rk_relay_call *x);
@@ -159,7 +160,7 @@
  * then handles the end. */
 bool rk_call_move_stream_ended(struct rk_relay_call *x, bool stream_complete);
 
-/* ---- relay_suspect.c ---- */
+/* ---- relay_quarantine.c ---- */
 /* Returns the fingerprint that identifies repeats of the same request, as defined
  * by core/quarantine.h. 0 if it was not computed before the client went away. */
 uint64_t rk_call_fingerprint(struct rk_relay_call *x);
--- a/serve/traffic.h
+++ b/serve/traffic.h
@@ -12,7 +12,7 @@
 #include <stdint.h>
 
 #include "common/loop.h"
-#include "core/budget.h"
+#include "core/retry_budget.h"
 #include "core/call.h"
 #include "core/claims.h"
 #include "core/router.h"
--- a/tests/proc_crashes.py
+++ b/tests/proc_crashes.py
@@ -3,7 +3,7 @@
 An attempt that is lost with its VM does not count against the retry budget, as its work
 must be done elsewhere. Without the limit, a repeatable call went to up to eight VMs, and
 each of these crashes would have cut off the VM's other calls, too. The hosted node has
-the same rule (tests/proc_hosted_crashes.py)."""
+the same rule (tests/proc_hosted_quarantine.py)."""
 from cluster import call
 from fakes import RawUpstream, small_cluster
 
--- a/tests/prop_core.cc
+++ b/tests/prop_core.cc
@@ -8,12 +8,12 @@
 #include <vector>
 
 extern "C" {
-#include "core/admit.h"
-#include "core/changes.h"
+#include "core/fair_queue.h"
+#include "core/changelog.h"
 #include "core/lease.h"
 #include "core/members.h"
 #include "core/shards.h"
-#include "core/stream.h"
+#include "core/token_stream.h"
 #include "core/verdict.h"
 }
 
--- a/tests/prop_engine.cc
+++ b/tests/prop_engine_model.cc
@@ -8,7 +8,7 @@
 #include <random>
 
 extern "C" {
-#include "core/engine.h"
+#include "core/engine_model.h"
 }
 
 namespace {
--- a/tests/prop_holding.cc
+++ b/tests/prop_sizing.cc
@@ -9,7 +9,7 @@
 #include <cstdio>
 
 extern "C" {
-#include "core/holding.h"
+#include "core/sizing.h"
 #include "core/reclaims.h"
 }
 
--- a/tests/prop_following.cc
+++ b/tests/prop_watch_policy.cc
@@ -13,7 +13,7 @@
 #include <vector>
 
 extern "C" {
-#include "core/following.h"
+#include "core/watch_policy.h"
 }
 
 namespace {
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -9,12 +9,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/budget.h"
+#include "core/retry_budget.h"
 #include "core/completion.h"
 #include "core/config.h"
 #include "core/lease.h"
 #include "core/plan.h"
-#include "core/prefix.h"
+#include "core/prefix_index.h"
 #include "core/procfile.h"
 #include "core/router.h"
 #include "core/settings.h"
--- a/tests/test_rank.c
+++ b/tests/test_engine_rank.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "common/util.h"
-#include "core/rank.h"
+#include "core/engine_rank.h"
 
 /* The mix of a deployment with three kinds of model calls: share of all calls, mean
  * number of prompt tokens to prefill, target for the first token, base rank. */
--- a/tests/test_hosted.c
+++ b/tests/test_hosted.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/events.h"
+#include "core/event_splitter.h"
 #include "core/routes.h"
 #include "core/usage.h"
 
--- a/tests/test_org_uses.c
+++ b/tests/test_org_usage.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "core/org_uses.h"
+#include "core/org_usage.h"
 
 #define ORGS           333
 #define REPORTS        400 /* a quarter of a second apart */
--- a/tests/test_returning.c
+++ b/tests/test_read_delay.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 
 #include "common/util.h"
-#include "core/returning.h"
+#include "core/read_delay.h"
 
 /* Capacities of nodes, in thousandths of a core. */
 #define LARGE_CAPACITY 1000
--- a/tests/test_holding.c
+++ b/tests/test_sizing.c
@@ -9,7 +9,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "core/holding.h"
+#include "core/sizing.h"
 #include "core/reclaims.h"
 
 /* ---- the plan ---- */
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -15,7 +15,7 @@
 MECHANISMS = {
     "no-lateness-refusals": ("serve/relay_call.c", "target_ms <= 0)\n        return false;",
                              "target_ms <= 0 || x->r)\n        return false;"),
-    "no-pace-of-vms": ("core/speeds.c", "return p->log_ratio != 0 ?", "return 0 && now_ms ?"),
+    "no-pace-of-vms": ("core/service_speed.c", "return p->log_ratio != 0 ?", "return 0 && now_ms ?"),
     "no-homes": ("core/place.c", "    if (!q->engine)\n        return;\n    for",
                  "    if (p)\n        return;\n    for"),
     "no-ranks": ("serve/relay_call.c", "return x->org && x->org->rank >= 0 ? x->org->rank : x->route->rank;",
@@ -23,7 +23,7 @@
     "no-pauses": ("core/place.c", "    if (now_ms < v->paused_until_ms)", "    if (0 && now_ms < 0)"),
     "no-error-rates": ("core/place.c", "double ms = v->error_rate * ERROR_MS;",
                        "double ms = v->error_rate * 0;"),
-    "no-stand-ins": ("core/holding.c", "    if (wanted < 0)\n", "    if (wanted)\n"),
+    "no-stand-ins": ("core/sizing.c", "    if (wanted < 0)\n", "    if (wanted)\n"),
     "no-peers-loads": ("serve/relay.c", "    rk_place_set_loads(r->place, p->loads, p->loads_len);",
                        "    rk_place_set_loads(r->place, p->loads, 0);"),
     "no-resumes": ("serve/relay_call.c", "if (x->begun && !x->route->resumable)",
@@ -38,7 +38,7 @@
     "no-own-domain-first": ("core/place.c", "            ms += OTHER_DOMAIN_MS;", "            ms += 0;"),
     "no-wait-at-start": ("serve/relay.c", "    rk_server_set_accepting(r->server, false);",
                          "    rk_server_set_accepting(r->server, true);"),
-    "no-reclaimable-minimum": ("core/holding.c", "left < RECLAIMABLE_MIN ? left : RECLAIMABLE_MIN",
+    "no-reclaimable-minimum": ("core/sizing.c", "left < RECLAIMABLE_MIN ? left : RECLAIMABLE_MIN",
                                "left < 0 ? left : 0"),
 }
 
