--- a/peers/peers.pb-c.h
+++ b/peers/peers.pb-c.h
@@ -60,20 +60,44 @@
 /* --- messages --- */
 
 /*
- * One entry node as another sees it. Merged by core/members.h.
+ * An entry node as another one knows it. core/members.h merges the rows.
  */
 struct  Rillknot__MemberRow
 {
   ProtobufCMessage base;
   char *id;
   char *domain;
+  /*
+   * ip:port for gossip.
+   */
   char *control_addr;
+  /*
+   * ip:port for forwarded calls.
+   */
   char *forward_addr;
+  /*
+   * Rises with each run of the node, and when it refutes a report of its failure.
+   */
   uint64_t incarnation;
+  /*
+   * enum rk_member_state.
+   */
   uint32_t state;
+  /*
+   * Incremented by the node with each change of head or spare.
+   */
   uint64_t attr_seq;
+  /*
+   * Number of the last settings change that is in force at the node.
+   */
   int64_t head;
+  /*
+   * Number of further calls that the node could take now.
+   */
   uint32_t spare;
+  /*
+   * The node is stopping as planned.
+   */
   protobuf_c_boolean leaving;
 };
 #define RILLKNOT__MEMBER_ROW__INIT \
@@ -82,7 +106,7 @@
 
 
 /*
- * One upstream vm.
+ * An upstream VM as an entry node knows it.
  */
 struct  Rillknot__VmRow
 {
@@ -93,10 +117,22 @@
   char *service;
   char *vm_class;
   uint64_t incarnation;
+  /*
+   * enum rk_vm_state.
+   */
   uint32_t state;
+  /*
+   * Wall-clock time at which the load was polled, in ms; 0: never.
+   */
   uint64_t load_seq;
+  /*
+   * Requests that the VM runs, and those that it has queued.
+   */
   uint32_t running;
   uint32_t queued;
+  /*
+   * Wall-clock time at which the VM will end, in ms; 0: not known.
+   */
   uint64_t leave_at_ms;
 };
 #define RILLKNOT__VM_ROW__INIT \
@@ -105,12 +141,18 @@
 
 
 /*
- * Only the load of a vm whose row the receiver has.
+ * The load of a VM whose row the receiver already has.
  */
 struct  Rillknot__VmLoad
 {
   ProtobufCMessage base;
+  /*
+   * Hash of the VM's id.
+   */
   uint32_t id_hash;
+  /*
+   * As in VmRow.
+   */
   uint64_t load_seq;
   uint32_t running;
   uint32_t queued;
@@ -120,11 +162,17 @@
     , 0, 0, 0, 0 }
 
 
+/*
+ * Rows that changed at the sender since its last message to the receiver.
+ */
 struct  Rillknot__Gossip
 {
   ProtobufCMessage base;
   char *from;
   uint64_t seq;
+  /*
+   * The message is a reply to another one and gets no reply itself.
+   */
   protobuf_c_boolean reply;
   size_t n_members;
   Rillknot__MemberRow **members;
@@ -132,10 +180,17 @@
   Rillknot__VmRow **vms;
   size_t n_loads;
   Rillknot__VmLoad **loads;
+  /*
+   * Number of the last settings change that the sender has.
+   */
   int64_t head;
+  /*
+   * The sender's address for gossip.
+   */
   char *from_addr;
   /*
-   * Of the rows the sender holds: who differs is sent all of them.
+   * Hashes over the sender's rows. If they differ from the receiver's own in the
+   * first message, or in several in a row, the receiver sends all of its rows.
    */
   uint64_t members_digest;
   uint64_t vms_digest;
@@ -145,6 +200,9 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0,NULL, 0,NULL, 0,NULL, 0, (char *)protobuf_c_empty_string, 0, 0 }
 
 
+/*
+ * Requests the changes of settings that follow the change `after`.
+ */
 struct  Rillknot__ChangesWanted
 {
   ProtobufCMessage base;
@@ -155,6 +213,9 @@
     , 0 }
 
 
+/*
+ * A change of settings.
+ */
 struct  Rillknot__Change
 {
   ProtobufCMessage base;
@@ -166,11 +227,18 @@
     , 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Consecutive changes of settings, or a snapshot for a receiver that is too far
+ * behind.
+ */
 struct  Rillknot__Changes
 {
   ProtobufCMessage base;
   size_t n_items;
   Rillknot__Change **items;
+  /*
+   * The settings as a whole; empty: none.
+   */
   char *snapshot;
 };
 #define RILLKNOT__CHANGES__INIT \
@@ -178,26 +246,66 @@
     , 0,NULL, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Forwards a call to a peer. The peer replies with ForwardAck, any number of
+ * ForwardData and one ForwardEnd.
+ */
 struct  Rillknot__ForwardBegin
 {
   ProtobufCMessage base;
+  /*
+   * Chosen by the sender; names the call on this link.
+   */
   uint64_t id;
   char *request_id;
   char *organisation;
+  /*
+   * Priority class; empty: the organisation's default.
+   */
   char *class_;
+  /*
+   * Empty: chosen by the model that the body names.
+   */
   char *service;
   char *call;
   char *method;
+  /*
+   * As the upstream gets it.
+   */
   char *path;
+  /*
+   * Idempotency key; empty: none.
+   */
   char *key;
   char *content_type;
   ProtobufCBinaryData body;
+  /*
+   * Time until the call's deadline.
+   */
   int64_t deadline_left_ms;
+  /*
+   * Index of the first token to send.
+   */
   int64_t resume_from;
+  /*
+   * How often the call was forwarded, this time included.
+   */
   uint32_t hops;
+  /*
+   * The sender takes the receiver for the owner of the key's shard.
+   */
   protobuf_c_boolean to_owner;
+  /*
+   * The caller gets the response as a stream.
+   */
   protobuf_c_boolean stream;
+  /*
+   * The sender holds the claim of the key; the receiver only runs the call.
+   */
   protobuf_c_boolean claimed;
+  /*
+   * The path is one of the two completion paths; `chat`: it is the chat one.
+   */
   protobuf_c_boolean completion;
   protobuf_c_boolean chat;
 };
@@ -206,13 +314,22 @@
     , 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, {0,NULL}, 0, 0, 0, 0, 0, 0, 0, 0 }
 
 
+/*
+ * A piece of the response; for a stream, one token's chunk.
+ */
 struct  Rillknot__ForwardData
 {
   ProtobufCMessage base;
   uint64_t id;
+  /*
+   * HTTP status and type of the response; set in its first piece.
+   */
   uint32_t status;
   char *content_type;
   ProtobufCBinaryData data;
+  /*
+   * Index of the token; -1: not a stream.
+   */
   int64_t index;
 };
 #define RILLKNOT__FORWARD_DATA__INIT \
@@ -220,17 +337,38 @@
     , 0, 0, (char *)protobuf_c_empty_string, {0,NULL}, 0 }
 
 
+/*
+ * How the call ended; see struct rk_outcome in core/call.h.
+ */
 struct  Rillknot__ForwardEnd
 {
   ProtobufCMessage base;
   uint64_t id;
   uint32_t status;
+  /*
+   * enum rk_verdict.
+   */
   uint32_t verdict;
+  /*
+   * 0: the caller gets no Retry-After.
+   */
   int64_t retry_after_ms;
   char *detail;
+  /*
+   * The response was sent completely.
+   */
   protobuf_c_boolean whole;
+  /*
+   * The call was not sent to any upstream.
+   */
   protobuf_c_boolean not_sent;
+  /*
+   * The response is that of an earlier call with the same key.
+   */
   protobuf_c_boolean replayed;
+  /*
+   * The stream can be resumed at another node.
+   */
   protobuf_c_boolean resume;
 };
 #define RILLKNOT__FORWARD_END__INIT \
@@ -239,7 +377,8 @@
 
 
 /*
- * The peer has the call. Without it soon, the sender looks elsewhere.
+ * The peer has accepted the call. If this does not come in time, the sender cancels
+ * the call and looks for another VM or node to run it.
  */
 struct  Rillknot__ForwardAck
 {
@@ -251,6 +390,9 @@
     , 0 }
 
 
+/*
+ * The sender no longer needs the response.
+ */
 struct  Rillknot__ForwardCancel
 {
   ProtobufCMessage base;
@@ -262,8 +404,8 @@
 
 
 /*
- * A keeper asks its entry node for all rows, and for the settings after the head
- * it has.
+ * A keeper's request to its entry node for all rows, and for the changes of
+ * settings after `head`, the last one that it has.
  */
 struct  Rillknot__StateWanted
 {
@@ -277,27 +419,33 @@
 
 
 /*
- * What one node has in hand at a vm.
+ * The calls that one node, or the nodes of a digest, have in flight at a VM.
  */
 struct  Rillknot__VmUse
 {
   ProtobufCMessage base;
   char *id;
+  /*
+   * Calls in flight.
+   */
   uint32_t running;
+  /*
+   * Uncached prompt tokens of the calls in flight that got no first byte yet.
+   */
   double waiting_tokens;
   /*
-   * How it served calls lately, as they count when this is sent: the sum of the
-   * logarithms of seen by expected times, failures, calls.
+   * How the VM served recent calls, decayed to the time of sending: the sum of the
+   * logarithms of observed by expected times, failures, and calls.
    */
   float pace_log_sum;
   float pace_failed;
   float pace_calls;
   /*
-   * Which life of the vm that is; 0: not told.
+   * Hash of the VM's incarnation; 0: not known.
    */
   uint32_t life;
   /*
-   * Calls that it turned away lately.
+   * Calls that the VM refused recently, decayed in the same way.
    */
   float pace_refused;
 };
@@ -307,21 +455,24 @@
 
 
 /*
- * What an organisation used at one node since that node's start.
+ * An organisation's quota usage at one node, or at the nodes of a digest.
  */
 struct  Rillknot__OrgUse
 {
   ProtobufCMessage base;
   char *org;
+  /*
+   * Units used since the sender started.
+   */
   double units;
   /*
-   * What all nodes used within the quota's window, as far as the sender knows, by
-   * parts of it, the newest first.
+   * Units used by all nodes within the quota window, as far as the sender knows, in
+   * consecutive slices of the window, the newest first.
    */
   size_t n_known;
   uint64_t *known;
   /*
-   * Units a second that callers ask for, refused ones included, smoothed.
+   * Smoothed demand in units per second, refused calls included.
    */
   float asking;
 };
@@ -331,17 +482,24 @@
 
 
 /*
- * Calls of an organisation that began to run in a window, at one node.
+ * Number of an organisation's calls that began to run at one node in one window.
  */
 struct  Rillknot__UsageRow
 {
   ProtobufCMessage base;
+  /*
+   * Hash of the node's id and incarnation; 0: the persisted total of all nodes.
+   */
   uint64_t node;
+  /*
+   * Number of the window: wall-clock time divided by the length of a window.
+   */
   int64_t window;
   char *org;
   uint64_t count;
   /*
-   * By the wall clock: since when the node counts. Of what was kept (node 0): when.
+   * Wall-clock time in ms since which the node counts, or, for node 0, at which the
+   * total was persisted.
    */
   int64_t since_ms;
 };
@@ -351,17 +509,31 @@
 
 
 /*
- * What a node learnt of an engine service's speed: core/engine.h. Nothing, if
- * samples is 0.
+ * A node's estimate of an engine service's speed; see core/engine_model.h. The other
+ * fields are unset if `samples` is 0.
  */
 struct  Rillknot__EngineEstimate
 {
   ProtobufCMessage base;
+  /*
+   * Time to the first token: a fixed part, more for each 1,000 prompt tokens to be
+   * read, and more for each call in flight.
+   */
   float fixed_ms;
   float ktoken_ms;
   float running_ms;
+  /*
+   * Typical error of the estimate.
+   */
   float error_ms;
+  /*
+   * Calls that the estimate is based on.
+   */
   float samples;
+  /*
+   * Time per 1,000 prompt tokens by the fastest observations, so of an unloaded
+   * engine.
+   */
   float calm_ktoken_ms;
 };
 #define RILLKNOT__ENGINE_ESTIMATE__INIT \
@@ -370,17 +542,23 @@
 
 
 /*
- * What a node asked of an engine service since its start, and has in hand.
+ * What one node, or the nodes of a digest, sent to an engine service.
  */
 struct  Rillknot__ServiceUse
 {
   ProtobufCMessage base;
   char *service;
+  /*
+   * Uncached prompt tokens since the sender started.
+   */
   double read_tokens;
+  /*
+   * Calls in flight.
+   */
   uint32_t running;
   Rillknot__EngineEstimate *engine;
   /*
-   * Of those in hand, the ones whose answers have begun.
+   * Calls in flight whose responses have begun.
    */
   uint32_t begun;
 };
@@ -390,7 +568,7 @@
 
 
 /*
- * A lease as its holder last wrote it.
+ * The leader lease as its holder last wrote it to the store.
  */
 struct  Rillknot__LeaseRow
 {
@@ -404,8 +582,8 @@
 
 
 /*
- * What a node of a hosted deployment tells each other, a few times a second. It
- * also is the heartbeat.
+ * A node's own state, sent to its peers in a hosted deployment a few times a
+ * second. It is also the heartbeat.
  */
 struct  Rillknot__NodeReport
 {
@@ -413,9 +591,18 @@
   char *id;
   char *domain;
   char *addr;
+  /*
+   * Tells runs of the same node apart.
+   */
   uint64_t incarnation;
+  /*
+   * Version of the settings and revision of the VM list that the sender has.
+   */
   int64_t settings_version;
   int64_t list_revision;
+  /*
+   * The sender is stopping as planned.
+   */
   protobuf_c_boolean leaving;
   size_t n_vms;
   Rillknot__VmUse **vms;
@@ -423,48 +610,55 @@
   Rillknot__OrgUse **uses;
   size_t n_usage;
   Rillknot__UsageRow **usage;
+  /*
+   * Set if the sender holds the lease.
+   */
   Rillknot__LeaseRow *lease;
   /*
-   * Addresses of nodes it heard lately.
+   * Addresses of the nodes that the sender can reach; empty where there are
+   * bridges.
    */
   size_t n_peers;
   char **peers;
   /*
-   * How far back its knowledge of quotas goes.
+   * How far back the sender's knowledge of quota usage goes.
    */
   int64_t remembers_ms;
   size_t n_services;
   Rillknot__ServiceUse **services;
   /*
-   * Since the store confirmed what the sender knows of it; -1: never.
+   * Time since the store confirmed the sender's copy of it; -1: never.
    */
   int64_t store_age_ms;
   /*
-   * Of its machine, in thousandths of a core.
+   * Capacity of the sender's machine, in thousandths of a core. Bridges are elected
+   * by it.
    */
   int64_t capacity;
   /*
-   * It runs late: others do more for the fleet than it can.
+   * The sender's event loop runs late, so it counts with a part of its capacity in
+   * the election of bridges.
    */
   protobuf_c_boolean slow;
   /*
-   * It follows the store, and the store answers it.
+   * The sender watches the store, and the store responds.
    */
   protobuf_c_boolean hears_store;
   /*
-   * uses are the rows that changed since the last report; else all there are.
+   * `uses` has only the rows that changed since the last report; otherwise all
+   * rows.
    */
   protobuf_c_boolean uses_changed;
   /*
-   * The sender takes such reports.
+   * The sender accepts such reports.
    */
   protobuf_c_boolean takes_changes;
   /*
-   * Each row has what the sender knows of the use of all.
+   * Each row of `uses` has `known`.
    */
   protobuf_c_boolean knows;
   /*
-   * The sender takes brief digests.
+   * The sender accepts brief digests.
    */
   protobuf_c_boolean takes_brief;
 };
@@ -474,7 +668,8 @@
 
 
 /*
- * A node as a bridge knows it.
+ * A node as a bridge knows it. A bridge is an elected node of a failure domain that
+ * relays between it and the other domains.
  */
 struct  Rillknot__NodeRow
 {
@@ -482,9 +677,18 @@
   char *id;
   char *addr;
   char *domain;
+  /*
+   * In thousandths of a core; 0: not known.
+   */
   int64_t capacity;
+  /*
+   * The node is reachable.
+   */
   protobuf_c_boolean heard;
   protobuf_c_boolean leaving;
+  /*
+   * As in NodeReport.
+   */
   protobuf_c_boolean slow;
   protobuf_c_boolean hears_store;
 };
@@ -494,54 +698,72 @@
 
 
 /*
- * What a bridge knows of several nodes, in sum: of its failure domain, told to the
- * bridges of others, or of the whole fleet, told to the nodes of its domain.
+ * A bridge's aggregate of several nodes: of its failure domain, for the bridges of
+ * the other domains, or of the whole fleet, for the nodes of its own domain.
  */
 struct  Rillknot__Digest
 {
   ProtobufCMessage base;
+  /*
+   * The sender.
+   */
   char *id;
   char *addr;
   char *domain;
   uint64_t incarnation;
+  /*
+   * It covers the whole fleet.
+   */
   protobuf_c_boolean fleet;
   int64_t settings_version;
   int64_t list_revision;
+  /*
+   * As in NodeReport.
+   */
   int64_t store_age_ms;
+  /*
+   * The newest lease that the sender knows.
+   */
   Rillknot__LeaseRow *lease;
+  /*
+   * Reachable nodes, which the aggregate covers, and all known nodes.
+   */
   uint32_t nodes_heard;
   uint32_t nodes_total;
   size_t n_vms;
   Rillknot__VmUse **vms;
   /*
-   * Units used since the sender's start.
+   * Units used since the sender started.
    */
   size_t n_uses;
   Rillknot__OrgUse **uses;
+  /*
+   * As in NodeReport.
+   */
   int64_t remembers_ms;
   size_t n_services;
   Rillknot__ServiceUse **services;
   /*
-   * Now and then; empty between.
+   * Included at intervals; empty in between.
    */
   size_t n_members;
   Rillknot__NodeRow **members;
   /*
-   * vms are told; else they are as they were.
+   * `vms` is included; otherwise it is unchanged.
    */
   protobuf_c_boolean vms_told;
   /*
-   * Of the sender: who bridges a failure domain goes by it.
+   * Of the sender, as in NodeReport.
    */
   int64_t capacity;
   protobuf_c_boolean slow;
   protobuf_c_boolean hears_store;
   /*
-   * It takes reports whose uses are only the rows that changed.
+   * The sender accepts reports with only the changed rows of `uses`.
    */
   protobuf_c_boolean takes_changes;
   /*
-   * A heartbeat: vms and uses are as they were.
+   * A heartbeat only: vms, uses, services and members are left out and unchanged.
    */
   protobuf_c_boolean brief;
 };
@@ -551,7 +773,7 @@
 
 
 /*
- * Counts of several nodes, told to the holder of the duties.
+ * Usage counts of several nodes, sent to the leader.
  */
 struct  Rillknot__UsageCounts
 {
@@ -565,7 +787,8 @@
 
 
 /*
- * The sender knows less than a report told.
+ * Requests what the sender lacks, after a report or a digest showed that the
+ * receiver has it.
  */
 struct  Rillknot__StoreWanted
 {
@@ -573,15 +796,17 @@
   protobuf_c_boolean settings;
   protobuf_c_boolean list;
   /*
-   * The sender knows the list up to this revision; 0: nothing of it.
+   * The sender has the list up to this revision; 0: nothing of it.
    */
   int64_t list_since;
   /*
-   * All rows of the next report's uses: the sender has none to which changes add.
+   * All rows of `uses` in the next report, because the sender lacks the rows to
+   * which changes could be applied.
    */
   protobuf_c_boolean uses;
   /*
-   * The same, with what is known of the use of all: the sender remembers less.
+   * The same, and `known` in each row, because the sender's knowledge of quota
+   * usage goes less far back.
    */
   protobuf_c_boolean known;
 };
@@ -591,17 +816,35 @@
 
 
 /*
- * What nodes do for a service that moves to another version: core/rollout.h.
+ * What nodes do for a service that moves to another version; see core/rollout.h.
  */
 struct  Rillknot__RolloutRule
 {
   ProtobufCMessage base;
   char *service;
+  /*
+   * The new version.
+   */
   char *version;
+  /*
+   * enum rk_rollout_phase.
+   */
   uint32_t phase;
+  /*
+   * Share of new calls for the new version, in hundredths of a percent.
+   */
   uint32_t share;
+  /*
+   * Number of VMs of the new version that get calls; 0: all.
+   */
   uint32_t vms;
+  /*
+   * Selects these VMs: each number selects others.
+   */
   uint32_t turn;
+  /*
+   * Incremented with each change of the rule.
+   */
   int64_t revision;
 };
 #define RILLKNOT__ROLLOUT_RULE__INIT \
@@ -610,21 +853,24 @@
 
 
 /*
- * The word of the holder of the duties on roll-outs, passed on by bridges. Of two, the
- * one of the later epoch, then of the higher number counts.
+ * The leader's rollout announcement, relayed by bridges. The one with the later
+ * epoch counts, within an epoch the one with the higher number.
  */
 struct  Rillknot__RolloutWord
 {
   ProtobufCMessage base;
+  /*
+   * The leader's failure domain.
+   */
   char *domain;
   int64_t epoch;
   int64_t number;
   /*
-   * Since the holder said it.
+   * Time since the leader made the announcement.
    */
   int64_t age_ms;
   /*
-   * Every order up to this revision of the store is among the rules.
+   * The rules include every order up to this revision of the store.
    */
   int64_t known_at;
   size_t n_rules;
@@ -635,15 +881,28 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0, 0, 0,NULL }
 
 
+/*
+ * Results of the calls of one route to one version at the VMs of one failure
+ * domain; see core/canary.h.
+ */
 struct  Rillknot__TrialRow
 {
   ProtobufCMessage base;
   char *route;
   char *domain;
+  /*
+   * Calls to the new version.
+   */
   protobuf_c_boolean tried;
   float calls;
   float failed;
+  /*
+   * Calls whose time to the first byte is known.
+   */
   float timed;
+  /*
+   * Sums of the logarithms of observed by expected times, and of their squares.
+   */
   float log_sum;
   float log_sq;
 };
@@ -653,7 +912,7 @@
 
 
 /*
- * What calls to both versions of a service showed at the sender since its start.
+ * Results of the calls to both versions of a service since the sender started.
  */
 struct  Rillknot__TrialSeen
 {
@@ -669,13 +928,16 @@
 
 
 /*
- * For the holder; sum: of all nodes of the sender's failure domain.
+ * Results of all running rollouts, for the leader.
  */
 struct  Rillknot__RolloutSeen
 {
   ProtobufCMessage base;
   char *id;
   char *domain;
+  /*
+   * Of all nodes of the sender's failure domain; otherwise of the sender alone.
+   */
   protobuf_c_boolean sum;
   size_t n_trials;
   Rillknot__TrialSeen **trials;
@@ -686,19 +948,32 @@
 
 
 /*
- * A request under which VMs ended: core/quarantine.h.
+ * A request under which VMs ended; see core/quarantine.h.
  */
 struct  Rillknot__QuarantineRow
 {
   ProtobufCMessage base;
+  /*
+   * Hash of the request.
+   */
   uint64_t request;
   char *org;
   char *route;
+  /*
+   * How often a complete response or an operator reset the evidence.
+   */
   uint32_t cleared;
+  /*
+   * The request is no longer sent to VMs.
+   */
   protobuf_c_boolean stopped;
+  /*
+   * The platform's store has the row.
+   */
   protobuf_c_boolean stored;
   /*
-   * VMs' lives that had just begun it, and those of which that isn't known.
+   * Hashes of the incarnations of VMs that ended when they had just begun the
+   * request, and of those of which that is not known.
    */
   size_t n_just_begun;
   uint32_t *just_begun;
@@ -710,6 +985,9 @@
     , 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0,NULL, 0,NULL }
 
 
+/*
+ * Rows that changed recently, and at intervals those halfway to being stopped.
+ */
 struct  Rillknot__Quarantine
 {
   ProtobufCMessage base;
@@ -722,26 +1000,31 @@
 
 
 /*
- * What a VM says of itself in its answers: core/vm_signals.h.
+ * What a VM advertised about itself in its responses; see core/vm_signals.h.
  */
 struct  Rillknot__VmSignal
 {
   ProtobufCMessage base;
   /*
-   * Of the VM, and of when it was started.
+   * Hash of the VM's incarnation.
    */
   uint64_t life;
   char *domain;
   /*
-   * By the answer that decides, which came so long ago.
+   * From the VM's latest response that says something of its limit: whether it has
+   * one, how many requests per second it accepts from all nodes together, and the
+   * age of that response.
    */
   protobuf_c_boolean limited;
   double limit_per_s;
   uint32_t limit_age_ms;
   /*
-   * Else the sender knows of no answer that decides.
+   * The sender has such a response. If not, the three fields above are unset.
    */
   protobuf_c_boolean limit_known;
+  /*
+   * The VM will end soon.
+   */
   protobuf_c_boolean leaving;
 };
 #define RILLKNOT__VM_SIGNAL__INIT \
@@ -749,6 +1032,9 @@
     , 0, (char *)protobuf_c_empty_string, 0, 0, 0, 0, 0 }
 
 
+/*
+ * Signals that changed recently, and at intervals the limits in force.
+ */
 struct  Rillknot__VmSignals
 {
   ProtobufCMessage base;
@@ -760,10 +1046,16 @@
     , 0,NULL }
 
 
+/*
+ * An entry of the store's list of VMs.
+ */
 struct  Rillknot__ListRow
 {
   ProtobufCMessage base;
   char *name;
+  /*
+   * Revision of the store in which the entry last changed.
+   */
   int64_t revision;
   char *text;
 };
@@ -773,7 +1065,7 @@
 
 
 /*
- * An entry that left the list.
+ * An entry that was removed from the list.
  */
 struct  Rillknot__GoneRow
 {
@@ -781,8 +1073,8 @@
   char *name;
   int64_t revision;
   /*
-   * The store was away just before, and the entry may come back for so much longer;
-   * 0: it left.
+   * The store was unavailable just before the entry expired, so the entry may
+   * return within this time; 0: it was removed regularly.
    */
   int64_t lapse_left_ms;
 };
@@ -792,14 +1084,14 @@
 
 
 /*
- * The newest of the platform's store that a node has.
+ * The newest contents of the platform's store that a node has.
  */
 struct  Rillknot__StoreText
 {
   ProtobufCMessage base;
   int64_t settings_revision;
   /*
-   * In zlib's format, and how long the text is.
+   * The settings in zlib format, and their uncompressed length in bytes.
    */
   ProtobufCBinaryData settings_zip;
   uint32_t settings_len;
@@ -807,15 +1099,16 @@
   size_t n_list;
   Rillknot__ListRow **list;
   /*
-   * Only what changed after this revision is told; 0: the whole list.
+   * `list` and `gone` have only the changes after this revision; 0: the whole list.
    */
   int64_t list_since;
   size_t n_gone;
   Rillknot__GoneRow **gone;
   /*
-   * In place of the fields of the list where they are long: a StoreText of these,
-   * packed, in zlib's format; how long it is when packed, and its list_revision. A
-   * node that doesn't know these fields is told nothing by it, and asks the store.
+   * Replaces the list's fields if they are long: a packed StoreText with these
+   * fields, in zlib format, its uncompressed length in bytes, and its
+   * list_revision. A node that does not know these fields sees no list, and
+   * requests it from the store.
    */
   ProtobufCBinaryData list_zip;
   uint32_t list_len;
@@ -849,6 +1142,9 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(RILLKNOT__FRAME__BODY__CASE)
 } Rillknot__Frame__BodyCase;
 
+/*
+ * The only message that is sent by itself.
+ */
 struct  Rillknot__Frame
 {
   ProtobufCMessage base;
