--- a/callers/pages.c
+++ b/callers/pages.c
@@ -60,7 +60,8 @@
                       "%s{\"id\":\"%s\",\"failure_domain\":\"%s\",\"state\":\"%s\","
                       "\"leaving\":%s,\"settings_head\":%" PRId64 ",\"spare\":%u}",
                       i ? "," : "", m->id, m->domain, member_states[m->state],
-                      m->leaving ? "true" : "false", m->applied_version, m->spare);
+                      m->leaving ? "true" : "false", m->applied_version,
+                      m->free_slots);
     }
 }
 
--- a/cloud/cloud.c
+++ b/cloud/cloud.c
@@ -26,11 +26,11 @@
     rk_strcpy(n->vm, sizeof(n->vm), rk_json_str(o, "id"));
 }
 
-static void finish_notices(struct op *op, const struct rk_rest_answer *answer)
+static void finish_notices(struct op *op, const struct rk_rest_response *response)
 {
-    enum rk_status st = answer->status;
+    enum rk_status st = response->status;
     struct json_object *array =
-        st == RK_OK ? json_tokener_parse(answer->body) : NULL;
+        st == RK_OK ? json_tokener_parse(response->body) : NULL;
     if (st == RK_OK && !json_object_is_type(array, json_type_array))
         st = RK_EPROTO;
     size_t len = st == RK_OK ? json_object_array_length(array) : 0;
@@ -42,22 +42,22 @@
     json_object_put(array);
 }
 
-static void finish_vm_call(struct op *op, const struct rk_rest_answer *answer)
+static void finish_vm_call(struct op *op, const struct rk_rest_response *response)
 {
-    struct json_object *o = json_tokener_parse(answer->body);
-    bool refused = answer->http_status == HTTP_UNAVAILABLE;
-    op->on_vm(op->ctx, refused ? RK_EUNAVAILABLE : answer->status,
+    struct json_object *o = json_tokener_parse(response->body);
+    bool refused = response->http_status == HTTP_UNAVAILABLE;
+    op->on_vm(op->ctx, refused ? RK_EUNAVAILABLE : response->status,
               rk_json_str(o, "id"));
     json_object_put(o);
 }
 
-static void on_answer(void *ctx, const struct rk_rest_answer *answer)
+static void on_response(void *ctx, const struct rk_rest_response *response)
 {
     struct op *op = ctx;
     if (op->on_notices)
-        finish_notices(op, answer);
+        finish_notices(op, response);
     else
-        finish_vm_call(op, answer);
+        finish_vm_call(op, response);
     free(op);
 }
 
@@ -74,7 +74,7 @@
     const struct rk_rest_call call = {
         .method = "GET", .url = url, .wait_ms = wait_ms};
     rk_counter_add(RK_C_OBJECT_READS, 1);
-    rk_rest_start(http, &call, on_answer, op);
+    rk_rest_start(http, &call, on_response, op);
 }
 
 void rk_cloud_start_vm(struct rk_http *http, const char *base,
@@ -90,7 +90,7 @@
              "\"token\":\"%s\"}",
              request->vm_class, request->domain, request->service, request->token);
     const struct rk_rest_call call = {.method = "POST", .url = url, .body = body};
-    rk_rest_start(http, &call, on_answer, op);
+    rk_rest_start(http, &call, on_response, op);
 }
 
 void rk_cloud_stop_vm(struct rk_http *http, const char *base, const char *vm,
@@ -101,5 +101,5 @@
     char url[URL_MAX];
     snprintf(url, sizeof(url), "%s/cloud/vms/%s", base, vm);
     const struct rk_rest_call call = {.method = "DELETE", .url = url};
-    rk_rest_start(http, &call, on_answer, op);
+    rk_rest_start(http, &call, on_response, op);
 }
--- a/common/rest.c
+++ b/common/rest.c
@@ -16,7 +16,7 @@
 struct op {
     rk_rest_fn *fn;
     void *ctx;
-    struct rk_rest_answer answer;
+    struct rk_rest_response response;
     struct rk_buf body;
 };
 
@@ -24,9 +24,9 @@
 {
     struct op *op = ctx;
     if (!strcmp(name, "etag"))
-        op->answer.version = strtoll(value, NULL, 10);
+        op->response.version = strtoll(value, NULL, 10);
     else if (!strcmp(name, "x-revision"))
-        op->answer.revision = strtoll(value, NULL, 10);
+        op->response.revision = strtoll(value, NULL, 10);
 }
 
 static bool on_data(void *ctx, const char *data, size_t len)
@@ -52,10 +52,10 @@
 static void on_done(void *ctx, const struct rk_http_result *res)
 {
     struct op *op = ctx;
-    op->answer.status = status_from_result(res);
-    op->answer.http_status = res->status;
-    op->answer.body = op->body.data ? op->body.data : "";
-    op->fn(op->ctx, &op->answer);
+    op->response.status = status_from_result(res);
+    op->response.http_status = res->status;
+    op->response.body = op->body.data ? op->body.data : "";
+    op->fn(op->ctx, &op->response);
     rk_buf_free(&op->body);
     free(op);
 }
--- a/common/rest.h
+++ b/common/rest.h
@@ -12,7 +12,7 @@
 struct rk_http;
 
 /* The response, or the reason why there is none. */
-struct rk_rest_answer {
+struct rk_rest_response {
     /* RK_OK: a 2xx status. RK_ENOTFOUND: 404. RK_ECONFLICT: 409 or 412.
      * RK_EUNAVAILABLE: the call was not sent and can't have taken effect.
      * RK_EUNKNOWN: any other case; the call may have taken effect. */
@@ -23,7 +23,7 @@
     const char *body; /* never NULL; valid during the callback */
 };
 
-typedef void rk_rest_fn(void *ctx, const struct rk_rest_answer *answer);
+typedef void rk_rest_fn(void *ctx, const struct rk_rest_response *response);
 
 /* A call. Nothing that it points to is used after rk_rest_start() returns. */
 struct rk_rest_call {
--- a/common/util.h
+++ b/common/util.h
@@ -36,7 +36,7 @@
 /* Returns the FNV-1a hash of len bytes, with a final bit mix. h is the seed: 0, or
  * the result of an earlier call, to hash several pieces in a row. */
 uint64_t rk_hash(uint64_t h, const void *data, size_t len);
-/* As rk_hash(), over the bytes of s without its NUL. */
+/* Returns rk_hash() of the bytes of s without its NUL. */
 uint64_t rk_hash_str(uint64_t h, const char *s);
 
 /* SplitMix64 random number generator. The caller holds the state and sets it to a
@@ -52,8 +52,8 @@
  * NUL-terminated. Returns false if src was truncated. */
 bool rk_strcpy(char *dst, size_t size, const char *src);
 
-/* As calloc(), realloc() and strdup(), but they abort the process when memory runs
- * out. The caller frees the result with free(). */
+/* Allocate like calloc(), realloc() and strdup(), but abort the process when memory
+ * runs out. The caller frees the result with free(). */
 void *rk_alloc(size_t n, size_t size);
 void *rk_realloc(void *p, size_t size);
 char *rk_strdup(const char *s);
--- a/control/gossip.c
+++ b/control/gossip.c
@@ -154,7 +154,7 @@
     if (!rk_rows_decode_member(row, &m))
         return;
     if (!rk_members_merge(g->c->members, &m, from, rk_mono_ms())) {
-        /* The member's spare capacity may have changed. */
+        /* The number of the member's free slots may have changed. */
         rk_control_schedule_publish(g->c, false);
         return;
     }
@@ -295,7 +295,7 @@
         p = &(*p)->next;
     *p = out->next;
     struct inbound *in = out->id[0] ? find_inbound(out->g, out->id) : NULL;
-    /* What was sent last may be lost: send all rows again. */
+    /* The rows sent last may be lost: send all rows again. */
     if (in)
         in->sent.high_water = 0;
     free_outbound(out);
@@ -503,13 +503,13 @@
 }
 
 /* Returns how many more calls the traffic threads could take. */
-static uint32_t total_spare(const struct rk_control *c)
+static uint32_t total_free_slots(const struct rk_control *c)
 {
-    uint32_t spare = 0;
+    uint32_t free_slots = 0;
     for (size_t i = 0; i < c->traffic_len; i++)
-        spare +=
-            atomic_load_explicit(&c->traffic[i]->spare_slots, memory_order_relaxed);
-    return spare;
+        free_slots +=
+            atomic_load_explicit(&c->traffic[i]->free_slots, memory_order_relaxed);
+    return free_slots;
 }
 
 static void on_round(void *ctx)
@@ -517,7 +517,7 @@
     struct rk_gossip *g = ctx;
     struct rk_control *c = g->c;
     rk_timer_start(c->loop, &g->round_timer, ROUND_INTERVAL_MS);
-    rk_members_set_spare(c->members, total_spare(c));
+    rk_members_set_free_slots(c->members, total_free_slots(c));
     if (rk_members_expire(c->members, SUSPECT_TIMEOUT_MS, rk_mono_ms())) {
         RK_EVENT("member.dead",
                  RK_N("members", (int64_t)rk_members_count(c->members)));
--- a/core/canary.c
+++ b/core/canary.c
@@ -20,8 +20,8 @@
 #define CALLS_MAX        1e9 /* larger reported counts are invalid */
 
 /* Thresholds on the logarithm of the likelihood ratio. One good version in 100,000
- * may be taken for bad; that threshold allows for 12 tests, as each route is tested
- * for failures and for latency. One bad version in a hundred may be taken for good
+ * may be judged bad; that threshold allows for 12 tests, as each route is tested
+ * for failures and for latency. One bad version in a hundred may be judged good
  * during the canary phase, which lasts its minimum time in any case. */
 #define BAD_THRESHOLD  14.0 /* ln(100,000 x 12 tests) */
 #define GOOD_THRESHOLD 4.6  /* ln(100) */
@@ -52,10 +52,10 @@
     return row;
 }
 
-void rk_canary_add_time(struct rk_canary_stats *s, double seen_ms,
+void rk_canary_add_time(struct rk_canary_stats *s, double observed_ms,
                         double expected_ms)
 {
-    double log_ratio = log(fmax(seen_ms, 1) / fmax(expected_ms, 1));
+    double log_ratio = log(fmax(observed_ms, 1) / fmax(expected_ms, 1));
     log_ratio = fmax(-LOG_RATIO_MAX, fmin(LOG_RATIO_MAX, log_ratio));
     s->calls++;
     s->timed++;
--- a/core/canary.h
+++ b/core/canary.h
@@ -45,7 +45,7 @@
 struct rk_canary_row *rk_canary_get_row(struct rk_canary_rows *t, const char *route,
                                         const char *domain, bool of_new_version);
 /* Counts a call, with its observed and its expected time to first byte. */
-void rk_canary_add_time(struct rk_canary_stats *s, double seen_ms,
+void rk_canary_add_time(struct rk_canary_stats *s, double observed_ms,
                         double expected_ms);
 /* Counts a failed call. timed: it failed after its first byte, so
  * rk_canary_add_time() has counted it already. */
@@ -64,11 +64,10 @@
 /* Returns whether the values are possible. A peer may send anything. */
 bool rk_canary_is_valid(const struct rk_canary_stats *s);
 
-/* Outcome so far. RK_CANARY_UNDECIDED: not decided yet. */
+/* Verdict on the new version so far. */
 enum rk_canary_verdict {
-    RK_CANARY_UNDECIDED,
-    RK_CANARY_SUSPECT, /* bad in one domain only; other domains have to confirm it
-                        */
+    RK_CANARY_UNDECIDED, /* too little evidence so far */
+    RK_CANARY_SUSPECT,   /* bad in one domain only, not confirmed by others */
     RK_CANARY_GOOD,
     RK_CANARY_BAD,
 };
--- a/core/engine_model.c
+++ b/core/engine_model.c
@@ -35,7 +35,7 @@
  * smoothing follows a lower estimate with this weight, and a higher one with
  * UNLOADED_WEIGHT_UP. */
 #define UNLOADED_WEIGHT_DOWN 0.1
-/* It takes some hundred calls until a slower engine shows. */
+/* At this weight a slower engine shows after some hundred calls. */
 #define UNLOADED_WEIGHT_UP 0.005
 #define WARMUP_CALLS       30 /* calls to average before the smoothing */
 /* Part of other calls' waiting tokens that a call waits for: of a prompt that is
--- a/core/engine_model.h
+++ b/core/engine_model.h
@@ -25,7 +25,7 @@
 struct rk_engine_estimate {
     double fixed_ms;  /* fixed part of every time to first token */
     double ktoken_ms; /* additional time per 1,000 tokens to be read */
-    /* The same without load, which shows the reading capacity. */
+    /* ktoken_ms without load, which shows the reading capacity. */
     double unloaded_ktoken_ms;
     double running_ms; /* additional time per call in flight */
     double error_ms;   /* typical absolute error of the estimate */
--- a/core/lease.c
+++ b/core/lease.c
@@ -13,18 +13,19 @@
 void rk_lease_read_done(struct rk_lease *l, int64_t version, const char *value,
                         int64_t now_ms)
 {
-    bool first = !l->seen_ms;
+    bool first = !l->observed_ms;
     /* Versions only rise: a read without a higher version is stale or has nothing
      * new. */
     if (version <= l->version && !first)
         return;
     l->version = version;
-    l->seen_ms = now_ms;
+    l->observed_ms = now_ms;
     struct json_object *o = version ? json_tokener_parse(value) : NULL;
     l->epoch = rk_json_int(o, "epoch", 0);
-    rk_strcpy(l->seen_holder, sizeof(l->seen_holder), rk_json_str(o, "holder"));
-    l->held =
-        version && !strcmp(l->seen_holder, l->holder) && l->epoch == l->held_epoch;
+    rk_strcpy(l->observed_holder, sizeof(l->observed_holder),
+              rk_json_str(o, "holder"));
+    l->held = version && !strcmp(l->observed_holder, l->holder) &&
+              l->epoch == l->held_epoch;
     /* Possibly by a write whose response was lost. The lease counts from the start
      * of that write, which the value contains; the start of a later attempt proves
      * nothing. */
@@ -40,16 +41,16 @@
 {
     const char *slash = strrchr(l->holder, '/');
     size_t name = slash ? (size_t)(slash - l->holder) + 1 : 0;
-    return name && l->version && strcmp(l->seen_holder, l->holder) != 0 &&
-           !strncmp(l->seen_holder, l->holder, name);
+    return name && l->version && strcmp(l->observed_holder, l->holder) != 0 &&
+           !strncmp(l->observed_holder, l->holder, name);
 }
 
 bool rk_lease_next_write(struct rk_lease *l, int64_t now_ms,
                          char value[RK_LEASE_VALUE_MAX], int64_t *expect)
 {
     bool renew = l->held && now_ms - l->renewed_ms >= l->ttl_ms / 3;
-    bool expired = l->seen_ms && (!l->version || held_by_past_incarnation(l) ||
-                                  now_ms - l->seen_ms > l->ttl_ms);
+    bool expired = l->observed_ms && (!l->version || held_by_past_incarnation(l) ||
+                                      now_ms - l->observed_ms > l->ttl_ms);
     if (!renew && (l->held || !expired))
         return false;
     /* A holder that was suspended past its lease starts over, with a new epoch. */
@@ -57,7 +58,7 @@
     bool still_valid = l->held && rk_lease_valid(l, now_ms, &epoch);
     if (l->held && !still_valid) {
         l->held = false;
-        l->seen_ms = now_ms;
+        l->observed_ms = now_ms;
         return false;
     }
     l->held_epoch = still_valid ? l->held_epoch : l->epoch + 1;
@@ -77,12 +78,12 @@
         l->renewed_ms = l->write_started_ms;
         l->version = version;
         l->epoch = l->held_epoch;
-        l->seen_ms = now_ms;
-        rk_strcpy(l->seen_holder, sizeof(l->seen_holder), l->holder);
+        l->observed_ms = now_ms;
+        rk_strcpy(l->observed_holder, sizeof(l->observed_holder), l->holder);
     } else if (st == RK_ECONFLICT) {
         l->held = false;
         /* The known state is outdated: read before the next attempt. */
-        l->seen_ms = 0;
+        l->observed_ms = 0;
     }
 }
 
--- a/core/lease.h
+++ b/core/lease.h
@@ -22,7 +22,7 @@
 #define RK_LEASE_MARGIN_PCT 20
 #define RK_LEASE_VALUE_MAX  192 /* bytes of the object's value, with the NUL */
 
-/* A process's view of a lease. The owner sets holder and life_ms; everything else
+/* A process's view of a lease. The owner sets holder and ttl_ms; everything else
  * starts at zero. */
 struct rk_lease {
     char holder[RK_ID_MAX]; /* this process: "NAME/INCARNATION", or a name alone */
@@ -30,8 +30,8 @@
     /* Last known state of the object. */
     int64_t version; /* 0: absent */
     int64_t epoch;
-    char seen_holder[RK_ID_MAX];
-    int64_t seen_ms; /* when this version was first seen; 0: must be read */
+    char observed_holder[RK_ID_MAX];
+    int64_t observed_ms; /* when this version was first observed; 0: must be read */
     /* State of this process as holder. */
     bool held;
     int64_t held_epoch;
--- a/core/members.c
+++ b/core/members.c
@@ -208,7 +208,7 @@
              * valid. */
             old->attr_seq = attr_seq;
             old->applied_version = keep.applied_version;
-            old->spare = keep.spare;
+            old->free_slots = keep.free_slots;
         }
         old->since_ms = now_ms;
         mark_changed(m, old, source);
@@ -218,7 +218,7 @@
     if (row->attr_seq > old->attr_seq) {
         old->attr_seq = row->attr_seq;
         old->applied_version = row->applied_version;
-        old->spare = row->spare;
+        old->free_slots = row->free_slots;
         mark_changed(m, old, source);
     }
     if (row->leaving && !old->leaving) {
@@ -244,14 +244,15 @@
     mark_changed(m, self, -1);
 }
 
-void rk_members_set_spare(struct rk_members *m, uint32_t spare)
+void rk_members_set_free_slots(struct rk_members *m, uint32_t free_slots)
 {
     struct rk_member *self = &m->members[0];
     /* A change of at most a quarter is not worth a message. */
-    uint32_t step = self->spare / 4 + 1;
-    if (spare + step > self->spare && spare < self->spare + step)
+    uint32_t step = self->free_slots / 4 + 1;
+    if (free_slots + step > self->free_slots &&
+        free_slots < self->free_slots + step)
         return;
-    self->spare = spare;
+    self->free_slots = free_slots;
     self->attr_seq++;
     mark_changed(m, self, -1);
 }
--- a/core/members.h
+++ b/core/members.h
@@ -33,9 +33,9 @@
     uint64_t incarnation;
     enum rk_member_state state;
     bool leaving;      /* planned stop; stays set for the incarnation */
-    uint64_t attr_seq; /* incremented by the owner when head or spare changes */
+    uint64_t attr_seq; /* incremented by the owner when the two below change */
     int64_t applied_version; /* last settings change in force on that node */
-    uint32_t spare;          /* calls that it could take now */
+    uint32_t free_slots;     /* calls that it could take now */
     /* Local, never sent: */
     uint64_t changed; /* change number of the row */
     int64_t since_ms; /* when this node saw the current state begin */
@@ -115,11 +115,11 @@
                             uint64_t load_seq, uint32_t running, uint32_t queued,
                             int64_t now_ms);
 
-/* Set this node's own attributes. head must not decrease. A spare value that
- * differs by at most a quarter from the last one is ignored, which saves
+/* Set this node's own attributes. head must not decrease. A number of free slots
+ * that differs by at most a quarter from the last one is ignored, which saves
  * messages. */
 void rk_members_set_applied_version(struct rk_members *m, int64_t head);
-void rk_members_set_spare(struct rk_members *m, uint32_t spare);
+void rk_members_set_free_slots(struct rk_members *m, uint32_t free_slots);
 void rk_members_set_leaving(struct rk_members *m);
 
 /* Record that a probe of a member failed, or that the member responded. Calls for
--- a/core/org_usage.c
+++ b/core/org_usage.c
@@ -17,11 +17,11 @@
 /* Units change only when calls are admitted or refunded, so a record with unchanged
  * units holds no update. Demand decays without an event and is sent until it is
  * below DEMAND_MIN. */
-bool rk_org_use_changed(const struct rk_org_use *use, struct rk_totals *told)
+bool rk_org_use_changed(const struct rk_org_use *use, struct rk_totals *sent_units)
 {
-    bool changed = use->units != rk_totals_value(told, use->org);
+    bool changed = use->units != rk_totals_value(sent_units, use->org);
     if (changed)
-        *rk_totals_get(told, use->org) = use->units;
+        *rk_totals_get(sent_units, use->org) = use->units;
     return changed || use->demand_per_s >= DEMAND_MIN;
 }
 
--- a/core/org_usage.h
+++ b/core/org_usage.h
@@ -35,9 +35,9 @@
 /* ---- sending ---- */
 
 /* Returns whether a record has to be sent to peers that have received all earlier
- * updates. told holds the units per organisation that were sent last; it is updated
- * if the units changed. */
-bool rk_org_use_changed(const struct rk_org_use *use, struct rk_totals *told);
+ * updates. sent_units holds the units per organisation that were sent last; it is
+ * updated if the units changed. */
+bool rk_org_use_changed(const struct rk_org_use *use, struct rk_totals *sent_units);
 
 /* ---- receiving ---- */
 
--- a/core/place.c
+++ b/core/place.c
@@ -218,12 +218,12 @@
 }
 
 void rk_place_change_vms(struct rk_place *p, const struct rk_vm_row *rows,
-                         size_t len, const char (*gone)[RK_ID_MAX], size_t gone_len,
-                         int64_t now_ms)
+                         size_t len, const char (*removed)[RK_ID_MAX],
+                         size_t removed_len, int64_t now_ms)
 {
-    bool incarnation_ended = gone_len > 0;
-    for (size_t i = 0; i < gone_len; i++) {
-        struct rk_place_vm *v = rk_place_find(p, gone[i]);
+    bool incarnation_ended = removed_len > 0;
+    for (size_t i = 0; i < removed_len; i++) {
+        struct rk_place_vm *v = rk_place_find(p, removed[i]);
         if (v)
             v->listed = false;
     }
--- a/core/place.h
+++ b/core/place.h
@@ -92,7 +92,7 @@
     /* Announced recently; otherwise no call uses a version that is still limited to
      * a share of the calls or to one VM. */
     bool is_fresh;
-    struct rk_canary_rows seen;
+    struct rk_canary_rows canary_rows;
 };
 
 /* A segment of a prompt. */
@@ -135,12 +135,12 @@
  * get no new calls; their records are freed when their last call ends. */
 void rk_place_set_vms(struct rk_place *p, const struct rk_vm_row *rows, size_t len,
                       int64_t now_ms);
-/* Applies changes to the list of VMs: gone holds the ids of VMs that were
+/* Applies changes to the list of VMs: removed holds the ids of VMs that were
  * removed, rows those that were added or changed. Unlike rk_place_set_vms(), the
  * cost grows with the number of changes. */
 void rk_place_change_vms(struct rk_place *p, const struct rk_vm_row *rows,
-                         size_t len, const char (*gone)[RK_ID_MAX], size_t gone_len,
-                         int64_t now_ms);
+                         size_t len, const char (*removed)[RK_ID_MAX],
+                         size_t removed_len, int64_t now_ms);
 /* Replaces the rollout rules. Statistics of rollouts that continue are kept.
  * is_fresh: the rules were announced recently. Rules beyond the first RK_ROLLOUTS
  * are ignored. */
@@ -234,7 +234,8 @@
     bool engine;
     bool got_first_byte; /* got its first byte, or ended without one */
     bool resumes_stream; /* resumes a stream: excluded from latency measurement */
-    /* Its route in the rollout's statistics; NULL: it isn't counted there. */
+    /* Route of the call in the rollout's statistics; NULL: it isn't counted there.
+     */
     const char *canary_route;
 };
 
@@ -276,7 +277,7 @@
 /* Applies the signals of an answer that the VM sent just now. Returns what
  * changed, as bits RK_VM_..._CHANGED. */
 unsigned rk_place_apply_signals(struct rk_place *p, struct rk_place_vm *vm,
-                                const struct rk_vm_advertised *said,
+                                const struct rk_vm_advertised *advertised,
                                 int64_t now_ms);
 /* Merges the signals that the control thread knows, and sets this node's share of
  * each limit. */
--- a/core/place_rollouts.c
+++ b/core/place_rollouts.c
@@ -16,16 +16,16 @@
 
 /* Returns how many VMs of the rollout's new version that aren't leaving rank before
  * this one by rendezvous hashing. All nodes agree by this on the VMs that get
- * calls, and each new turn number selects other VMs. */
+ * calls, and each new rotation selects other VMs. */
 static size_t count_ranked_before(const struct rk_place *p,
                                   const struct rk_place_vm *v)
 {
-    uint64_t turn = v->rollout->rule.rotation,
-             own = rk_hash(turn, &v->hash, sizeof(v->hash));
+    uint64_t rotation = v->rollout->rule.rotation,
+             own = rk_hash(rotation, &v->hash, sizeof(v->hash));
     size_t count = 0;
     for (const struct rk_place_vm *o = p->vms; o; o = o->next)
         count += o->rollout == v->rollout && o->is_new && !o->row.leaving &&
-                 rk_hash(turn, &o->hash, sizeof(o->hash)) > own;
+                 rk_hash(rotation, &o->hash, sizeof(o->hash)) > own;
     return count;
 }
 
@@ -64,7 +64,7 @@
     if (!r)
         return;
     if (strcmp(r->rule.version, rule->version) != 0)
-        r->seen.len = 0; /* statistics of an earlier rollout */
+        r->canary_rows.len = 0; /* statistics of an earlier rollout */
     r->rule = *rule;
     r->is_fresh = is_fresh;
 }
@@ -137,6 +137,6 @@
         r->rule.phase == RK_ROLLOUT_ROLLED_BACK)
         return NULL;
     struct rk_canary_row *row =
-        rk_canary_get_row(&r->seen, route, vm->row.domain, vm->is_new);
+        rk_canary_get_row(&r->canary_rows, route, vm->row.domain, vm->is_new);
     return row ? &row->stats : NULL;
 }
--- a/core/place_signals.c
+++ b/core/place_signals.c
@@ -19,9 +19,11 @@
 }
 
 unsigned rk_place_apply_signals(struct rk_place *p, struct rk_place_vm *vm,
-                                const struct rk_vm_advertised *said, int64_t now_ms)
+                                const struct rk_vm_advertised *advertised,
+                                int64_t now_ms)
 {
-    bool has_signals = said->limited || said->leaving || said->cooldown_ms > 0;
+    bool has_signals =
+        advertised->limited || advertised->leaving || advertised->cooldown_ms > 0;
     if (!vm->signal && !has_signals)
         return 0;
     if (!vm->signal)
@@ -29,7 +31,7 @@
             rk_vm_signals_get_or_add(&p->signals, vm->hash, vm->row.domain, now_ms);
     if (!vm->signal)
         return 0;
-    unsigned changed = rk_vm_signal_apply(vm->signal, said, now_ms);
+    unsigned changed = rk_vm_signal_apply(vm->signal, advertised, now_ms);
     if (vm->signal->senders == RK_SENDERS_UNKNOWN && p->nodes > 0)
         rk_vm_signal_set_senders(vm->signal, p->nodes, now_ms);
     apply_leaving(vm, now_ms);
--- a/core/plan.h
+++ b/core/plan.h
@@ -4,7 +4,7 @@
  *
  * The floor: work that must be answered now runs on VMs that cannot all be
  * reclaimed at once. All reclaimable VMs of a failure domain may go in one wave, so
- * the floor is on-demand VMs, less the spare capacity of other failure domains.
+ * the floor is on-demand VMs, less the free slots of other failure domains.
  * Everything above the floor goes to the class with the lowest effective price,
  * which includes the tokens that have to be computed again after reclaims. Prices
  * change: a VM that has become much more expensive than another class is replaced,
@@ -40,7 +40,7 @@
     int slots_per_vm;
     double demand_slots;    /* all work in flight, smoothed */
     double urgent_slots;    /* work that must be answered now */
-    double elsewhere_slots; /* spare in other failure domains, for a wave of
+    double elsewhere_slots; /* free in other failure domains, for a wave of
                                reclaims */
     int min_vms;
     double headroom;                      /* share of slots kept free, e.g. 0.25 */
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -48,7 +48,7 @@
     enum rk_suspicion suspicion;
 };
 
-/* What is known of one request. */
+/* Record of one suspected or quarantined request. */
 struct rk_quarantine_row {
     uint64_t request; /* hash of the request */
     char org[RK_ID_MAX], route[RK_ID_MAX];
--- a/core/quota.c
+++ b/core/quota.c
@@ -214,8 +214,8 @@
                                  const struct rk_quota_org *o, int64_t now_ms)
 {
     double age_ms = (double)(now_ms - q->unknown_before_ms);
-    double seen = rk_quota_demand(o, now_ms) + o->peers_demand;
-    return fmax(seen / (1 - exp(-age_ms / DEMAND_TAU_MS)), o->restored_asking);
+    double observed = rk_quota_demand(o, now_ms) + o->peers_demand;
+    return fmax(observed / (1 - exp(-age_ms / DEMAND_TAU_MS)), o->restored_demand);
 }
 
 /* Returns the usage to assume before a restart of all nodes: the persisted usage if
@@ -336,14 +336,14 @@
 }
 
 void rk_quota_restore(struct rk_quota *q, const char *org,
-                      const double slices[RK_QUOTA_SLICES], double asking,
+                      const double slices[RK_QUOTA_SLICES], double demand_per_s,
                       int64_t age_ms, int64_t now_ms)
 {
     struct rk_quota_org *o = find_or_add(q, org);
     if (!q->unknown_before_ms)
         return; /* own or a peer's data is more complete */
     advance(q, o, now_ms);
-    o->restored_asking = asking;
+    o->restored_demand = demand_per_s;
     double all = 0, newest = slices[0] > slices[1] ? slices[0] : slices[1];
     int64_t slice_ms = q->window_ms / RK_QUOTA_SLICES;
     /* A persisted record does not say when within a slice the units were used. They
@@ -444,11 +444,11 @@
 static double admitted_share(const struct rk_quota *q, const struct rk_quota_org *o,
                              double free_units, int64_t now_ms)
 {
-    double peers_asking = o->peers_demand;
-    if (in_restart_grace(q, now_ms) && o->restored_asking > peers_asking)
-        peers_asking = o->restored_asking;
+    double peers_demand = o->peers_demand;
+    if (in_restart_grace(q, now_ms) && o->restored_demand > peers_demand)
+        peers_demand = o->restored_demand;
     double demand_per_ms =
-        (rk_quota_demand(o, now_ms) + peers_asking) / RK_MS_PER_S;
+        (rk_quota_demand(o, now_ms) + peers_demand) / RK_MS_PER_S;
     double peers_per_ms = peers_rate(o, now_ms); /* follows a rise sooner */
     if (peers_per_ms > demand_per_ms)
         demand_per_ms = peers_per_ms;
@@ -484,11 +484,11 @@
     q->reachable[now % RK_QUOTA_BUCKETS] = share;
 }
 
-void rk_quota_set_reachable(struct rk_quota *q, int nodes_heard, int nodes_total,
-                            int64_t now_ms)
+void rk_quota_set_reachable(struct rk_quota *q, int nodes_reachable,
+                            int nodes_total, int64_t now_ms)
 {
     double before = reachable_share(q, now_ms);
-    q->nodes_reachable = nodes_heard;
+    q->nodes_reachable = nodes_reachable;
     q->nodes_total = nodes_total;
     double share = reachable_share(q, now_ms);
     if (share > before * REJOIN_RATIO)
--- a/core/quota.h
+++ b/core/quota.h
@@ -41,7 +41,7 @@
     int64_t old_quota_until_ms;
     /* Units used by all nodes before a restart. */
     double restored[RK_QUOTA_BUCKETS];
-    double restored_asking; /* units/s requested at all nodes before it */
+    double restored_demand; /* units/s requested at all nodes before it */
 };
 
 /* Quota state of one node. */
@@ -90,8 +90,8 @@
 };
 
 /* Sets how many nodes are reachable out of all nodes, both including this one. */
-void rk_quota_set_reachable(struct rk_quota *q, int nodes_heard, int nodes_total,
-                            int64_t now_ms);
+void rk_quota_set_reachable(struct rk_quota *q, int nodes_reachable,
+                            int nodes_total, int64_t now_ms);
 
 /* Decides whether a call that costs `units` is admitted, and counts it if so. rate:
  * units/s, 0: no limit; burst: units on top of the rate in each window. A lowered
@@ -137,11 +137,11 @@
 bool rk_quota_is_complete(const struct rk_quota *q, int64_t now_ms);
 
 /* Adds usage persisted before a restart. slices is what all nodes used, in units
- * per window slice, newest first; asking is their demand in units/s; age_ms is the
- * age of this record. Also adds an estimate of what was used after the record was
- * written. All of it counts until a peer reports its own data. */
+ * per window slice, newest first; demand_per_s is their demand in units/s; age_ms
+ * is the age of this record. Also adds an estimate of what was used after the
+ * record was written. All of it counts until a peer reports its own data. */
 void rk_quota_restore(struct rk_quota *q, const char *org,
-                      const double slices[RK_QUOTA_SLICES], double asking,
+                      const double slices[RK_QUOTA_SLICES], double demand_per_s,
                       int64_t age_ms, int64_t now_ms);
 
 /* Ends a series of rk_quota_restore() calls. If the record is recent enough
--- a/core/rollout.h
+++ b/core/rollout.h
@@ -53,7 +53,7 @@
     int64_t rollback_ms;
 };
 
-/* What all nodes apply to the calls of one service. */
+/* Rule of a rollout that all nodes apply to the calls of its service. */
 struct rk_rollout_rule {
     char service[RK_ID_MAX];
     char version[RK_VERSION_MAX]; /* the new version */
@@ -72,7 +72,7 @@
     double old_running; /* calls in flight on old VMs, over all nodes */
 };
 
-/* What the leader bases a decision on. */
+/* Input of the leader's decisions on a rollout. */
 struct rk_rollout_input {
     int64_t now_ms;
     size_t old_vms, new_vms; /* VMs that accept calls */
--- a/core/router.c
+++ b/core/router.c
@@ -479,7 +479,7 @@
     release_vm(r, job, true, now_ms);
     job->is_retry = true;
     fill_waiter(job);
-    /* It has waited in the queue once, so that it is not deferred again, even if it
+    /* The job has waited in the queue once, so it is not deferred again, even if it
      * is deferrable. */
     job->waiter.deferrable = false;
     rk_fair_queue_push(job->svc->queue, &job->waiter);
@@ -525,9 +525,9 @@
         const struct rk_service *svc = &r->services[n];
         if (!svc->used || !svc->live_vms)
             continue;
-        double spare = total_limit(r, svc) - svc->in_flight;
-        if (spare < least)
-            least = spare;
+        double free_slots = total_limit(r, svc) - svc->in_flight;
+        if (free_slots < least)
+            least = free_slots;
         any = true;
     }
     return any && least > 0 ? (uint32_t)least : 0;
--- a/core/token_stream.h
+++ b/core/token_stream.h
@@ -13,7 +13,7 @@
 
 #define RK_SSE_LINE_MAX (64 * 1024) /* bytes */
 
-/* What to do with a received token. */
+/* How to handle a received token. */
 enum rk_token_action {
     RK_TOKEN_DELIVER, /* it is the next one: pass it on */
     RK_TOKEN_REPEAT,  /* the caller already has it: drop it */
--- a/core/verdict.h
+++ b/core/verdict.h
@@ -22,7 +22,7 @@
     int64_t cooldown_ms; /* cooldown that the upstream requested; 0: none */
 };
 
-/* What the settings guarantee about the refusals of a service's upstreams. */
+/* Guarantees of the settings about the refusals of a service's upstreams. */
 struct rk_refusal_contract {
     bool refusal_not_run; /* a 429 or 503 proves that the request did not run */
 };
--- a/core/vm_signals.c
+++ b/core/vm_signals.c
@@ -23,43 +23,43 @@
 
 /* Returns the table key of an incarnation: the hash itself in the place of a
  * pointer. */
-static void *table_key(uint64_t life)
+static void *table_key(uint64_t incarnation)
 {
-    return (void *)(uintptr_t)life;
+    return (void *)(uintptr_t)incarnation;
 }
 
 struct rk_vm_signal *rk_vm_signals_find(const struct rk_vm_signals *s,
-                                        uint64_t life)
+                                        uint64_t incarnation)
 {
     void *row = NULL;
     if (s->by_incarnation)
-        lh_table_lookup_ex(s->by_incarnation, table_key(life), &row);
+        lh_table_lookup_ex(s->by_incarnation, table_key(incarnation), &row);
     return row;
 }
 
 /* Returns true unless the value is one of the two that mark free slots in the
  * table. */
-static bool is_usable_key(uint64_t life)
+static bool is_usable_key(uint64_t incarnation)
 {
-    return table_key(life) != LH_EMPTY && table_key(life) != LH_FREED;
+    return table_key(incarnation) != LH_EMPTY && table_key(incarnation) != LH_FREED;
 }
 
 struct rk_vm_signal *rk_vm_signals_get_or_add(struct rk_vm_signals *s,
-                                              uint64_t life, const char *domain,
-                                              int64_t now_ms)
+                                              uint64_t incarnation,
+                                              const char *domain, int64_t now_ms)
 {
-    struct rk_vm_signal *v = rk_vm_signals_find(s, life);
+    struct rk_vm_signal *v = rk_vm_signals_find(s, incarnation);
     if (v)
         return v;
-    if (!is_usable_key(life) || rk_vm_signals_len(s) >= RK_VM_SIGNALS_MAX)
+    if (!is_usable_key(incarnation) || rk_vm_signals_len(s) >= RK_VM_SIGNALS_MAX)
         return NULL;
     if (!s->by_incarnation)
         s->by_incarnation = lh_kptr_table_new(INITIAL_ROWS, free_row);
     v = rk_alloc(1, sizeof(*v));
-    v->incarnation = life;
+    v->incarnation = incarnation;
     v->last_received_ms = now_ms;
     rk_strcpy(v->domain, sizeof(v->domain), domain);
-    lh_table_insert(s->by_incarnation, table_key(life), v);
+    lh_table_insert(s->by_incarnation, table_key(incarnation), v);
     return v;
 }
 
--- a/core/vm_signals.h
+++ b/core/vm_signals.h
@@ -69,12 +69,12 @@
 /* Returns the record of an incarnation, or NULL if there is none. The table owns
  * it; it is valid until rk_vm_signals_expire() or rk_vm_signals_free(). */
 struct rk_vm_signal *rk_vm_signals_find(const struct rk_vm_signals *s,
-                                        uint64_t life);
+                                        uint64_t incarnation);
 /* Returns the record of an incarnation, which is created if needed. Returns NULL
  * if the table is full, or the hash can't be a key. Ownership as above. */
 struct rk_vm_signal *rk_vm_signals_get_or_add(struct rk_vm_signals *s,
-                                              uint64_t life, const char *domain,
-                                              int64_t now_ms);
+                                              uint64_t incarnation,
+                                              const char *domain, int64_t now_ms);
 /* Returns the number of nodes that share the VM's limit, or 0 if this node is
  * not one of them. own is the hash of this node's id, others the hashes of the
  * other nodes that may be chosen. Nodes that know the same set agree on the
--- a/engines/management.c
+++ b/engines/management.c
@@ -19,16 +19,16 @@
     void *ctx;
 };
 
-static void on_answer(void *ctx, const struct rk_rest_answer *answer)
+static void on_response(void *ctx, const struct rk_rest_response *response)
 {
     struct op *op = ctx;
     if (op->on_order) {
-        op->on_order(op->ctx, answer->status);
+        op->on_order(op->ctx, response->status);
     } else if (op->on_kv) {
-        op->on_kv(op->ctx, answer->status);
+        op->on_kv(op->ctx, response->status);
     } else {
-        struct json_object *o = json_tokener_parse(answer->body);
-        enum rk_status st = answer->status;
+        struct json_object *o = json_tokener_parse(response->body);
+        enum rk_status st = response->status;
         if (st == RK_OK && !json_object_is_type(o, json_type_object))
             st = RK_EPROTO;
         op->on_load(op->ctx, st, (uint32_t)rk_json_int(o, "running", 0),
@@ -46,7 +46,7 @@
     char url[URL_MAX];
     snprintf(url, sizeof(url), "http://%s/load", addr);
     const struct rk_rest_call call = {.method = "GET", .url = url};
-    rk_rest_start(http, &call, on_answer, op);
+    rk_rest_start(http, &call, on_response, op);
 }
 
 void rk_engine_kv_import(struct rk_http *http, const char *addr, const char *from,
@@ -62,7 +62,7 @@
                   from, request_id, body);
     const struct rk_rest_call call = {
         .method = "POST", .url = url, .body = b.data, .call_timeout_ms = wait_ms};
-    rk_rest_start(http, &call, on_answer, op);
+    rk_rest_start(http, &call, on_response, op);
     rk_buf_free(&b);
 }
 
@@ -78,5 +78,5 @@
              "{\"order\":\"%s\",\"argument\":\"%s\",\"epoch\":%" PRId64 "}", order,
              argument, epoch);
     const struct rk_rest_call call = {.method = "POST", .url = url, .body = body};
-    rk_rest_start(http, &call, on_answer, op);
+    rk_rest_start(http, &call, on_response, op);
 }
--- a/keeper/keeper.c
+++ b/keeper/keeper.c
@@ -393,16 +393,16 @@
 }
 
 /* Returns how many more calls the nodes of other failure domains could take. */
-static double spare_in_other_domains(const struct rk_keeper *k)
+static double free_slots_in_other_domains(const struct rk_keeper *k)
 {
-    double spare = 0;
+    double free_slots = 0;
     for (size_t i = 0; i < rk_members_count(k->members); i++) {
         const struct rk_member *m = rk_members_at(k->members, i);
         if (m->state == RK_MEMBER_ALIVE && !m->leaving &&
             strcmp(m->domain, k->procfile->failure_domain) != 0)
-            spare += m->spare;
+            free_slots += m->free_slots;
     }
-    return spare;
+    return free_slots;
 }
 
 /* Plans the VMs of a service and executes the plan. */
@@ -421,7 +421,7 @@
         .slots_per_vm = (int)p->slots,
         .demand_slots = svc->demand,
         .urgent_slots = svc->demand * URGENT_DEMAND_SHARE,
-        .elsewhere_slots = spare_in_other_domains(k),
+        .elsewhere_slots = free_slots_in_other_domains(k),
         .min_vms = (int)p->min_vms,
         .headroom = HEADROOM,
         .weight_cost = k->config->weight_cost,
--- a/node/leader.c
+++ b/node/leader.c
@@ -99,7 +99,7 @@
         k->lost_ms = rk_mono_ms();
     RK_EVENT(held ? "lease.taken" : "lease.lost",
              RK_N("epoch", k->lease.held_epoch),
-             RK_S("seen_holder", k->lease.seen_holder),
+             RK_S("seen_holder", k->lease.observed_holder),
              RK_N("seen_epoch", k->lease.epoch));
 }
 
@@ -163,7 +163,7 @@
  * if there were no bridge. */
 static bool is_candidate(const struct rk_leader *k)
 {
-    int64_t since_ms = k->lease.seen_ms ? k->lease.seen_ms : k->started_ms;
+    int64_t since_ms = k->lease.observed_ms ? k->lease.observed_ms : k->started_ms;
     bool listed = rk_mesh_has_node_list(k->n->mesh) ||
                   rk_mono_ms() - k->started_ms > NODE_LIST_WAIT_MS;
     return k->was_held || (listed && rk_mesh_is_candidate(k->n->mesh)) ||
@@ -176,7 +176,7 @@
     struct rk_store *store = k->n->store;
     if (k->lease_busy || !is_candidate(k))
         return;
-    if (!k->lease.seen_ms || k->must_read) {
+    if (!k->lease.observed_ms || k->must_read) {
         read_lease(k);
         return;
     }
@@ -232,17 +232,17 @@
 
 void rk_leader_id(const struct rk_leader *k, char id[RK_ID_MAX])
 {
-    rk_strcpy(id, RK_ID_MAX, k->lease.seen_holder);
+    rk_strcpy(id, RK_ID_MAX, k->lease.observed_holder);
     id[strcspn(id, "/")] = '\0';
 }
 
 /* The platform has seen a higher fencing token, so there is a newer leader: gives
  * the lease up. */
-static void handle_refusal(struct rk_leader *k, const char *duty,
+static void handle_refusal(struct rk_leader *k, const char *action,
                            const char *detail)
 {
-    RK_WARN("duty.refused", RK_S("duty", duty), RK_N("epoch", k->lease.held_epoch),
-            RK_S("detail", detail));
+    RK_WARN("duty.refused", RK_S("duty", action),
+            RK_N("epoch", k->lease.held_epoch), RK_S("detail", detail));
     k->lease.held = false;
     k->lease.held_epoch = -1;
     k->must_read = true;
@@ -291,13 +291,12 @@
 static void report_window(struct window *w)
 {
     struct rk_leader *k = w->k;
-    struct rk_leader_api *duties = k->n->duties;
+    struct rk_leader_api *api = k->n->leader_api;
     struct rk_leader_token t;
     if (!get_token(k, &t))
         return;
     w->state = WINDOW_REPORTING;
-    duties->ops->report_usage(duties, &t, w->number, w->counts, on_usage_reported,
-                              w);
+    api->ops->report_usage(api, &t, w->number, w->counts, on_usage_reported, w);
 }
 
 static void on_window_stored(void *ctx, enum rk_status st,
@@ -405,7 +404,7 @@
 {
     char id[RK_ID_MAX];
     rk_leader_id(k, id);
-    int64_t since_renewal_ms = rk_mono_ms() - k->lease.seen_ms;
+    int64_t since_renewal_ms = rk_mono_ms() - k->lease.observed_ms;
     return rk_mesh_is_reachable(k->n->mesh, id) &&
            since_renewal_ms < k->lease.ttl_ms * 2 / 3;
 }
--- a/node/mesh.c
+++ b/node/mesh.c
@@ -173,12 +173,12 @@
         rk_leader_note_lease(m->n->leader, lease->version, lease->value);
 }
 
-void rk_mesh_request_uses(struct rk_link *link, bool known)
+void rk_mesh_request_uses(struct rk_link *link, bool with_history)
 {
     Rillknot__StoreWanted request = RILLKNOT__STORE_WANTED__INIT;
     Rillknot__Frame frame = RILLKNOT__FRAME__INIT;
     request.uses = true;
-    request.known = known;
+    request.known = with_history;
     frame.body_case = RILLKNOT__FRAME__BODY_STORE_WANTED;
     frame.store_wanted = &request;
     rk_link_send(link, &frame);
--- a/node/mesh_impl.h
+++ b/node/mesh_impl.h
@@ -55,7 +55,7 @@
     struct rk_totals baseline_uses, baseline_reads;
 };
 
-/* What was sent, and has been requested, over one link. */
+/* State of one link: what was sent over it, and what the peer requested. */
 struct link_state {
     bool settings_requested; /* by the peer, not sent yet */
     bool list_requested;     /* the whole VM list, not sent yet */
@@ -147,8 +147,8 @@
     struct rk_usage_sent own_usage_sent, domain_usage_sent;
     struct rk_totals
         uses_reported; /* own units by organisation, as reported last */
-    /* uses_wanted: the next report has all rows of quota usage; known_wanted: it
-     * also has the quota history. */
+    /* Whether the next report has to contain all rows of quota usage, and the quota
+     * history. */
     bool uses_requested, history_requested;
     int64_t
         history_requested_ms; /* when a node's quota history was requested last */
@@ -164,11 +164,11 @@
     int64_t member_removed_ms;     /* when a member was removed last; 0: never */
     bool registered;               /* this node is in the store's list of nodes */
     bool has_node_list;            /* this node knows who is in that list */
-    int64_t list_requested_ms;     /* changes of the VM list, last */
+    int64_t list_requested_ms;     /* when changes of the VM list were requested */
     /* The link over which settings were requested last; compared, never read. */
     const struct link_state *settings_source;
     int64_t settings_requested_ms; /* 0: never, or newer ones arrived since */
-    int64_t fleet_members_ms;      /* a digest listed the fleet's members last */
+    int64_t fleet_members_ms; /* when a digest last listed the fleet's members */
     /* Results of the last election. */
     bool direct;          /* a small fleet: each node reports to each */
     int total;            /* nodes of the fleet, this one included */
@@ -253,8 +253,9 @@
 /* For rk_mesh_send(): selects the next hops of data that has to reach all nodes,
  * sent by the nodes that observed it and forwarded by bridges. */
 bool rk_mesh_forwards_to(const struct member *k, const void *ctx);
-/* Requests all rows of quota usage from a peer; known: and its quota history. */
-void rk_mesh_request_uses(struct rk_link *link, bool known);
+/* Requests all rows of quota usage from a peer; with_history: also its
+ * quota history. */
+void rk_mesh_request_uses(struct rk_link *link, bool with_history);
 /* Requests settings or VM list changes from a peer that has newer ones. */
 void rk_mesh_request_if_behind(struct rk_mesh *m, struct rk_link *link,
                                const struct link_state *state,
--- a/node/node.c
+++ b/node/node.c
@@ -324,7 +324,7 @@
     n->loop = rk_loop_create();
     n->http = rk_http_create(n->loop);
     n->store = n->platform->create_store(n->http, n->file.platform);
-    n->duties = n->platform->create_duties(n->http, n->file.cloud);
+    n->leader_api = n->platform->create_leader_api(n->http, n->file.cloud);
     n->sync = rk_sync_create(n);
     n->persist = rk_persist_create(n);
     n->rollouts = rk_rollouts_create(n);
@@ -372,7 +372,7 @@
     rk_quarantines_destroy(n->quarantines);
     rk_signals_destroy(n->signals);
     rk_sync_destroy(n->sync);
-    n->duties->ops->destroy(n->duties);
+    n->leader_api->ops->destroy(n->leader_api);
     n->store->ops->destroy(n->store);
     if (n->report)
         rk_relay_report_free(n->report);
--- a/node/orders.c
+++ b/node/orders.c
@@ -214,7 +214,7 @@
 static void send_order(struct order *order, const struct rk_service_info *info,
                        const struct rk_leader_token *token, int held, int count)
 {
-    struct rk_leader_api *duties = order->s->o->n->duties;
+    struct rk_leader_api *api = order->s->o->n->leader_api;
     const struct rk_vm_target target = {.service = order->s->name,
                                         .domain =
                                             info->prices[order->domain].domain,
@@ -225,7 +225,7 @@
     order->max_held = 0;
     order->target = count;
     order->ordered_ms = rk_mono_ms();
-    duties->ops->set_vm_count(duties, token, &target, on_ordered, order);
+    api->ops->set_vm_count(api, token, &target, on_ordered, order);
 }
 
 /* Returns whether VMs of the last order may still be booting. */
--- a/node/platform.h
+++ b/node/platform.h
@@ -39,7 +39,8 @@
     /* Create clients for the address "ip:port"; the caller destroys them by their
      * ops->destroy. */
     struct rk_store *(*create_store)(struct rk_http *http, const char *addr);
-    struct rk_leader_api *(*create_duties)(struct rk_http *http, const char *addr);
+    struct rk_leader_api *(*create_leader_api)(struct rk_http *http,
+                                               const char *addr);
 };
 
 /* Returns the driver with a name, statically allocated; NULL: there is none. */
--- a/node/read_delay.c
+++ b/node/read_delay.c
@@ -1,5 +1,6 @@
-/* The read delay of a restarted node: how long it leaves reading the store's long
- * lists to other nodes, and whether those have meanwhile sent it what it needs. */
+/* The read delay of a restarted node: how long it waits before it reads the
+ * store's long lists, and whether other nodes' digests have meanwhile sent it what
+ * it needs. */
 #include "common/eventlog.h"
 #include "common/json.h"
 #include "node/state.h"
--- a/node/state.h
+++ b/node/state.h
@@ -36,7 +36,7 @@
     struct rk_loop *loop;
     struct rk_http *http;
     struct rk_store *store;
-    struct rk_leader_api *duties;
+    struct rk_leader_api *leader_api;
     struct rk_relay *relay;
     struct rk_server *ready_server, *metrics_server;
     struct rk_sync *sync;
@@ -93,7 +93,7 @@
 bool rk_sync_store_reachable(const struct rk_sync *s);
 /* Fills in the reply to a peer's request. Its parts belong to s and are valid until
  * the next call. */
-void rk_sync_fill_reply(struct rk_sync *s, const Rillknot__StoreWanted *wanted,
+void rk_sync_fill_reply(struct rk_sync *s, const Rillknot__StoreWanted *request,
                         Rillknot__StoreText *out);
 /* Applies settings and list changes received from a peer, if they are newer. */
 void rk_sync_receive(struct rk_sync *s, const Rillknot__StoreText *text);
@@ -269,7 +269,7 @@
 /* Applies an announcement received from a peer. Returns false if it isn't newer
  * than the current one, this node is the leader, or rollouts are disabled here. */
 bool rk_rollouts_receive(struct rk_rollouts *r,
-                         const struct rk_rollout_announcement *word);
+                         const struct rk_rollout_announcement *announcement);
 /* Returns the newest announcement, owned by r; NULL: there is none. */
 const struct rk_rollout_announcement *
 rk_rollouts_announcement(const struct rk_rollouts *r);
--- a/node/sync.c
+++ b/node/sync.c
@@ -10,22 +10,22 @@
 
 /* In a large fleet, least time from an answer with changes to the next watch. */
 #define WATCH_INTERVAL_MS 200
-/* The same at a node without the list of nodes: longer than the time until it
- * decides again whether it should watch. */
+/* As WATCH_INTERVAL_MS, at a node without the list of nodes: longer than the time
+ * until it decides again whether it should watch. */
 #define WATCH_INTERVAL_UNLISTED_MS (RK_WATCH_POLICY_CHECK_MS + 50)
 /* The store had an outage if it answered no node for this long. */
 #define STORE_OUTAGE_MS 2600
 
 /* ---- peers ---- */
 
-void rk_sync_fill_reply(struct rk_sync *s, const Rillknot__StoreWanted *wanted,
+void rk_sync_fill_reply(struct rk_sync *s, const Rillknot__StoreWanted *request,
                         Rillknot__StoreText *out)
 {
     rillknot__store_text__init(out);
-    if (wanted->settings && s->routes)
+    if (request->settings && s->routes)
         rk_sync_fill_settings(s, out);
-    if (wanted->list && s->list_known)
-        rk_sync_fill_list(s, wanted->list_since, out);
+    if (request->list && s->list_known)
+        rk_sync_fill_list(s, request->list_since, out);
 }
 
 void rk_sync_receive(struct rk_sync *s, const Rillknot__StoreText *text)
--- a/node/sync_list.c
+++ b/node/sync_list.c
@@ -290,10 +290,10 @@
 /* Reports the new revision. A bridge also sends the changes after `since`. */
 static void push_list(struct rk_sync *s, int64_t since, const char *from)
 {
-    const Rillknot__StoreWanted wanted = {.list = true, .list_since = since};
+    const Rillknot__StoreWanted request = {.list = true, .list_since = since};
     Rillknot__StoreText text = RILLKNOT__STORE_TEXT__INIT;
     if (rk_mesh_is_bridge(s->n->mesh))
-        rk_sync_fill_reply(s, &wanted, &text);
+        rk_sync_fill_reply(s, &request, &text);
     if (text.list_revision || text.zip_revision)
         rk_mesh_push_list(s->n->mesh, &text, !strcmp(from, "store"));
     rk_mesh_schedule_report(s->n->mesh);
--- a/objects/objects.c
+++ b/objects/objects.c
@@ -39,11 +39,11 @@
     free(o);
 }
 
-static void finish_list(struct op *op, const struct rk_rest_answer *answer)
+static void finish_list(struct op *op, const struct rk_rest_response *response)
 {
-    enum rk_status st = answer->status;
+    enum rk_status st = response->status;
     struct json_object *array =
-        st == RK_OK ? json_tokener_parse(answer->body) : NULL;
+        st == RK_OK ? json_tokener_parse(response->body) : NULL;
     if (st == RK_OK && !json_object_is_type(array, json_type_array))
         st = RK_EPROTO;
     size_t len = st == RK_OK ? json_object_array_length(array) : 0;
@@ -55,22 +55,23 @@
         objects[i].version = rk_json_int(row, "version", 0);
         objects[i].value = rk_json_str(row, "value");
     }
-    op->on_list(op->ctx, st, objects, len, answer->revision);
+    op->on_list(op->ctx, st, objects, len, response->revision);
     free(objects);
     json_object_put(array);
 }
 
-static void on_done(void *ctx, const struct rk_rest_answer *answer)
+static void on_done(void *ctx, const struct rk_rest_response *response)
 {
     struct op *op = ctx;
     if (op->on_write) {
-        op->on_write(op->ctx, answer->status, answer->version);
+        op->on_write(op->ctx, response->status, response->version);
     } else if (op->on_list) {
-        finish_list(op, answer);
+        finish_list(op, response);
     } else {
-        struct rk_object o = {.version = answer->version, .value = answer->body};
+        struct rk_object o = {.version = response->version,
+                              .value = response->body};
         rk_strcpy(o.name, sizeof(o.name), op->name);
-        op->on_read(op->ctx, answer->status, &o);
+        op->on_read(op->ctx, response->status, &o);
     }
     free(op);
 }
--- a/operators/settings_session.c
+++ b/operators/settings_session.c
@@ -281,11 +281,11 @@
 
 /* ---- pages ---- */
 
-static void on_page_read(void *ctx, const struct rk_rest_answer *a)
+static void on_page_read(void *ctx, const struct rk_rest_response *response)
 {
     struct rk_session *s = ctx;
-    s->status = a->http_status ? RK_OK : a->status;
-    s->value = rk_strdup(a->body);
+    s->status = response->http_status ? RK_OK : response->status;
+    s->value = rk_strdup(response->body);
     s->done = true;
 }
 
--- a/peers/rows.c
+++ b/peers/rows.c
@@ -16,7 +16,7 @@
     row->state = m->state;
     row->attr_seq = m->attr_seq;
     row->head = m->applied_version;
-    row->spare = m->spare;
+    row->spare = m->free_slots;
     row->leaving = m->leaving;
 }
 
@@ -97,7 +97,7 @@
         .leaving = row->leaving,
         .attr_seq = row->attr_seq,
         .applied_version = row->head,
-        .spare = row->spare,
+        .free_slots = row->spare,
     };
     return row->id[0] && rk_strcpy(out->id, sizeof(out->id), row->id) &&
            rk_strcpy(out->domain, sizeof(out->domain), row->domain) &&
--- a/serve/exchange_attempts.c
+++ b/serve/exchange_attempts.c
@@ -18,10 +18,10 @@
  * other calls. */
 #define UNANNOUNCED_LOSSES_MAX 3
 /* An answer with this HTTP status or above does not count as the loss of a VM. */
-#define FIRST_ERROR_STATUS  300
-#define ANSWER_TEXT_MAX     (1024 * 1024) /* bytes */
-#define SPARE_INTERVAL_MS   100
-#define RECHECK_INTERVAL_MS 25
+#define FIRST_ERROR_STATUS     300
+#define ANSWER_TEXT_MAX        (1024 * 1024) /* bytes */
+#define FREE_SLOTS_INTERVAL_MS 100
+#define RECHECK_INTERVAL_MS    25
 
 static void finish_ok(struct rk_exchange *x, int status)
 {
@@ -292,19 +292,19 @@
         start_service(x);
 }
 
-static void publish_spare(struct rk_traffic *t, int64_t now_ms)
+static void publish_free_slots(struct rk_traffic *t, int64_t now_ms)
 {
-    if (now_ms - t->spare_ms < SPARE_INTERVAL_MS)
+    if (now_ms - t->free_slots_ms < FREE_SLOTS_INTERVAL_MS)
         return;
-    t->spare_ms = now_ms;
-    atomic_store_explicit(&t->spare_slots, rk_router_free_slots(t->router),
+    t->free_slots_ms = now_ms;
+    atomic_store_explicit(&t->free_slots, rk_router_free_slots(t->router),
                           memory_order_relaxed);
 }
 
 void rk_exchange_dispatch(struct rk_traffic *t)
 {
     struct rk_job *job;
-    publish_spare(t, rk_mono_ms());
+    publish_free_slots(t, rk_mono_ms());
     while ((job = rk_router_next(t->router, rk_mono_ms())))
         send_attempt((struct rk_exchange *)((char *)job -
                                             offsetof(struct rk_exchange, job)));
--- a/serve/exchange_impl.h
+++ b/serve/exchange_impl.h
@@ -105,7 +105,7 @@
 void rk_exchange_queue(struct rk_exchange *x);
 
 /* exchange_placement.c: handles a call that no VM of this failure domain can take.
- * It is forwarded to another domain with spare capacity. Failing that, a repeatable
+ * It is forwarded to another domain with free slots. Failing that, a repeatable
  * call may go again to VMs that failed it, if reached is true (the failed VM had
  * been reached). Otherwise the call ends now instead of waiting for its deadline.
  */
--- a/serve/exchange_placement.c
+++ b/serve/exchange_placement.c
@@ -1,5 +1,5 @@
 /* Decides where an exchange runs: in the local queue, at the peer that owns the
- * shard of its key, or at a peer in another failure domain with spare capacity. */
+ * shard of its key, or at a peer in another failure domain with free slots. */
 #include <stdio.h>
 #include <string.h>
 
@@ -34,8 +34,8 @@
     return true;
 }
 
-/* Forwards the call to a live peer in another failure domain that reports spare
- * capacity. Returns false if there is none. */
+/* Forwards the call to a live peer in another failure domain that reports free
+ * slots. Returns false if there is none. */
 static bool spill(struct rk_exchange *x)
 {
     const struct rk_view *v = rk_traffic_view(x->t);
@@ -44,7 +44,7 @@
     uint32_t start = rk_rng_below(&x->t->rng, (uint32_t)v->peers_len);
     for (size_t i = 0; i < v->peers_len; i++) {
         const struct rk_member *p = &v->peers[(start + i) % v->peers_len];
-        if (p->state != RK_MEMBER_ALIVE || p->leaving || !p->spare ||
+        if (p->state != RK_MEMBER_ALIVE || p->leaving || !p->free_slots ||
             !strcmp(p->domain, v->domain) || !strcmp(p->id, x->peer))
             continue;
         x->spills++;
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -103,10 +103,10 @@
         use->demand_tokens = r->services[i].uncached_prompt_tokens;
         use->engine = rk_engine_get_estimate(
             &rk_place_service_speed(r->place, use->service)->engine);
-        struct rk_place_in_flight in_hand =
+        struct rk_place_in_flight in_flight =
             rk_place_in_flight(r->place, use->service);
-        use->running = in_hand.running;
-        use->begun = in_hand.first_byte_received;
+        use->running = in_flight.running;
+        use->begun = in_flight.first_byte_received;
     }
 }
 
@@ -120,12 +120,12 @@
         report->canaries =
             rk_realloc(report->canaries,
                        (report->canaries_len + 1) * sizeof(*report->canaries));
-        struct rk_rollout_stats *seen = &report->canaries[report->canaries_len++];
-        *seen = (struct rk_rollout_stats){
-            .rows = from->seen,
+        struct rk_rollout_stats *stats = &report->canaries[report->canaries_len++];
+        *stats = (struct rk_rollout_stats){
+            .rows = from->canary_rows,
             .old_running = rk_place_old_version_running(from, r->place)};
-        rk_strcpy(seen->service, sizeof(seen->service), from->rule.service);
-        rk_strcpy(seen->version, sizeof(seen->version), from->rule.version);
+        rk_strcpy(stats->service, sizeof(stats->service), from->rule.service);
+        rk_strcpy(stats->version, sizeof(stats->version), from->rule.version);
     }
 }
 
@@ -486,8 +486,8 @@
 void rk_relay_begin_stop(struct rk_relay *r, int64_t ends_in_ms)
 {
     int64_t now_ms = rk_mono_ms();
-    atomic_store(&r->close_ends_ms, now_ms + ends_in_ms);
-    atomic_store(&r->close_began_ms, now_ms);
+    atomic_store(&r->stop_ends_ms, now_ms + ends_in_ms);
+    atomic_store(&r->stop_began_ms, now_ms);
     rk_loop_post(r->loop, apply_close, r);
 }
 
--- a/serve/relay.h
+++ b/serve/relay.h
@@ -51,7 +51,7 @@
 rk_service_load_find(const struct rk_service_load *services, size_t len,
                      const char *service);
 
-/* What a relay reports to control every 200 ms. The report owns its arrays. */
+/* Report of a relay to control, made every 200 ms. It owns its arrays. */
 struct rk_relay_report {
     struct rk_vm_load *loads; /* load of VMs caused by this node's calls */
     size_t loads_len;
--- a/serve/relay_answer.c
+++ b/serve/relay_answer.c
@@ -20,13 +20,13 @@
 {
     if (x->job.got_first_byte)
         return;
-    int64_t now_ms = rk_mono_ms(), seen_ms = now_ms - x->job.sent_ms;
-    int64_t late_ms = seen_ms - (int64_t)x->job.expected_ms;
+    int64_t now_ms = rk_mono_ms(), observed_ms = now_ms - x->job.sent_ms;
+    int64_t late_ms = observed_ms - (int64_t)x->job.expected_ms;
     rk_place_note_first_byte(x->vm, &x->job, now_ms);
     rk_latency_observe(RK_LATENCY_FIRST_BYTE_ERROR, x->query.service,
                        late_ms > 0 ? "late" : "early",
                        late_ms > 0 ? late_ms : -late_ms);
-    rk_call_log_first_byte(x, seen_ms);
+    rk_call_log_first_byte(x, observed_ms);
 }
 
 /* Counts the request in its organisation's usage. A request counts once, however
--- a/serve/relay_call.h
+++ b/serve/relay_call.h
@@ -52,7 +52,7 @@
     struct rk_timer report_timer;
     int64_t signals_expired_ms; /* last expiry of VM signals, monotonic */
     /* Begin and end of a planned stop, monotonic; 0: none. Set from any thread. */
-    _Atomic int64_t close_began_ms, close_ends_ms;
+    _Atomic int64_t stop_began_ms, stop_ends_ms;
 };
 
 /* Starts a call for the complete request of a client, or refuses it. */
--- a/serve/relay_log.c
+++ b/serve/relay_log.c
@@ -26,12 +26,12 @@
              RK_N("home", rk_place_preferred_index(x->r->place, &x->query, x->vm)));
 }
 
-void rk_call_log_first_byte(const struct rk_relay_call *x, int64_t seen_ms)
+void rk_call_log_first_byte(const struct rk_relay_call *x, int64_t observed_ms)
 {
     if (is_sampled(x))
         RK_EVENT("call.first", RK_S("request", x->id), RK_S("vm", x->vm->row.id),
                  RK_N("expected_ms", (int64_t)x->job.expected_ms),
-                 RK_N("seen_ms", seen_ms));
+                 RK_N("seen_ms", observed_ms));
 }
 
 void rk_call_log_end(const struct rk_relay_call *x, int status, const char *why)
--- a/serve/relay_request.c
+++ b/serve/relay_request.c
@@ -124,10 +124,10 @@
 /* Returns true if the call might outlast the planned stop of this process. */
 static bool outlasts_stop(struct rk_relay *r, int64_t left_ms)
 {
-    int64_t began_ms = atomic_load(&r->close_began_ms), now_ms = rk_mono_ms();
+    int64_t began_ms = atomic_load(&r->stop_began_ms), now_ms = rk_mono_ms();
     if (!began_ms || now_ms - began_ms < STOP_ACCEPT_ALL_MS)
         return false;
-    return now_ms + left_ms > atomic_load(&r->close_ends_ms);
+    return now_ms + left_ms > atomic_load(&r->stop_ends_ms);
 }
 
 /* Charges the call to its organisation's quota. Returns false if the quota is used
--- a/serve/traffic.h
+++ b/serve/traffic.h
@@ -80,9 +80,8 @@
     size_t exchanges_len;
     uint64_t next_id;
     struct rk_exchange **by_id; /* hash table of exchanges; NULL until first used */
-    _Atomic uint32_t
-        spare_slots;  /* free slots reported to peers; read by control */
-    int64_t spare_ms; /* last update of spare, monotonic */
+    _Atomic uint32_t free_slots; /* free slots reported to peers; read by control */
+    int64_t free_slots_ms;       /* last update of free_slots, monotonic */
     struct rk_timer recheck_timer; /* runs while jobs are queued */
 };
 
--- a/services/upstream.h
+++ b/services/upstream.h
@@ -15,7 +15,7 @@
 struct rk_upstream_pools;
 struct rk_upstream_call;
 
-/* What to do with a response, decided by its head. */
+/* How to handle a response, decided by its head. */
 enum rk_head_action {
     RK_HEAD_ACCEPT, /* it answers the call */
     RK_HEAD_SKIP, /* it answers another request: discard it and read the next one */
--- a/tests/prop_fuzz.cc
+++ b/tests/prop_fuzz.cc
@@ -22,7 +22,7 @@
 #include "common/status.h"
 #include "core/place.h"
 
-/* As in platform/drivers.h, which C++ can't include. */
+/* Declared as in platform/drivers.h, which C++ can't include. */
 enum rk_status rk_hosted_parse_vm(const char *name, struct json_object *spec,
                                   struct rk_vm_row *out);
 }
--- a/tests/test_bridges.c
+++ b/tests/test_bridges.c
@@ -292,14 +292,14 @@
 {
     (void)state;
     static struct fleet f;
-    struct rk_totals asking = {0};
+    struct rk_totals demand = {0};
     fleet_init(&f);
     receive_usage_digest(&f, 0, 1, "a", 10);
     receive_brief_digest(&f, 0, 1);
-    rk_loads_add_peer_demand(&f.meshes[0], &asking, rk_mono_ms());
-    assert_float_equal(rk_totals_value(&asking, "a"), DEMAND, 0.001);
+    rk_loads_add_peer_demand(&f.meshes[0], &demand, rk_mono_ms());
+    assert_float_equal(rk_totals_value(&demand, "a"), DEMAND, 0.001);
     assert_float_equal(peer_units_of(&f.meshes[0], "a"), 0, 0.001);
-    rk_totals_free(&asking);
+    rk_totals_free(&demand);
     fleet_free(&f);
 }
 
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -34,8 +34,8 @@
     const char *name;
     double failed;   /* share of calls that fail because of it */
     double slowdown; /* factor on the time of calls */
-    /* It is bad only on this route (-1: on all), from this time on, and at VMs that
-     * get at least this multiple of an old VM's load. */
+    /* The version is bad only on this route (-1: on all), from this time on, and at
+     * VMs that get at least this multiple of an old VM's load. */
     int route;
     int64_t from_ms;
     double load;
@@ -503,11 +503,11 @@
 static void a_rollout_without_time_is_rolled_back(void **state)
 {
     (void)state;
-    struct rk_canary_rows seen = {0};
+    struct rk_canary_rows rows = {0};
     const struct rk_rollout_order order = {.service = "s", .version = "v2"};
     const struct rk_rollout_bounds bounds = {.share = 0.1, .slack = 50};
     const struct rk_rollout_input view = {
-        .old_vms = 3, .new_vms = 3, .new_domains = 3, .canary_rows = &seen};
+        .old_vms = 3, .new_vms = 3, .new_domains = 3, .canary_rows = &rows};
     struct rk_rollout r = {0};
     rk_rollout_begin(&r, &order, &bounds, 0, 0);
     rk_rollout_step(&r, &view);
--- a/tests/test_sizing.c
+++ b/tests/test_sizing.c
@@ -211,7 +211,7 @@
     double cost;            /* VM-seconds, weighted by price */
     double served, elapsed; /* seconds, weighted by the share served; all seconds */
     double worst_second;    /* least share served in a second */
-    /* The same, from when substitutes ordered at the first notice are ready. */
+    /* worst_second, from when substitutes ordered at the first notice are ready. */
     double worst_booted;
     double second_served; /* share served in the current second so far */
     int orders, refused;
--- a/vmlist/vmlist.c
+++ b/vmlist/vmlist.c
@@ -37,19 +37,19 @@
     vm->state = parse_state(rk_json_str(o, "state"));
 }
 
-static void on_answer(void *ctx, const struct rk_rest_answer *answer)
+static void on_response(void *ctx, const struct rk_rest_response *response)
 {
     struct op *op = ctx;
-    enum rk_status st = answer->status;
+    enum rk_status st = response->status;
     struct json_object *array =
-        st == RK_OK ? json_tokener_parse(answer->body) : NULL;
+        st == RK_OK ? json_tokener_parse(response->body) : NULL;
     if (st == RK_OK && !json_object_is_type(array, json_type_array))
         st = RK_EPROTO;
     size_t len = st == RK_OK ? json_object_array_length(array) : 0;
     struct rk_vm *vms = rk_alloc(len + 1, sizeof(*vms));
     for (size_t i = 0; i < len; i++)
         parse_row(json_object_array_get_idx(array, i), &vms[i]);
-    op->fn(op->ctx, st, vms, len, answer->revision);
+    op->fn(op->ctx, st, vms, len, response->revision);
     free(vms);
     json_object_put(array);
     free(op);
@@ -66,5 +66,5 @@
     const struct rk_rest_call call = {
         .method = "GET", .url = url, .wait_ms = wait_ms};
     rk_counter_add(RK_C_OBJECT_READS, 1);
-    rk_rest_start(http, &call, on_answer, op);
+    rk_rest_start(http, &call, on_response, op);
 }
