--- a/tests/test_clock.c
+++ b/tests/test_clock.c
@@ -1,6 +1,6 @@
 /* Tests of clock, timers and leases on a machine that is suspended for a minute.
  * CLOCK_MONOTONIC stops during a suspension, so everything that expires must use
- * another clock. This file replaces clock_gettime() to simulate the suspension. */
+ * CLOCK_BOOTTIME. This file replaces clock_gettime() to simulate the suspension. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_engine_rank.c
+++ b/tests/test_engine_rank.c
@@ -20,14 +20,14 @@
 } kinds[] = {{0.21, 3900, 1200, 1}, {0.50, 1900, 800, 0}, {0.29, 550, 600, 2}};
 
 #define CALLS          20000
-#define PREFILL_PER_MS 32.4
+#define PREFILL_PER_MS 32.4 /* tokens */
 #define CHUNK_TOKENS   2048 /* tokens prefilled before the next call is chosen */
 #define FIXED_MS       64   /* added to the first-token time of each call */
 #define UTILISATION    0.75 /* share of the engine's time spent on prefill */
 #define LONG_TOKENS    8000
 
 struct call {
-    double arrival_ms, unread_tokens, tokens, first_token_ms;
+    double arrival_ms, remaining_tokens, tokens, first_token_ms;
     int kind, rank;
 };
 
@@ -53,7 +53,7 @@
         arrival_ms -= log(uniform(&rng)) * gap_ms;
         double tokens = -log(uniform(&rng)) * kinds[kind].tokens;
         calls[i] = (struct call){.arrival_ms = arrival_ms,
-                                 .unread_tokens = tokens,
+                                 .remaining_tokens = tokens,
                                  .tokens = tokens,
                                  .kind = kind};
     }
@@ -65,7 +65,7 @@
 {
     struct call *best = NULL;
     for (int i = from; i < to; i++)
-        if (calls[i].unread_tokens > 0 && (!best || calls[i].rank < best->rank))
+        if (calls[i].remaining_tokens > 0 && (!best || calls[i].rank < best->rank))
             best = &calls[i];
     return best;
 }
@@ -83,13 +83,13 @@
             now_ms = calls[to].arrival_ms;
             continue;
         }
-        double read =
-            c->unread_tokens < CHUNK_TOKENS ? c->unread_tokens : CHUNK_TOKENS;
-        now_ms += read / PREFILL_PER_MS;
-        c->unread_tokens -= read;
-        if (c->unread_tokens <= 0)
+        double prefilled =
+            c->remaining_tokens < CHUNK_TOKENS ? c->remaining_tokens : CHUNK_TOKENS;
+        now_ms += prefilled / PREFILL_PER_MS;
+        c->remaining_tokens -= prefilled;
+        if (c->remaining_tokens <= 0)
             c->first_token_ms = now_ms - c->arrival_ms + FIXED_MS;
-        while (from < to && calls[from].unread_tokens <= 0)
+        while (from < to && calls[from].remaining_tokens <= 0)
             from++;
     }
 }
--- a/tests/test_org_usage.c
+++ b/tests/test_org_usage.c
@@ -16,7 +16,7 @@
 
 struct node {
     struct rk_org_use uses[ORGS];
-    struct rk_totals reported; /* what the bridge knows */
+    struct rk_totals reported; /* units last sent to bridges */
     struct rk_rng rng;
 };
 
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -1,6 +1,6 @@
-/* Tests of the quarantine, which stops requests under which VMs end: what counts
- * against a request, what clears it, and how the tables of several nodes are
- * merged. */
+/* Tests of the quarantine, which stops requests that bring down the VMs that run
+ * them: what counts against a request, what clears it, and how the tables of
+ * several nodes are merged. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -22,8 +22,8 @@
     return row;
 }
 
-/* Notes the end of a VM under a request in the table. Returns true if that stops
- * the request. */
+/* Records in the table that a VM ended while it ran a request. Returns true if that
+ * stops the request. */
 static bool note_end(uint64_t request, uint32_t vm, enum rk_suspicion suspicion)
 {
     const struct rk_quarantine_row key = make_row(request, "clinic");
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -28,7 +28,7 @@
     return copy;
 }
 
-/* Requests units each step_ms. Returns the units admitted. */
+/* Requests units every step_ms milliseconds. Returns the units admitted. */
 static double admit_each_step(struct rk_quota *q, double rate, double burst,
                               int64_t from_ms, int64_t to_ms, int64_t step_ms,
                               double units)
@@ -116,11 +116,11 @@
  *
  * One node represents all nodes of a side. Before the partition, all of the 295
  * nodes together used a share of the rate for a whole window. */
-#define PARTITION_MS    20000
-#define PARTITION_RATE  240000.0
-#define PARTITION_NODES 295
-#define PARTITION_SLACK 72000
-#define UNITS_PER_CALL  1000.0
+#define PARTITION_START_MS 20000
+#define PARTITION_RATE     240000.0
+#define PARTITION_NODES    295
+#define PARTITION_SLACK    72000
+#define UNITS_PER_CALL     1000.0
 
 /* Returns the quotas of a side with this many nodes. load: share of the rate that
  * was used before. */
@@ -131,12 +131,13 @@
     rk_quota_init(&q, WINDOW_MS, PARTITION_SLACK, 0);
     q.overrun = 0.1;
     rk_quota_set_reachable(&q, PARTITION_NODES, PARTITION_NODES,
-                           PARTITION_MS - WINDOW_MS);
+                           PARTITION_START_MS - WINDOW_MS);
     rk_quota_admit(&q, "org", PARTITION_RATE, PARTITION_RATE, 0,
-                   PARTITION_MS - WINDOW_MS, &decision);
-    for (int ms = PARTITION_MS - WINDOW_MS; ms < PARTITION_MS; ms += 250)
+                   PARTITION_START_MS - WINDOW_MS, &decision);
+    for (int ms = PARTITION_START_MS - WINDOW_MS; ms < PARTITION_START_MS;
+         ms += 250)
         rk_quota_add_peers(&q, "org", load * PARTITION_RATE / 4, ms);
-    rk_quota_set_reachable(&q, nodes, PARTITION_NODES, PARTITION_MS);
+    rk_quota_set_reachable(&q, nodes, PARTITION_NODES, PARTITION_START_MS);
     return q;
 }
 
@@ -165,7 +166,7 @@
     SCOPED struct rk_quota q = partition_side(59, 0.55);
     double per_s = 0.55 * PARTITION_RATE * 59 / PARTITION_NODES;
     double admitted =
-        request_from_side(&q, per_s, PARTITION_MS, PARTITION_MS + 6000);
+        request_from_side(&q, per_s, PARTITION_START_MS, PARTITION_START_MS + 6000);
     assert_true(admitted >= per_s * 6 - 2 * UNITS_PER_CALL);
 }
 
@@ -181,10 +182,10 @@
         for (int ms = 1000; ms <= WINDOW_MS; ms += 1000) {
             SCOPED struct rk_quota x = copy_of(&a), y = copy_of(&b);
             double used = loads[i] * PARTITION_RATE * (WINDOW_MS - ms) / 1000;
-            used += request_from_side(&x, 8 * PARTITION_RATE, PARTITION_MS,
-                                      PARTITION_MS + ms);
-            used += request_from_side(&y, 8 * PARTITION_RATE, PARTITION_MS,
-                                      PARTITION_MS + ms);
+            used += request_from_side(&x, 8 * PARTITION_RATE, PARTITION_START_MS,
+                                      PARTITION_START_MS + ms);
+            used += request_from_side(&y, 8 * PARTITION_RATE, PARTITION_START_MS,
+                                      PARTITION_START_MS + ms);
             assert_true(used < PARTITION_RATE * 9 * 1.1 + PARTITION_SLACK);
         }
     }
@@ -198,15 +199,15 @@
     (void)state;
     SCOPED struct rk_quota q = partition_side(59, 0.55);
     double per_s = 0.55 * PARTITION_RATE * 59 / PARTITION_NODES;
-    request_from_side(&q, per_s, PARTITION_MS, PARTITION_MS + 6000);
+    request_from_side(&q, per_s, PARTITION_START_MS, PARTITION_START_MS + 6000);
     rk_quota_set_reachable(&q, PARTITION_NODES, PARTITION_NODES,
-                           PARTITION_MS + 6000);
+                           PARTITION_START_MS + 6000);
     rk_quota_add_peers(&q, "org",
                        0.55 * PARTITION_RATE * 6 * (PARTITION_NODES - 59) /
                            PARTITION_NODES,
-                       PARTITION_MS + 6000);
-    double admitted =
-        request_from_side(&q, per_s, PARTITION_MS + 6000, PARTITION_MS + 7000);
+                       PARTITION_START_MS + 6000);
+    double admitted = request_from_side(&q, per_s, PARTITION_START_MS + 6000,
+                                        PARTITION_START_MS + 7000);
     assert_true(admitted >= per_s - 2 * UNITS_PER_CALL);
 }
 
@@ -308,7 +309,7 @@
     int nodes;
     struct fleet_node *node;
     double total[RUN_MS / STEP_MS]; /* units admitted by all, up to each step */
-    /* Units/s that all were asked for, at each step. */
+    /* Units/s requested of all nodes, refused ones included, at each step. */
     double demand[RUN_MS / STEP_MS];
 };
 
@@ -386,8 +387,8 @@
 }
 
 /* Guards against a burst that gets more than the quota, a tenth of it and the slack
- * in some window, or less than the quota. The load rises suddenly to eight times
- * the rate; old digests do not show that yet. */
+ * in some window, or less than 95% of the quota in every window. The load rises
+ * suddenly to eight times the rate; old digests do not show that yet. */
 static void a_fleet_holds_a_quota_through_a_burst(void **state)
 {
     (void)state;
@@ -410,8 +411,9 @@
     destroy_fleet(f);
 }
 
-/* Sends eleven times the rate to a fleet, with calls of different sizes. Checks
- * that no window admits too much, and the last two at least 90% of the quota. */
+/* Sends half the rate to a fleet for 10 s, and then eleven times the rate, with
+ * calls of different sizes. Checks that no window admits too much, and the last two
+ * together more than 90% of their quotas. */
 static void overload(int nodes, uint64_t seed)
 {
     const double sizes[] = {200,  200,  200,  700,   1300,
@@ -441,7 +443,7 @@
 }
 
 /* Guards against many nodes that all use the same free units: between two digests,
- * each admits hardly a call, and all see at once that units become free. */
+ * each admits two calls at most, and all see at once that units become free. */
 static void a_large_fleet_holds_an_overloaded_quota(void **state)
 {
     (void)state;
@@ -648,7 +650,7 @@
     rk_quota_restore_done(&q, 500);
     assert_true(rk_quota_is_complete(&q, 100000));
     rk_quota_report(&q, &q.orgs[0], slices, 101000);
-    /* Peers have restored it, too. */
+    /* Reports to peers leave it out, as they have restored it themselves. */
     assert_true(slices[0] + slices[1] + slices[2] == 0);
     rk_quota_persist(&q, &q.orgs[0], 900, 100, slices, 101000);
     assert_true(slices[1] + slices[2] >= 880);
@@ -662,7 +664,7 @@
  * unreachable before the first one, so its record was too old to use. Nothing was
  * persisted for a window, and a second restart 4 s later found the same old
  * record: 1.01 to 1.05 of the quota was admitted, in 7 of 7 runs. Usage that is
- * only possible must be persisted. */
+ * not known, but may have occurred before a restart, must be persisted, too. */
 static void possible_usage_is_persisted(void **state)
 {
     (void)state;
--- a/tests/test_read_delay.c
+++ b/tests/test_read_delay.c
@@ -95,7 +95,8 @@
     assert_int_equal(rk_read_delay_ms(&size, SMALL_CAPACITY, 1), 0);
 }
 
-/* Guards against nodes that wait indefinitely for others that may never restart. */
+/* Guards against nodes that wait indefinitely for others that may never restart,
+ * and against small nodes that read in the first second, when the large ones do. */
 static void each_delay_is_bounded(void **state)
 {
     (void)state;
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -215,14 +215,14 @@
     const struct rk_rollout_bounds bounds = {0.1, 50, 5000};
     if (!now_ms)
         rk_rollout_begin(&st->r, &order, &bounds, now_ms, 0);
-    const struct rk_rollout_input view = {
+    const struct rk_rollout_input input = {
         .now_ms = now_ms,
         .old_vms = (size_t)w->service->vms,
         .new_vms = now_ms >= 1000 ? (size_t)w->service->vms : 0,
         .new_domains = DOMAINS,
         .old_running = now_ms - st->r.phase_ms < 1000,
         .canary_rows = received};
-    rk_rollout_step(&st->r, &view);
+    rk_rollout_step(&st->r, &input);
     *share = st->r.rule.share;
     *vms = st->r.rule.vms;
     w->out.committed = st->r.rule.phase == RK_ROLLOUT_COMMITTED;
@@ -316,9 +316,9 @@
 
 /* Means over several runs. */
 struct figures {
-    double rolled_back, taken; /* shares of the runs; taken: committed */
-    double ended_s;            /* when the rollout ended */
-    double share;              /* of the calls that the new version got */
+    double rolled_back, committed; /* shares of the runs */
+    double ended_s;                /* when the rollout ended */
+    double share;                  /* of the calls that the new version got */
     double bad_answers;
     double exceeded; /* share of the runs that exceeded a bound of calls */
 };
@@ -331,13 +331,13 @@
     for (int i = 0; i < runs; i++) {
         struct outcome o = simulate(s, version, decide, 1000 + (uint64_t)i);
         f.rolled_back += o.rolled_back;
-        f.taken += o.committed;
+        f.committed += o.committed;
         f.ended_s += (double)o.ended_ms / 1000;
         f.share += o.new_calls / o.calls;
         f.bad_answers += o.bad_answers;
         f.exceeded += o.new_calls > 0.1 * o.calls + 50 || o.after_50th > 0;
     }
-    f.rolled_back /= runs, f.taken /= runs, f.ended_s /= runs;
+    f.rolled_back /= runs, f.committed /= runs, f.ended_s /= runs;
     f.share /= runs, f.bad_answers /= runs, f.exceeded /= runs;
     return f;
 }
@@ -387,8 +387,8 @@
 #define RUNS 30 /* simulated runs of each version */
 
 /* Guards against a far worse version that is not found within the calls that it may
- * get. So few calls cannot show a tenth more failures or calls half as slow again,
- * and even less two failures in a hundred. */
+ * get. So few calls cannot reveal a version that fails 10 in 100 calls or takes
+ * 1.5 times as long, still less one that fails 2 in 100. */
 static void a_bad_version_is_rolled_back_within_its_bounds(void **state)
 {
     (void)state;
@@ -414,7 +414,7 @@
     (void)state;
     for (size_t j = 0; j < RK_ARRAY_LEN(services); j++) {
         struct figures f = measure(services[j], &good, sequential, 300);
-        assert_true(f.taken >= 0.97);
+        assert_true(f.committed >= 0.97);
         assert_true(f.ended_s < 0.9 * DURATION_MS / 1000);
     }
 }
@@ -427,9 +427,8 @@
     static const struct new_version good_in_failing_domain = {
         "good, a domain fails", 0, 1, -1, 0, 0, 1};
     for (size_t j = 0; j < RK_ARRAY_LEN(services); j++)
-        assert_true(
-            measure(services[j], &good_in_failing_domain, sequential, RUNS).taken >=
-            0.9);
+        assert_true(measure(services[j], &good_in_failing_domain, sequential, RUNS)
+                        .committed >= 0.9);
 }
 
 /* Guards against a bad version that stays undecided because only one domain has VMs
@@ -449,8 +448,8 @@
     assert_int_equal(rk_canary_judge(&rows, 2).verdict, RK_CANARY_SUSPECT);
 }
 
-/* Returns when a version is committed, in ms, that gets too few calls to be found
- * good, and whose old VMs always have a call in flight. */
+/* Returns the time, in ms, at which a version is committed if it gets too few calls
+ * to be found good, and the old VMs always have a call in flight. */
 static int64_t committed_after_ms(int64_t duration_ms)
 {
     const struct rk_rollout_order order = {
@@ -467,13 +466,13 @@
         rk_canary_add_time(&new->stats, 50, 50);
     rk_rollout_begin(&r, &order, &bounds, 0, 0);
     for (int64_t now_ms = 0; now_ms < 2 * duration_ms; now_ms += STEP_MS) {
-        const struct rk_rollout_input view = {.now_ms = now_ms,
-                                              .old_vms = 3,
-                                              .new_vms = 3,
-                                              .new_domains = DOMAINS,
-                                              .old_running = 1,
-                                              .canary_rows = &rows};
-        rk_rollout_step(&r, &view);
+        const struct rk_rollout_input input = {.now_ms = now_ms,
+                                               .old_vms = 3,
+                                               .new_vms = 3,
+                                               .new_domains = DOMAINS,
+                                               .old_running = 1,
+                                               .canary_rows = &rows};
+        rk_rollout_step(&r, &input);
         assert_int_not_equal(r.rule.phase, RK_ROLLOUT_ROLLED_BACK);
         if (r.rule.phase == RK_ROLLOUT_COMMITTED)
             return now_ms;
@@ -497,7 +496,7 @@
 }
 
 /* Guards against a version that is committed although its rollout has a time of 0:
- * this happened one of eight times, when the leader decided in the same millisecond
+ * this happened one time in eight, when the leader decided in the same millisecond
  * in which the rollout began, so that the canary was at its end and the time was
  * not over. */
 static void a_rollout_without_time_is_rolled_back(void **state)
@@ -506,11 +505,11 @@
     struct rk_canary_rows seen = {0};
     const struct rk_rollout_order order = {.service = "s", .version = "v2"};
     const struct rk_rollout_bounds bounds = {.share = 0.1, .slack = 50};
-    const struct rk_rollout_input view = {
+    const struct rk_rollout_input input = {
         .old_vms = 3, .new_vms = 3, .new_domains = 3, .canary_rows = &seen};
     struct rk_rollout r = {0};
     rk_rollout_begin(&r, &order, &bounds, 0, 0);
-    rk_rollout_step(&r, &view);
+    rk_rollout_step(&r, &input);
     assert_int_equal(r.rule.phase, RK_ROLLOUT_ROLLED_BACK);
 }
 
--- a/tests/test_send_budget.c
+++ b/tests/test_send_budget.c
@@ -16,8 +16,8 @@
 #define ROUNDS          400
 #define ROUND_MS        250
 #define ROUND_BYTES     (207 * 19 * 1024) /* bytes that a full round sends */
-#define REACHABLE_MS    900               /* without a message: unreachable */
-#define SETTLING_ROUNDS 20 /* rounds until the budget fits the link */
+#define REACHABLE_MS    900 /* without a message for longer: unreachable */
+#define SETTLING_ROUNDS 20  /* rounds until the budget fits the link */
 #define MB              1000000L
 
 struct link {
--- a/tests/test_sizing.c
+++ b/tests/test_sizing.c
@@ -62,12 +62,13 @@
 static void idle_vms_beyond_all_quotas_are_not_replaced(void **state)
 {
     (void)state;
-    const double reads_per_s = 50000; /* default for VMs that were not measured */
+    /* Prompt tokens/s that a VM is assumed to prefill before this is measured. */
+    const double vm_tokens_per_s = 50000;
     struct rk_sizing_target t[RK_SIZING_DOMAINS];
     struct rk_sizing_input in = {
         .domains_len = 5, .min_vms = 61, .max_vms = 3879, .spot_price = 0.22};
     in.need = in.need_fast =
-        fmin(9695, rk_sizing_max_need(333 * 18000.0, reads_per_s));
+        fmin(9695, rk_sizing_max_need(333 * 18000.0, vm_tokens_per_s));
     in.idle = in.may_shrink = true;
     for (size_t i = 0; i < in.domains_len; i++)
         in.domains[i] = (struct rk_sizing_domain){.price = 1, .on_demand = 1939};
@@ -79,8 +80,8 @@
     assert_true(reclaimable + 5 * 61 >= ceil(in.need));
     /* Where quotas are twice the demand, or there are none, the bound exceeds the
      * VMs that are held. */
-    assert_true(rk_sizing_max_need(245000, reads_per_s) > 9);
-    assert_true(rk_sizing_max_need(INFINITY, reads_per_s) > 9695);
+    assert_true(rk_sizing_max_need(245000, vm_tokens_per_s) > 9);
+    assert_true(rk_sizing_max_need(INFINITY, vm_tokens_per_s) > 9695);
 }
 
 /* Guards against a lack of VMs while no reclaimable ones are available, and just
@@ -94,7 +95,7 @@
     for (int i = 0; i < 3; i++)
         in.domains[i].reclaimable = 0;
     in.need = in.need_fast = 7.5;
-    in.max_vms = 4; /* the missing reclaimable VMs must not count */
+    in.max_vms = 4; /* reclaimable VMs that are missing must not count against it */
     rk_sizing_plan(&in, t);
     assert_int_equal(total_of(t, false), 3); /* reclaimable VMs are on order */
     in.all_exhausted = true;
@@ -405,8 +406,10 @@
     assert_true(c.worst_second > 0.6);
     assert_true(c.worst_booted > 0.99);
     assert_true(c.refused < 40);
-    /* The least cost, known in hindsight: reclaimable VMs while there are any, and
-     * substitutes in the cheapest domain until reclaimable ones have booted. */
+    /* The least cost, known in hindsight: reclaimable VMs until they are gone at
+     * 12, 15 and 18 s, and again from 34 s, when new ones have booted. In between,
+     * substitutes in the cheapest domain, from 12 s, when the first VMs are gone.
+     */
     double floor = 60 * (1.0 + 0.8 + 1.25);
     double reclaimable =
         SPOT_PRICE * 8 * (1.25 * 12 + 0.8 * 15 + 1.0 * 18 + 3.05 * 26);
--- a/tests/test_vm_signals.c
+++ b/tests/test_vm_signals.c
@@ -1,6 +1,6 @@
 /* Tests of the table of signals that VMs advertise in their answers: limits,
- * leaving and cooldowns. They check which answer counts, how long it is kept, and
- * how nodes share a limit. */
+ * leaving and cooldowns. They check which answer counts, how long signals are
+ * kept, and how nodes share a limit. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -62,7 +62,8 @@
 
 /* ---- limits ---- */
 
-/* Returns a row with a limit in requests per second that senders nodes share. */
+/* Returns a row with a limit of per_s requests per second. senders: number of nodes
+ * that share it, this one included; 0: this one has no share. */
 static struct rk_vm_signal *limited_row(double per_s, int senders, int64_t now_ms)
 {
     const struct rk_vm_advertised signals = {.limited = true, .limit_per_s = per_s};
@@ -125,7 +126,8 @@
 }
 
 /* Guards against nodes that disagree on which of them share a limit, or on how
- * many: together they would exceed it or leave it unused. */
+ * many: together they would exceed it or leave it unused. There are a few more
+ * senders than requests per second, but no more than nodes. */
 static void nodes_agree_on_who_shares_a_limit(void **state)
 {
     (void)state;
@@ -175,7 +177,7 @@
 }
 
 /* Guards against rows that are kept forever or removed too early: they expire two
- * minutes after the last signal, but not during a cooldown. */
+ * minutes after the last answer or report of a peer, but not during a cooldown. */
 static void rows_expire_after_two_minutes_and_any_cooldown(void **state)
 {
     (void)state;
