--- a/tests/prop_claims.cc
+++ b/tests/prop_claims.cc
@@ -113,7 +113,7 @@
     cfg.claim_timeout_ms = 100;
     cfg.answer_bytes = 1000;
     cfg.max_tickets = 100;
-    cfg.slot_keys = 3; // few, so that slots are sealed and the ring wraps
+    cfg.slot_keys = 3; // few, so that slots are sealed and the ring can fill up
     cfg.seed = ++o->sim->owners_created * 7919;
     o->claims = rk_claims_create(&cfg, &kOps, o);
     o->op = Op{};
@@ -134,7 +134,8 @@
 // What happens to a store operation and to its answer.
 enum Delivery { ANSWERED, ANSWER_LOST, WRITE_DROPPED, WRITE_DELAYED };
 
-// Answers an owner's store operation, or loses the operation or its answer.
+// Answers an owner's store operation, or loses the operation or its answer, or
+// delays a write.
 void complete_op(Owner *o, Delivery delivery)
 {
     Simulation &sim = *o->sim;
@@ -303,10 +304,11 @@
 
 } // namespace
 
-// The first two properties guard against a key that runs twice: an owner believes
-// that it holds the shard while another has taken it over, or takes a write without
-// an answer for made or for lost. The third guards against a ring that grants no
-// more keys once its slots are full.
+// The first two properties guard against a key that runs twice because an owner
+// believes that it holds the shard while another has taken it over, or assumes that
+// a write without an answer was applied, or that it was lost. The third guards
+// against an owner that refuses new keys while the ring still has room: the number
+// of keys stays below what the slots hold.
 int main()
 {
     bool ok = report("at_most_once_sent_at_once",
--- a/tests/prop_core.cc
+++ b/tests/prop_core.cc
@@ -27,7 +27,8 @@
 // ---- verdicts ----
 
 // Guards against a call that is reported as not run although its upstream may have
-// run it, and against one sent again for which that isn't allowed.
+// run it, and against one that is sent again although it ran, or may have run and
+// is not repeatable.
 void verdicts_match_what_happened()
 {
     struct rk_attempt_end end = {};
@@ -411,8 +412,9 @@
     }
 }
 
-// Requests of a higher rank go first; deferrable work goes last until promote_ms
-// before its deadline and first from then on, or it would starve.
+// Requests with a lower rank number go first. Deferrable work goes last until
+// promote_ms before its deadline and ahead of normal work from then on, or it would
+// starve.
 void ranks_and_promotion()
 {
     struct rk_fair_queue *a = rk_fair_queue_create();
--- a/tests/prop_limits.cc
+++ b/tests/prop_limits.cc
@@ -4,9 +4,9 @@
 //
 // The simulation runs call by call. Nodes in failure domains learn of the limit by
 // the VM's answers and, up to 1 s later, from peers. Nodes are killed, restarted,
-// frozen or cut off, and each other node of the domain notices at a random time up
+// frozen or cut off, and each node of the VM's domain notices at a random time up
 // to 2.5 s later. A node's requests count from half a second after the VM answered
-// it with a limit, except for 6 s after each of the node's faults.
+// it with a limit, except for 6 s after each of the node's faults and recoveries.
 #include "tests/props.h"
 
 #include <algorithm>
@@ -22,12 +22,12 @@
 namespace {
 
 // The limit is advertised from LIMIT_MS until 6 s before END_MS. Windows are
-// checked from SETTLE_MS after its begin, and a node's requests count from
-// LEARNT_MS after it learnt the limit.
+// checked from SETTLE_MS after LIMIT_MS, and a node's requests count from LEARNT_MS
+// after the VM answered it with the limit.
 constexpr int64_t END_MS = 30000, LIMIT_MS = 4000, SETTLE_MS = 3000;
 constexpr int64_t WINDOW_MS = 4000, LEARNT_MS = 500, ANSWER_MS = 20;
 constexpr int64_t UPDATE_DELAY_MS = 1000, NOTICE_DELAY_MS = 2500, REPEAT_MS = 1000;
-constexpr int64_t EXEMPT_MS = 6000; // after a node's fault
+constexpr int64_t EXEMPT_MS = 6000; // after a node's fault or recovery
 constexpr int DOMAINS = 3;
 constexpr uint64_t INCARNATION = 0x11fe;
 constexpr char VM_DOMAIN[] = "d0";
@@ -135,6 +135,7 @@
 
     // Updates the node's share of the limit by the nodes of its domain that are up
     // now. Until the next update the node goes by this set, even if it is outdated.
+    // Nodes outside the VM's domain have no share.
     void set_share(Node &n)
     {
         std::vector<uint64_t> others;
@@ -256,7 +257,7 @@
                 push({now_ + below(NOTICE_DELAY_MS), Kind::MEMBERSHIP, i, {}, 0});
     }
 
-    // Two nodes that have the limit from the VM itself send it to their peers
+    // Up to two nodes that have the limit from the VM itself send it to their peers
     // again.
     void repeat_limit()
     {
@@ -333,13 +334,13 @@
                         uint32_t seed)
 {
     const Outcome o = Fleet(nodes, limit, calls_per_s, faults, seed).run();
-    const double offered = limit * (END_MS - 6000 - LIMIT_MS - SETTLE_MS) / 1000;
+    const double permitted = limit * (END_MS - 6000 - LIMIT_MS - SETTLE_MS) / 1000;
     if (std::getenv("SHOW_FIGURES"))
         printf("%4zu nodes, limit %g, %g calls a second, %d outages: %d in 4 s, %g "
                "allowed, %.2f of it used, its end known to half of them after %lld "
                "ms\n",
                nodes, limit, calls_per_s, faults, o.max_in_window, o.allowed,
-               o.sent / offered, static_cast<long long>(o.end_known_ms));
+               o.sent / permitted, static_cast<long long>(o.end_known_ms));
     return o.max_in_window <= o.allowed;
 }
 
@@ -356,7 +357,7 @@
 }
 
 // The same for one size of fleet: limits from 0.5 to 50 a second, few and many
-// calls, and without faults or with one for each ten nodes.
+// calls, without faults and with one for each ten nodes.
 bool limit_holds(size_t nodes)
 {
     bool ok = true;
--- a/tests/prop_quarantine.cc
+++ b/tests/prop_quarantine.cc
@@ -1,6 +1,6 @@
-// Requests that crash VMs, over whole fleets: the nodes' quarantine tables agree
-// whatever rows they receive in which order, and a fleet stops the requests that
-// crash its VMs and no others.
+// Requests that crash VMs, over whole fleets: the nodes' quarantine tables agree in
+// whatever order they receive rows, and a fleet stops the requests that crash its
+// VMs and no others.
 //
 // The simulation, in steps of 10 ms: VMs have calls that wait, begin and run; a
 // crashing request ends its VM 60 ms after it began, and is sent again to a random
@@ -100,7 +100,7 @@
 constexpr int PROPAGATION_MS = 3000; // until all nodes must know
 constexpr int JUST_BEGUN_MS = 250;   // a call that ran no longer is most suspect
 constexpr int LONG_RUN_MS = 1000;    // a call that ran longer is no suspect
-constexpr size_t WAVE_VMS = 17;      // VMs that end at once for other reasons
+constexpr size_t WAVE_VMS = 17;      // most VMs that end at once for other reasons
 
 struct Call {
     uint64_t request;
@@ -177,7 +177,9 @@
     }
 
     // A tenth of the nodes is cut off at 8 s for PARTITION_MS, and another tenth is
-    // restarted at 15 s.
+    // restarted at 15 s with empty tables. A restarted node gets a peer's rows
+    // after 1 s and updates after PROPAGATION_MS. With waves, up to WAVE_VMS VMs,
+    // but no more than a third of all, end every 5 s.
     void inject_faults()
     {
         const size_t some = std::max<size_t>(1, nodes_.size() / 10);
@@ -302,8 +304,9 @@
         return ran_ms <= JUST_BEGUN_MS ? RK_HAD_JUST_BEGUN : RK_MAY_HAVE_BEGUN;
     }
 
-    // Ends a VM. Its calls are sent to another VM, or sent again by their callers
-    // at another node.
+    // Ends a VM. Its calls are sent to another VM. After ATTEMPTS VMs their callers
+    // send them again at a random node, until each was sent three times; step()
+    // sends the calls that crash VMs again.
     void end_vm(Vm &vm)
     {
         std::vector<Call> lost_calls;
@@ -324,7 +327,9 @@
         }
     }
 
-    // Records at the call's node that a VM ended under it.
+    // Records at the call's node that a VM ended under it, and sends the row to the
+    // other nodes, to which callers may send the request next. A call that ran too
+    // long to be the cause clears its row instead.
     void record_end(const Call &call, uint32_t incarnation)
     {
         const rk_suspicion s = suspicion(call);
@@ -372,7 +377,8 @@
 }
 
 // Checks the users' target: from 3 s after a request crashed its third VM it is
-// sent at most three times more, and no other request is stopped.
+// sent at most three times more (checked as the sum over all such requests), and no
+// other request is stopped.
 bool meets_target(const Size &size, size_t crashing, bool waves, uint32_t seeds)
 {
     bool ok = true;
--- a/tests/prop_rollout.cc
+++ b/tests/prop_rollout.cc
@@ -44,7 +44,7 @@
     rk_canary_merge(&row->stats, &more);
 }
 
-rk_rollout_input any_view(int64_t now_ms, const rk_canary_rows *rows)
+rk_rollout_input any_input(int64_t now_ms, const rk_canary_rows *rows)
 {
     rk_rollout_input v = {};
     v.now_ms = now_ms;
@@ -68,7 +68,7 @@
         const rk_rollout_rule before = r.rule;
         now_ms += *rc::gen::inRange(0, 600);
         add_calls(&rows);
-        const rk_rollout_input v = any_view(now_ms, &rows);
+        const rk_rollout_input v = any_input(now_ms, &rows);
         const bool changed = rk_rollout_step(&r, &v);
         RC_ASSERT(r.rule.phase >= before.phase);
         RC_ASSERT(changed == (r.rule.revision > before.revision));
@@ -94,7 +94,7 @@
         rk_canary_stats more = {};
         more.calls = more.timed = *rc::gen::inRange(0, 30);
         rk_canary_merge(&old_row->stats, &more);
-        const rk_rollout_input v = any_view(now_ms, &rows);
+        const rk_rollout_input v = any_input(now_ms, &rows);
         rk_rollout_step(&r, &v);
         const double allowed =
             r.bounds.share * (old_row->stats.calls + new_row->stats.calls) +
@@ -117,12 +117,12 @@
     rows.len = 0;
     const int64_t ends_ms = r.ordered_ms + r.order.duration_ms;
     while (now_ms < ends_ms) {
-        const rk_rollout_input v = any_view(now_ms, &rows);
+        const rk_rollout_input v = any_input(now_ms, &rows);
         rk_rollout_step(&r, &v);
         now_ms += 200;
     }
     for (int i = 0; i < 15; i++, now_ms += 200) {
-        const rk_rollout_input v = any_view(now_ms, &rows);
+        const rk_rollout_input v = any_input(now_ms, &rows);
         rk_rollout_step(&r, &v);
     }
     RC_ASSERT(rk_rollout_state_of(&r) >= RK_ROLLOUT_DONE);
--- a/tests/prop_sizing.cc
+++ b/tests/prop_sizing.cc
@@ -16,7 +16,9 @@
 namespace {
 
 constexpr int MAX_VMS = 40;
-constexpr int STEPS = 60; // at most, until a plan no longer changes
+// Within this number of steps a plan must stop changing. Also the number of random
+// losses, refusals and grants.
+constexpr int STEPS = 60;
 
 rk_sizing_input any_input()
 {
@@ -63,8 +65,8 @@
     }
 }
 
-// Guards against a plan that needs more reclaimable VMs in a domain that can't
-// provide any now.
+// Guards against a plan that orders more reclaimable VMs in a domain that has no
+// reclaimable capacity now.
 void nothing_more_is_ordered_in_an_exhausted_domain()
 {
     rk_sizing_input in = any_input();
--- a/tests/prop_watch_policy.cc
+++ b/tests/prop_watch_policy.cc
@@ -35,14 +35,14 @@
     bool alive = true, store_refuses = false;
     int64_t frozen_until_ms = 0;
     int64_t started_ms = 0;
-    int64_t confirmed_ms = 0;     // when its data was last the newest; -1: no data
+    int64_t confirmed_ms = 0;     // its data was up to date then; -1: no data
     int64_t watch_opened_ms = -1; // -1: no watch is open
     int64_t retry_ms = 0;
     bool watches = false;
     std::vector<int64_t> last_report_ms;
     std::vector<bool> reported_reachable; // nodes that reach the store
     int64_t store_answered_ms = -1;       // last time; -1: never
-    int64_t update_ms = 0;                // an update could reach it then
+    int64_t update_ms = 0;                // last time an update could reach it
     int64_t can_watch_since_ms = 0;
     int64_t running_since_ms = 0;
 };
@@ -119,7 +119,7 @@
     n->reported_reachable.assign(d->nodes.size(), false);
 }
 
-// Kills, starts, freezes or cuts a node off from the store, or ends its refusal.
+// Kills, starts or freezes a node, or makes the store refuse it or accept it again.
 void inject_fault(Domain *d)
 {
     Node &n = d->nodes[*rc::gen::inRange<size_t>(0, d->nodes.size())];
@@ -239,8 +239,8 @@
     record_updates(d);
 }
 
-// The bound on the age of data, if the first node that can watch has `before` nodes
-// in front of it: the age at which that node begins, plus one decision tick, one
+// The bound on the age of data, if `nodes_before` nodes come before the first one
+// that can watch: the age at which that node begins, plus one decision tick, one
 // retry after a refusal, one report, and the time to notice that bridges are gone.
 int64_t bound_ms(size_t nodes_before)
 {
--- a/tests/test_bridges.c
+++ b/tests/test_bridges.c
@@ -206,7 +206,7 @@
 /* Guards against work for each message that grows with the fleet. Each message
  * walked over all members to find the few that send reports, some hundred times a
  * second; at 985 nodes that took more than half of a node's CPU time. Only contacts
- * are walked now: members from which it received something or to which it
+ * are walked now: members from which the node received something or to which it
  * connected. */
 static void messages_walk_only_contacts(void **state)
 {
@@ -245,7 +245,8 @@
     rk_digest_receive(rk_mesh_find_or_add(&f->meshes[to], id, addr), &d);
 }
 
-/* Units of an organisation that peers used since they were last passed on. */
+/* Units of an organisation that peers used and that were not passed to the relay
+ * yet. */
 static double peer_units_of(const struct rk_mesh *m, const char *org)
 {
     double sum = 0;
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -25,7 +25,7 @@
 #define STREAM_MS   1200 /* from the first token to the last */
 #define TIMEOUT_MS  2500 /* attempts without an answer end after this */
 #define LATE_MS     1000 /* a first token after that counts as late */
-#define SHED_PCT    90   /* of the calls that reach a VM that sheds load */
+#define SHED_PCT    90   /* of the calls at a VM that sheds load are refused */
 #define ATTEMPTS    2    /* VMs that a refused call is sent to */
 
 enum fault { NO_FAULT, SLOW, UNRESPONSIVE, SHEDDING };
--- a/tests/test_hosted.c
+++ b/tests/test_hosted.c
@@ -130,7 +130,8 @@
     rk_routes_unref(r);
 }
 
-/* Guards against calls that are split between services unlike the weights say. */
+/* Guards against calls that are split between services in other proportions than
+ * the weights. */
 static void shares_follow_their_weights(void **state)
 {
     (void)state;
--- a/tools/digest_slopes.c
+++ b/tools/digest_slopes.c
@@ -101,8 +101,8 @@
 }
 
 /* Returns the CPU time, in microseconds, to merge one digest at a node of a fleet
- * of this size. The RK_MESH_BRIDGES bridges of the domain send alternately, as in
- * production. */
+ * of this size and to fill in the VM loads for the relay. The RK_MESH_BRIDGES
+ * bridges of the domain send alternately, as in production. */
 static double merge_us(struct digest_input *in, int nodes)
 {
     struct rk_node *n = rk_alloc(1, sizeof(*n));
--- a/tools/slopes.c
+++ b/tools/slopes.c
@@ -186,8 +186,8 @@
 }
 
 /* Runs one gossip round of node i: an exchange with the next live member of its
- * domain and, in every second round, if it is the bridge (the elected relay node)
- * of its domain, one with a bridge of another domain. */
+ * domain and, in every second round, if it is one of the bridges of its domain (see
+ * rk_member_is_bridge()), one with a bridge of another domain. */
 static void gossip_round(int i, int64_t now, uint64_t round)
 {
     struct node *n = &nodes[i];
