--- a/tests/proc_hosted_bridges.py
+++ b/tests/proc_hosted_bridges.py
@@ -1,8 +1,8 @@
-"""Tests of a fleet with more nodes than report to each other directly.
+"""Tests of fleets that are too large for each node to report to all others directly.
 
-Each failure domain elects two bridges: relay nodes that watch the store, aggregate the
-reports of their domain's nodes into digests and send them to the other domains. No result
-may depend on a single bridge.
+Each failure domain elects two bridges: nodes that aggregate the reports of their domain's
+nodes into digests and send these to the other domains. One bridge of each domain watches
+the store. No result may depend on a single bridge.
 """
 import collections
 import json
@@ -20,7 +20,7 @@
 
 
 def is_bridge(node):
-    """Returns whether the last event that the node logged says that it is a bridge."""
+    """Returns whether the node is a bridge, by the last mesh.bridge event that it logged."""
     states = [e["on"] for e in node.events() if e.get("event") == "mesh.bridge"]
     return bool(states and states[-1])
 
@@ -60,8 +60,8 @@
 
     295 nodes made 2,700 calls, 9 each: before they knew each other, each took the fleet
     for a small one, watched settings and VMs, read the lease and listed the nodes three
-    times. Now the bridges watch the store and send the others what they read. The first
-    three nodes here find too short a node list to wait for a bridge.
+    times. Now one bridge of each domain watches the store and sends the others what it
+    reads. The first three nodes here find too short a node list to wait for a bridge.
     """
     began = time.monotonic()
     with fleet(nodes=NODES) as d:
@@ -79,8 +79,8 @@
         if started_together:
             assert len(updated_by_peers) >= NODES - were_bridges - 3, \
                 (len(updated_by_peers), were_bridges)
-        return "%d of %d nodes were told, %d bridged" % (len(updated_by_peers), NODES,
-                                                         were_bridges)
+        return "%d of %d nodes updated by peers, %d were bridges" % (len(updated_by_peers), NODES,
+                                                                     were_bridges)
 
 
 def test_nodes_that_start_together_log_few_peers():
@@ -111,10 +111,10 @@
 
 
 def calls_since(d, first):
-    """Counts the store calls after index `first` by kind.
+    """Counts the store calls from index `first` on by kind.
 
-    Calls that accept a stale answer are counted as "KIND stale"; reads of changes since a
-    revision count as nothing.
+    Calls that accept a stale answer are counted as "KIND stale". Of a list only the first
+    page counts: in later ones, sinceRev names the last object of the page before.
     """
     counts = collections.Counter()
     for r in d.store.calls[first:]:
@@ -276,7 +276,8 @@
 def test_one_usage_count_of_all_nodes_while_bridges_are_killed():
     """Guards against usage counts that are lost or doubled when a bridge is killed.
 
-    Each window's count must be the calls of all nodes, except those of the killed one.
+    Over four windows the counts must add up to the calls that all nodes served, but for
+    some of the killed one.
     """
     with fleet(nodes=NODES) as d:
         wait_settled(d)
@@ -350,7 +351,7 @@
                     for c in counts_by_window(d)[w]}
         for w in reported:
             assert abs(reported[w] - served[w]) <= 0.05 * served[w] + 2, (reported, served)
-        return "%s told, %s made" % (reported, {w: served[w] for w in reported})
+        return "%s reported, %s made" % (reported, {w: served[w] for w in reported})
 
 
 def test_usage_survives_a_kill_of_a_large_fleet():
--- a/tests/proc_hosted_calls.py
+++ b/tests/proc_hosted_calls.py
@@ -124,7 +124,7 @@
 
 
 def forged_headers():
-    """Returns each header that only the system sets, in several cases and repeated."""
+    """Returns each header that only the system sets, in several letter cases and repeated."""
     return [(form, "forged") for name in RESERVED_HEADERS
             for form in (name, name.lower(), name.upper(), name)]
 
@@ -461,7 +461,8 @@
 def test_an_early_answer_to_a_long_request():
     """Guards against the rest of a request body that is read as a new request.
 
-    The worker answers before it has read the whole body, and goes on reading.
+    The worker answers a request of 60,000 bytes with 413 and keeps the connection; the
+    next call must be served. The stand-in answers only after it has read the whole body.
     """
     def early(w, req, conn):
         conn.sendall(w.head(req, 413, b"Content-Length: 0\r\n"))
--- a/tests/proc_hosted_cooldown.py
+++ b/tests/proc_hosted_cooldown.py
@@ -17,8 +17,9 @@
 def arrivals_in_cooldown(worker, cooldown_s):
     """Returns the most requests that a worker got within one cooldown.
 
-    The fleet must have a single node. The first SLACK_S of a cooldown are not counted. A
-    cooldown that is requested again within one counts from there as well.
+    The fleet must have a single node, as a cooldown holds for the node that got the
+    refusal. Each request of the worker is taken as the start of a cooldown, whose first
+    SLACK_S are not counted.
     """
     times = sorted(r.at for r in worker.seen)
     return max((sum(at + SLACK_S < t < at + cooldown_s for t in times) for at in times), default=0)
@@ -39,7 +40,7 @@
         assert count <= ALLOWED_ARRIVALS, "%d requests in a rest" % count
         served, sent = f.served(began)
         assert served == sent, "%d of %d served" % (served, sent)
-        return "%d requests in a rest, 2 allowed" % count
+        return "%d requests in a cooldown, 2 allowed" % count
 
 
 def test_vms_that_all_ask_for_rest_get_no_calls():
--- a/tests/proc_hosted_engines.py
+++ b/tests/proc_hosted_engines.py
@@ -96,7 +96,7 @@
 
 
 def test_an_engine_without_an_estimate_is_tried():
-    """Guards against a refusal by an estimate that no call has confirmed."""
+    """Guards against a refusal while no answer has shown how fast the engine is."""
     with deployment(FAST_TOKENS_PER_S) as d:
         assert ask(d, LONG_PROMPT_TOKENS).status == 200
 
--- a/tests/proc_hosted_fleet.py
+++ b/tests/proc_hosted_fleet.py
@@ -89,7 +89,7 @@
         d.store.handle = real
         time.sleep(1.3)  # by now its watch waits, and the next change answers it
         d.store.drop("servers", removed.id)
-        removal_revision = d.store.revision  # nodes go on writing other kinds
+        removal_revision = d.store.revision  # read now: the nodes' own writes raise it
         wait_until(lambda: d.gauge(d.nodes[1], "list_revision") >= removal_revision, 6)
         before = len(removed.seen)
         for _ in range(10):
@@ -142,7 +142,7 @@
         assert all(d.call("/r/x", node=n).status == 200 for n in range(2))
         removed = d.workers[0]
         d.store.drop("servers", removed.id)
-        removal_revision = d.store.revision  # nodes go on writing other kinds
+        removal_revision = d.store.revision  # read now: the nodes' own writes raise it
         wait_until(lambda: all(d.gauge(n, "list_revision") >= removal_revision
                                for n in d.nodes), 6)
         before = len(removed.seen)
@@ -176,8 +176,8 @@
 def test_a_vm_whose_expiry_and_return_arrive_together_is_used():
     """Guards against a VM that is dropped although its entry was written again.
 
-    Its removal and its return reach a node in the same answer of the store, and the
-    removal has no revision of its own.
+    Its removal and its return reach a node in the same answer of the store. The store
+    reports a removal with the object as last written, so with that write's revision.
     """
     with fleet(nodes=2, zones=("a-hall", "b-hall")) as d:
         d.store.fault = lambda req: 503
@@ -336,7 +336,8 @@
 def test_a_quota_holds_over_all_nodes():
     """Guards against a quota that each node grants in full.
 
-    Three nodes are called as fast as they answer; together they must admit one quota.
+    Three nodes get up to 50 calls a second each, where the organisation's rate is 20;
+    together they must admit one quota.
     """
     rate, burst, window = 20, 20, 4
     tenants = [{"name": "clinic", "apiKeys": ["key-1"], "unit": "token_stream",
@@ -408,10 +409,10 @@
 def test_a_quota_holds_over_a_kill_while_there_is_no_leader():
     """Guards against quota usage that nobody persists while there is no leader.
 
-    Organisations ran 1.16 to 1.32 times their quota around two kills of all nodes. Only
-    the leader persisted the usage, and after its end there was none for the length of a
-    lease: restarted nodes knew nothing, and took the latest usage to leave the quota's
-    window sooner than it did.
+    An organisation ran 1.16 to 1.32 times its quota around two kills of all nodes. Only
+    the leader persisted the usage, and once the leader had stopped there was none for the
+    length of a lease. Restarted nodes had no record of the latest usage, and what they
+    assumed instead left the quota's window sooner than the real usage.
     """
     rate, burst, window = 20, 60, 8
     tenants = [{"name": "clinic", "apiKeys": ["key-1"], "unit": "token_stream",
@@ -453,7 +454,8 @@
 def test_an_organisation_within_its_quota_is_served_after_a_kill_of_all_nodes():
     """Guards against usage that is counted twice when all nodes restart.
 
-    An organisation that calls at half of its rate must hardly be refused.
+    Restarted nodes must not count what they have from each other's reports once more. An
+    organisation calls at half of its rate; at most a tenth of its calls may be refused.
     """
     rate, window = 40, 4
     tenants = [{"name": "clinic", "apiKeys": ["key-1"], "unit": "token_stream",
@@ -486,7 +488,7 @@
 
 
 def counts_by_window(d):
-    """Returns the set of different usage counts that were accepted for each window."""
+    """Returns, by window, the set of different usage counts that the cloud API accepted."""
     out = collections.defaultdict(set)
     for window, counts, _, _ in d.cloud.usage:
         out[window].add(tuple(sorted(counts.items())))
@@ -535,17 +537,17 @@
         reported = sum(dict(c).get("clinic", 0) for w in counts_by_window(d).values() for c in w)
         ran = sum(served[w] for w in counts_by_window(d))
         assert reported and abs(reported - ran) <= 0.15 * ran, (reported, ran)
-        return "%d windows, %d calls told, %d made in them" % (len(counts_by_window(d)),
-                                                               reported, ran)
+        return "%d windows, %d calls reported, %d made in them" % (len(counts_by_window(d)),
+                                                                   reported, ran)
 
 
 def test_a_retried_request_counts_once():
     """Guards against retries that are counted as requests in the usage report.
 
     A window was off by 138 of 1,950 requests: engines failed a third of the streams for
-    four seconds, those that may be repeated were retried, and each run was counted. Here
-    three runs of seven fail, with a retry left or not: of 120 requests 80 succeed, and
-    140 were reported.
+    four seconds, those that may be repeated were retried, and each run was counted,
+    where the platform wants requests. Here three runs of seven fail, with a retry left or
+    not: of 120 requests 80 succeed, and 140 were reported.
     """
     numbers = itertools.count()
 
@@ -567,7 +569,7 @@
         reported = sum(dict(c).get("clinic", 0) for w in counts_by_window(d).values() for c in w)
         assert answers.count(500) >= 10 and set(answers) == {200, 500}, answers
         assert reported == len(answers), (reported, len(answers))
-        return "%d told of %d, %d ended well" % (reported, len(answers), answers.count(200))
+        return "%d reported of %d, %d succeeded" % (reported, len(answers), answers.count(200))
 
 
 def check_usage_survives_a_kill(nodes, gap_s, tolerance):
@@ -600,7 +602,7 @@
         assert abs(reported[first] - served[first]) <= 0.05 * served[first] + 2, (reported, served)
         assert abs(reported[first + 1] - served[first + 1]) <= tolerance * served[first + 1], \
             (reported, served)
-        return "%s told, %s made" % (reported, {w: served[w] for w in reported})
+        return "%s reported, %s made" % (reported, {w: served[w] for w in reported})
 
 
 def test_usage_survives_a_kill_of_all_nodes():
@@ -608,8 +610,8 @@
 
     A window that had ended 3 s before the kill was reported as 0, and the window of the
     kill with only the calls after it. Nodes send their counts to the leader, which
-    reports a window once no node is unresponsive, at the latest 4 s after its end; none
-    of the counts was persisted in the store by then.
+    reports a window 1.5 s after its end, or up to 4 s after it while a node is
+    unreachable; none of the counts was persisted in the store by then.
     """
     return check_usage_survives_a_kill(nodes=3, gap_s=0.02, tolerance=0.3)
 
@@ -711,8 +713,8 @@
     After a kill of all 86 nodes, the leader took its lease again 1 s after its start and
     ordered 2 reclaimable VMs in each domain instead of 20, by a demand that no node had
     measured yet; a second later it ordered 32. Seconds of calls were late or lost. The
-    existing VMs were ordered for a demand that this process has not seen, so they stay
-    until it is known.
+    existing VMs were ordered for a demand that the restarted nodes have not seen, so they
+    stay until it is known.
     """
     with Hosted(nodes=2, zones=("a-hall",)) as d:
         for zone in ("a-hall", "b-hall"):
@@ -771,8 +773,9 @@
 def test_a_stop_cuts_nothing_off():
     """Guards against a planned stop that loses calls.
 
-    The node becomes unready at once, finishes calls in flight, sends Connection: close on
-    idle connections, leaves the store's node list and exits by itself.
+    The node becomes unready at once, finishes calls in flight, answers a request on a
+    connection that was idle with Connection: close, leaves the store's node list and
+    exits by itself.
     """
     def slow(w, req, conn):
         time.sleep(1.0)
@@ -949,10 +952,11 @@
 def test_a_burst_of_large_settings_takes_effect_soon_over_a_slow_link():
     """Guards against many large settings versions that fill a node's link.
 
-    A node used settings that had been replaced 18 s before. A watch returns every version
-    since the last one known: 25 versions of 300 KB take 6 s on a link of 10 Mbit/s,
-    longer than a watch may last, and the next watch asks for the same versions, until the
-    store drops its history. A list returns only the newest version.
+    A node used settings that had been replaced 18 s before, and its link was congested
+    meanwhile. A watch returns every version since the last one known: 25 versions of
+    300 KB take 6 s on a link of 10 Mbit/s, longer than a watch may last, and the next
+    watch asks for the same versions, until the store drops its history. A list returns
+    only the newest version.
     """
     with Hosted(nodes=0) as d:
         add_node_behind_slow_link(d, LINK_BYTES_PER_S)
--- a/tests/proc_hosted_input.py
+++ b/tests/proc_hosted_input.py
@@ -53,7 +53,7 @@
 
 
 def test_a_half_sent_head_and_body_end_in_time():
-    """Guards against connections that an incomplete request holds open, or that run one."""
+    """Guards against incomplete requests that hold a connection open or reach a worker."""
     with plain(workers=1) as d:
         s = d.connect()
         s.sendall(b"GET /r/x HTTP/1.1\r\nHost: api")
--- a/tests/proc_hosted_moves.py
+++ b/tests/proc_hosted_moves.py
@@ -219,7 +219,8 @@
 def test_a_cached_prefix_is_copied_from_its_engine():
     """Guards against a prefix that is read again although another engine has it cached.
 
-    A short prefix must not be copied.
+    Each call with a long prefix, also the first, names another engine that probably has
+    it cached, chosen by rendezvous hash. A short prefix is not copied.
     """
     with deployment() as d:
         addrs = {w.addr for w in d.workers}
--- a/tests/proc_hosted_quarantine.py
+++ b/tests/proc_hosted_quarantine.py
@@ -1,8 +1,8 @@
 """Tests of a request that crashes each VM that begins to run it.
 
 Such a request is quarantined: no node sends it to further VMs. On 8 nodes with 9 engines,
-one request crashed 39 engines within a minute, another 48; 13 and 16 of these runs began
-after the third crash. Up to 72 other calls were lost with each engine. The caller
+one request crashed 39 engines within a minute, another 48; they were sent 13 and 16 times
+after their third crash. Up to 72 other calls were lost with each engine. The caller
 repeated its call at once at any node, each time under another id, and a node counted the
 attempts of one call only, so each repeat got two more VMs.
 
@@ -154,7 +154,7 @@
     """Guards against a quarantine that hits other requests.
 
     Callers of two organisations send other requests meanwhile. None may be refused as
-    quarantined, and each is served whole afterwards.
+    quarantined, and all calls made afterwards are served whole.
     """
     with Fleet() as f:
         crashing_caller = threading.Thread(target=f.ask_repeatedly, args=(6,))
--- a/tests/proc_hosted_rollouts.py
+++ b/tests/proc_hosted_rollouts.py
@@ -95,7 +95,8 @@
         assert took < DURATION_S, took
         assert calls_seen(new) > before
         assert set(statuses) == {200}, statuses
-        return "taken after %.1f of %.0f s, %d calls" % (took, DURATION_S, sum(statuses.values()))
+        return "committed after %.1f of %.0f s, %d calls" % (
+            took, DURATION_S, sum(statuses.values()))
 
 
 def check_rolled_back(d, bad, targets=("/r/x",)):
@@ -191,9 +192,9 @@
 
 
 def test_a_node_restarted_amid_a_canary_follows_the_announcement():
-    """Guards against a restarted node that sends a canary its full share of calls.
+    """Guards against a restarted node that sends a canary as many calls as any other VM.
 
-    The node must follow the leader's rollout announcement.
+    The node must follow the leader's rollout announcement, which limits them.
     """
     with deployment() as d:
         old, new = d.start_rollout("plain", "v2", 20.0, failing_fault(1.0), count=1)
@@ -211,8 +212,8 @@
     """Guards against a restarted node that takes the canary for the serving version.
 
     During a canary as many VMs have the new version as the old one. A restarted node took
-    the version of the first VM in the list for the serving one; here the new VMs are the
-    first.
+    the version of the first VM in the list for the serving one, and sent the VMs of the
+    other version no calls; here the new VMs are the first.
     """
     ids = Worker.ids
     Worker.ids = itertools.count(2 ** 20, -1)
@@ -230,7 +231,7 @@
             canary_calls = calls_seen(new) - before
             most = BOUNDS["exposureShare"] * calls + BOUNDS["exposureSlack"]
             assert canary_calls <= most, (canary_calls, calls)
-            return "%d of %d calls tried it" % (canary_calls, calls)
+            return "%d of %d calls went to the canary" % (canary_calls, calls)
     finally:
         Worker.ids = ids
 
@@ -269,7 +270,7 @@
         d.restart_node(leader)
         wait_until(lambda: d.store.objects["rillknot-leases"]["duties"]["spec"]["epoch"]
                    > epoch, 10)
-        time.sleep(1)  # calls placed under the killed leader's last announcement
+        time.sleep(1)  # until calls placed by the killed leader's last announcement have ended
         before = calls_seen(new)
         time.sleep(2)
         new_calls, total = calls_seen(new) - before, calls_seen(old) + calls_seen(new)
