--- a/tests/proc_answers.py
+++ b/tests/proc_answers.py
@@ -19,9 +19,10 @@
 
 
 def through_fault(mode, count=1, ms=0, **kw):
-    """Sends one completion through a fault that both engines have set, and checks its
-    text against an undisturbed answer. Returns the entry node's metrics, or with
-    further arguments (answer, undisturbed body)."""
+    """Sends one completion through a fault that both engines have set, and checks that
+    it is complete. Without further arguments, checks its text against an undisturbed
+    answer and returns the entry node's metrics. With further arguments of chat(),
+    returns (answer, undisturbed body) for the caller to compare."""
     with two_engines() as c:
         e = c.entries[0]
         expected = chat(e.port, PROMPT, max_tokens=30, **kw).body if kw else \
--- a/tests/proc_keeper.py
+++ b/tests/proc_keeper.py
@@ -103,8 +103,9 @@
 
 
 def test_a_start_whose_answer_is_lost_is_not_doubled():
-    """A keeper is killed while its request to start one missing VM is under way. The
-    next keeper must not start a VM for it once more: two starts at most."""
+    """A keeper is killed while its request to start one missing VM is under way. As the
+    answer is lost, the next keeper may send the request once more, but no further ones:
+    two starts at most."""
     with keeper_cluster(engines=2) as c:
         for i in range(4):
             c.add_engine("spare-%d" % i, "klein-hall", state="spare")
--- a/tests/proc_listen.py
+++ b/tests/proc_listen.py
@@ -2,9 +2,9 @@
 
 SO_REUSEPORT let a second process listen on a port in use: it started without an error,
 the kernel gave it half of the connections, and these broke when it exited. In two of four
-runs of all tests under load, an entry node closed GET /status without an answer for this
-reason: a test had freed a port for a node that it was about to start, and a node of a
-test that ran in parallel had got the same port."""
+runs of all tests under load, an entry node closed the connection of a GET /status without
+an answer for this reason: a test had freed a port for a node that it was about to start,
+and a node of a test that ran in parallel had got the same port."""
 import subprocess
 
 from cluster import free_port, get_json, request
--- a/tests/proc_once.py
+++ b/tests/proc_once.py
@@ -154,7 +154,7 @@
     with small_cluster(engines=0) as c:
         c.put_change(2, {"id": "c", "set": {"/services/slots/claims_when_down": "local"}})
         c.wait_head(2)
-        for i in range(30):  # so that a node has read every claim shard before the outage
+        for i in range(30):  # so that the node has read every claim shard before the outage
             call(c.entries[0].port, "slots/confirm", "warm%d" % i)
         c.fault(c.platform, "down")
         a = call(c.entries[0].port, "slots/confirm", "k0")
--- a/tests/proc_reclaim.py
+++ b/tests/proc_reclaim.py
@@ -55,8 +55,8 @@
 
 
 def recomputed_tokens(kv_move):
-    """Returns the tokens that the engines prefilled for one moved stream, by their own
-    count."""
+    """Returns the tokens that the engines prefilled again after one stream was moved, by
+    their own count."""
     with small_cluster(engines=2, services=0) as c:
         c.put_change(2, {"id": "kv", "set": {"/services/booking/kv_move": kv_move}})
         c.wait_head(2)
--- a/tests/proc_refusals.py
+++ b/tests/proc_refusals.py
@@ -205,8 +205,9 @@
 
 
 def test_a_cooldown_requested_by_an_upstream_is_kept():
-    """An upstream that refuses with Retry-After: 2 must get two requests at most from
-    0.5 to 1.9 s afterwards, and be used again once the 2 s are over."""
+    """Guards against sending requests again and again to an upstream that has asked for
+    a cooldown. One that refuses with Retry-After: 2 must get two requests at most from
+    0.5 to 1.9 s after its first refusal, and be used again once the 2 s are over."""
     def refuse_with_retry_after(conn, read, n):
         read()
         refused_at.append(time.monotonic())
--- a/tests/proc_stop.py
+++ b/tests/proc_stop.py
@@ -126,7 +126,8 @@
 
 
 def test_a_peers_calls_in_hand_when_the_notice_is_over():
-    """Forwarded calls of a peer still run when the notice of a planned stop is over.
+    """Forwarded calls of a peer still run when the notice of a planned stop is over: the
+    node must exit without an error, and no such call may be reported as not run.
 
     Guards against a use after free in rk_exchange_cancel(): a planned stop ended with
     SIGSEGV once, and under a sanitizer in 2 of 8 rolling restarts. The node ended all
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -219,6 +219,7 @@
             r = load(c, c.entries, ["-p", name, "-m", engine, "-n", "300", "-r", rate])
             t.join()
             m = [metrics(e.port) for e in c.entries]
+            # Prices and hours are those of the engines' VMs, of which two run for 10 s only.
             price = 0.9 if name == "hospital" else 0.8
             vm_hours = (6 * r["seconds"] - 2 * (r["seconds"] - 10)) / 3600
             print("  %-9s %d of %d whole; first p50 %.0f p95 %.0f ms; between tokens p95 %.1f"
@@ -233,7 +234,8 @@
 def gossip():
     """Measure the cost of control traffic between real processes.
 
-    The failure domain grows; the last case has three of the largest size.
+    The failure domain grows to the size that is expected in two years; the last case has
+    three domains of that size.
     """
     print("control traffic of real processes over 20 s without calls, by nodes and VMs of a "
           "domain")
--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -21,7 +21,7 @@
 
 
 class Proc:
-    """A child process whose standard output is a log file of JSON events.
+    """A child process that writes its output, a log of JSON events, into a file.
 
     Waits for ready_event, unless that is empty, and keeps it in self.ready.
     """
@@ -82,7 +82,7 @@
     def stop(self, timeout=40):
         """Send SIGTERM and return the exit code.
 
-        Kills the process and returns None if it runs for another timeout seconds.
+        Kills the process and returns None if it has not exited after timeout seconds.
         """
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
@@ -436,8 +436,8 @@
                        (body % json.dumps(flat)).encode(), {"If-None-Match": "*"})
 
     def wait_ready(self, timeout=START_TIMEOUT_S):
-        """Wait until every entry node has settings, lists the live VMs of its domain,
-        and sees all other entry nodes alive."""
+        """Wait until every entry node has settings, lists at least as many VMs as its
+        domain has live ones, and sees all other entry nodes alive."""
         def ready():
             for e in self.entries:
                 s = get_json(e.port, "/status")
@@ -466,15 +466,18 @@
                   {"id": vm, "in_ms": in_ms, "list": int(listed)})
 
     def fault(self, proc, mode, count=-1, ms=0):
-        """Make a stand-in misbehave for the next count requests; -1: for all."""
+        """Make a stand-in misbehave for the next count requests; -1: for all.
+
+        An empty mode ends the fault.
+        """
         post_json(proc.port, "/_fault", {"mode": mode, "count": count, "ms": ms})
 
     def runs(self):
-        """Return the number of runs by key, summed over the plain services' own counts."""
+        """Return the number of runs by key, as the running plain services counted them."""
         return self._by_key("/_runs", lambda a, b: a + b)
 
     def run_times(self):
-        """Return when each key first ran, in ms on the monotonic clock."""
+        """Return when each key first ran at a running service, in ms on the monotonic clock."""
         return self._by_key("/_times", min)
 
     def _by_key(self, page, join):
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -39,7 +39,10 @@
 
 
 def prepare_sources(folder, source):
-    """Put the variant's sources into a new git repository, which the bench requires."""
+    """Put the variant's sources into a clone of the repository; the bench requires one.
+
+    A folder that exists is used as it is.
+    """
     if os.path.exists(folder):
         return
     subprocess.run(["git", "clone", "-q", ROOT, folder], check=True)
--- a/tools/faultproxy.py
+++ b/tools/faultproxy.py
@@ -70,8 +70,9 @@
     """The thread that serves all proxies."""
 
     def __init__(self):
+        # Only this thread uses selector and conns.
         self.selector = selectors.DefaultSelector()
-        self.conns = {}  # Connection -> FaultProxy; used by this thread only
+        self.conns = {}  # Connection -> FaultProxy
         self.pending_calls = collections.deque()  # passed to call() by other threads
         threading.Thread(target=self._run, daemon=True).start()
 
@@ -119,7 +120,9 @@
     def __init__(self, target=None):
         self.target = target
         self.mode, self.delay_s = PASS, 0.0
-        self.frame_limit = None  # messages to the target with longer bodies are dropped
+        # Messages to the target with longer bodies are dropped, on connections that are
+        # accepted from now on.
+        self.frame_limit = None
         self.rate = None  # bytes/s to clients, over all connections; None: no limit
         self.passed = 0  # bytes sent to the target
         self.send_credit = 0.0  # bytes that rate allows now
--- a/tools/hosted.py
+++ b/tools/hosted.py
@@ -211,6 +211,10 @@
             return self._object_request(req, kind, name)
 
     def _list(self, kind, after):
+        """Answer with the next page of objects, by name.
+
+        The query's sinceRev holds the last name of the previous page, not a revision.
+        """
         with self.cond:
             names = sorted(n for n in self.objects[kind] if n > after)
             page = names[:5]  # small pages, so that paging is exercised
@@ -311,7 +315,8 @@
     """
 
     ids = itertools.count(1)
-    # Copies of requests' KV caches, by handle: (request id, address of the worker).
+    # Copies of requests' KV caches, by handle: (request id, address of the worker that
+    # holds the copy).
     copies = {}
 
     def __init__(self, service, zone, events=0, slots=6, version="v1"):
@@ -345,8 +350,9 @@
     def move(self, req, conn):
         """Stop a running stream and copy its KV cache to another worker.
 
-        move_fault: "gone" answers 404 and does nothing, "full" keeps the copy here and
-        answers 503, "lost" does not answer, "dies" stops the worker without an answer.
+        The order's targetVersion holds the address of the other worker. move_fault: "gone"
+        answers 404 and does nothing, "full" keeps the copy here and answers 503, "lost"
+        stops the stream but makes no copy and does not answer, "dies" also stops the worker.
         """
         order = json.loads(req.body)
         stop = self.stops.get(order["id"])
@@ -423,10 +429,10 @@
 
     def refuse_request(self, req, conn):
         """Refuse a request: 503, declared as not executed."""
-        rest = b"Retry-After: %g\r\n" % self.retry_after_s if self.retry_after_s else b""
+        retry_after = b"Retry-After: %g\r\n" % self.retry_after_s if self.retry_after_s else b""
         conn.sendall(b"HTTP/1.1 503 Service Unavailable\r\nRillknot-Not-Executed: 1\r\n"
                      b"Rillknot-Attempt-Id: %s\r\n%s%sContent-Length: 0\r\n\r\n"
-                     % (req.get("Rillknot-Attempt-Id").encode(), self.signals(), rest))
+                     % (req.get("Rillknot-Attempt-Id").encode(), self.signals(), retry_after))
         return True
 
     def body(self, req):
@@ -604,8 +610,8 @@
     def restart_node(self, index):
         """Restart a node as after a kill, in a deployment that has started before.
 
-        A node that still runs is killed. Otherwise it would go on calling its store for
-        good, and with it any server that is given the same address later.
+        A node that still runs is killed. Otherwise it would keep sending requests to the
+        address of its store, which another server may be given later.
         """
         old = self.nodes[index]
         if old.popen.poll() is None:
@@ -632,7 +638,7 @@
         """Order a rollout as an operator does; return the old and the new workers.
 
         Starts workers of the new version beside the old ones, at most count of them; bad
-        is their fault. Acts for the platform at the end of the rollout: the old workers
+        is their Worker.fault. Acts for the platform at the end of the rollout: the old workers
         are killed when it has completed, the new ones are drained when it is rolled back.
         """
         listed = self.store.objects["servers"]
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -2,7 +2,7 @@
 """Mutation test of the checks: shows that each of them fails when it should.
 
 Removes one protection at a time from a scratch copy of the tree, builds the copy, and
-runs the one test that must then fail. The last line printed is "N caught, N missed"; the
+runs the test that must then fail. The last line printed is "N caught, N missed"; the
 exit code is 0 only if none was missed.
 
     tools/mutants.py [PROMISE...]
@@ -16,7 +16,8 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
-# (promise, the mutation, [(file, old, new)], test: a process test or a prop_ program)
+# (promise, the mutation, [(file, old, new)], test: a prop_ program, or a part of the names
+# of process tests, of which at least one must fail)
 MUTANTS = [
     ("3", "a 503 counts as not run without a contract",
      [("core/verdict.c", "refusal && contract->refusal_not_run", "refusal")],
@@ -83,7 +84,10 @@
 
 
 def scratch_copy(edits):
-    """Return the path of a temporary copy of the tree with the edits applied."""
+    """Return the path of a temporary copy of the tree with the edits applied.
+
+    The sanitizers' builds, address and thread, are not copied.
+    """
     path = tempfile.mkdtemp(prefix="rillknot-mutant-")
     for name in os.listdir(ROOT):
         if name in (".git",):
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -160,7 +160,7 @@
         rng = random.Random(self.seed * 1000 + number)
         conn, node, rest = None, None, []
         serial = 0
-        seen = {}  # process id of a node -> newest settings version that it served
+        seen = {}  # process id of a node -> greatest N of the routes gen-N that it served
         while not self.stop.is_set():
             if conn is None:
                 node = self.hosted.nodes[rng.randrange(self.node_count)]
@@ -540,12 +540,14 @@
 
     @staticmethod
     def answered_before(worker, since):
-        """Return whether the worker got a call early enough before `since` that its
-        answer's signal has reached all nodes by then."""
+        """Return whether the worker got a call after it began to send its signal,
+        SIGNAL_SPREAD_S before `since`, and at least 1 s before `since`, so that the
+        signal has reached all nodes by then."""
         return any(since - SIGNAL_SPREAD_S <= r.at < since - 1 for r in worker.seen)
 
     def check_runs(self):
-        """Check that no request ran twice that may not, or ran in spite of a refusal."""
+        """Check that no request that may run only once ran twice, or ran although it was
+        answered as not run, and that no API key reached a VM."""
         runs = collections.Counter()
         for worker in self.hosted.workers:
             runs.update(worker.runs)
@@ -560,7 +562,7 @@
                 self.problem("%s was answered as not run, but ran" % ident)
 
     def check_quota(self):
-        """Check the runs of the limited organisation in every quota window."""
+        """Check the runs of the limited organisation in any period of QUOTA_WINDOW_S."""
         times = sorted(t for w in self.hosted.workers for t, org in w.ran_at
                        if org == "small")
         first = 0
