--- a/tools/hosted.py
+++ b/tools/hosted.py
@@ -762,7 +762,8 @@
 def http(port, method, target, headers=(("Host", "x"),), body=b"", timeout=20):
     """Send one request on a new connection and return the Answer.
 
-    Answer.whole is False if the answer was incomplete or the connection failed.
+    Answer.whole is False if the answer was incomplete or the connection broke. Raises
+    OSError if the connection can't be made.
     """
     start = time.monotonic()
     s = socket.create_connection(("127.0.0.1", port), timeout)
