--- a/tests/test_bridges.c
+++ b/tests/test_bridges.c
@@ -206,7 +206,7 @@
 /* Guards against work for each message that grows with the fleet. Each message
  * walked over all members to find the few that send reports, some hundred times a
  * second; at 985 nodes that took more than half of a node's CPU time. Only contacts
- * are walked now: members from which it received something or to which it
+ * are walked now: members from which the node received something or to which it
  * connected. */
 static void messages_walk_only_contacts(void **state)
 {
@@ -245,7 +245,8 @@
     rk_digest_receive(rk_mesh_find_or_add(&f->meshes[to], id, addr), &d);
 }
 
-/* Units of an organisation that peers used since they were last passed on. */
+/* Units of an organisation that peers used and that were not passed to the relay
+ * yet. */
 static double peer_units_of(const struct rk_mesh *m, const char *org)
 {
     double sum = 0;
@@ -292,14 +293,14 @@
 {
     (void)state;
     static struct fleet f;
-    struct rk_totals asking = {0};
+    struct rk_totals demand = {0};
     fleet_init(&f);
     receive_usage_digest(&f, 0, 1, "a", 10);
     receive_brief_digest(&f, 0, 1);
-    rk_loads_add_peer_demand(&f.meshes[0], &asking, rk_mono_ms());
-    assert_float_equal(rk_totals_value(&asking, "a"), DEMAND, 0.001);
+    rk_loads_add_peer_demand(&f.meshes[0], &demand, rk_mono_ms());
+    assert_float_equal(rk_totals_value(&demand, "a"), DEMAND, 0.001);
     assert_float_equal(peer_units_of(&f.meshes[0], "a"), 0, 0.001);
-    rk_totals_free(&asking);
+    rk_totals_free(&demand);
     fleet_free(&f);
 }
 
