--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Writes copies of the working tree with one mechanism switched off in each, by
-edits of its source, and prints them as variants for tools/experiment.py:
+"""Writes copies of the working tree, each with one mechanism disabled by an edit of its
+source, and prints them as arguments for tools/experiment.py:
 
     tools/experiment.py --variant all=. $(tools/ablation.py FOLDER) SITE...
 """
@@ -11,7 +11,7 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 NOT_COPIED = shutil.ignore_patterns(".git", "build", "target", "journal")
 
-# Name: file, text that must be there once, what stands there instead.
+# By name: file, text that must occur there exactly once, its replacement.
 MECHANISMS = {
     "no-lateness-refusals": ("serve/relay_call.c", "target_ms <= 0)\n        return false;",
                              "target_ms <= 0 || x->r)\n        return false;"),
@@ -50,12 +50,12 @@
             text = f.read()
         if text.count(old) != 1:
             sys.exit("%s: expected once in %s: %r" % (name, path, old))
-        place = os.path.join(folder, name)
-        shutil.rmtree(place, ignore_errors=True)
-        shutil.copytree(ROOT, place, ignore=NOT_COPIED)
-        with open(os.path.join(place, path), "w") as f:
+        copy_path = os.path.join(folder, name)
+        shutil.rmtree(copy_path, ignore_errors=True)
+        shutil.copytree(ROOT, copy_path, ignore=NOT_COPIED)
+        with open(os.path.join(copy_path, path), "w") as f:
             f.write(text.replace(old, new))
-        print("--variant", "%s=%s" % (name, place))
+        print("--variant", "%s=%s" % (name, copy_path))
 
 
 if __name__ == "__main__":
--- a/tools/commits.py
+++ b/tools/commits.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Builds each commit of a range and runs its units and properties, in a clone of its own, so that
-a search over commits (git bisect) meets none that doesn't build. Ends with
-"N passed, N failed"; exit 0 only when none failed.
+"""Builds each commit of a range in a clone and runs its unit and property tests.
+
+This keeps git bisect usable: it needs commits that build. The last line printed is
+"N passed, N failed"; the exit code is 0 only if none failed.
 
     tools/commits.py ee5e162..HEAD [--jobs N]
-    git config core.hooksPath tools/hooks    # checks what is about to be pushed
+    git config core.hooksPath tools/hooks    # checks the commits of each push
 """
 import argparse
 import os
@@ -14,7 +15,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 TEST_TIMEOUT_S = 300
-MAX_SUCCESS = 20  # cases of each property: CI tries more of the last commit
+MAX_SUCCESS = 20  # cases per property; CI tries more, but only at the last commit
 
 
 def git(*args, folder=ROOT):
@@ -23,18 +24,21 @@
 
 
 def commits(span):
-    """Oldest first; those that change nothing but pages and journal are left out."""
+    """Return the commits of the range, oldest first.
+
+    Commits that change only documentation or the journal are left out.
+    """
     return git("rev-list", "--reverse", "--no-merges", span, "--", ".",
                ":!docs", ":!journal", ":!*.md").split()
 
 
 def check(folder, jobs):
-    """None, or what failed."""
+    """Build and test the checked-out commit; return None or a text about the failure."""
     build = subprocess.run(["make", "-s", "-j%d" % jobs, "all"], cwd=folder,
                            stdout=subprocess.PIPE, stderr=subprocess.STDOUT, check=False)
     if build.returncode:
         return "doesn't build\n" + build.stdout.decode("utf-8", "replace")[-1500:]
-    # The tests of that commit, which pass over what its KNOWN-RED.txt lists.
+    # The commit's own test runner does not count failures listed in its KNOWN-RED.txt.
     run = subprocess.run([sys.executable, os.path.join("tests", "run.py"), "--skip-process",
                           "--no-count", "--max-success", str(MAX_SUCCESS)], cwd=folder,
                          stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
@@ -56,11 +60,11 @@
         git("clone", "-q", "--no-checkout", ROOT, folder)
         for commit in chosen:
             git("checkout", "-q", commit, folder=folder)
-            what = check(folder, args.jobs)
-            failed += what is not None
-            print("%-7s %s%s" % ("FAILED" if what else "ok",
+            failure = check(folder, args.jobs)
+            failed += failure is not None
+            print("%-7s %s%s" % ("FAILED" if failure else "ok",
                                  git("log", "-1", "--format=%h %s", commit).strip(),
-                                 ": " + what if what else ""), flush=True)
+                                 ": " + failure if failure else ""), flush=True)
     print("\n%d passed, %d failed" % (len(chosen) - failed, failed))
     return 1 if failed else 0
 
--- a/tools/days.py
+++ b/tools/days.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Plays the project's own days (tests/days/days.json) on a deployment with the users'
-bench, several at a time, and says which rules broke. The bench lies outside the
-repository: FLEETBENCH names its program.
+"""Runs the project's own scenarios (tests/days/days.json) on a deployment with the
+users' bench, several at a time, and prints which rules were broken. The bench calls a
+scenario a day. It is not part of the repository; FLEETBENCH names its program.
 
     FLEETBENCH=.../bin/fleetbench tools/days.py SITE.toml [--only PART] [--jobs N]
 """
@@ -29,6 +29,7 @@
 
 
 def day_text(name, day):
+    """Return the day as TOML, in the form that the bench reads."""
     lines = ["[[day]]", 'name = "%s"' % name, 'slot = "trouble"', "seed = %d" % SEED,
              "one = 1.0", "zero = 0.0", "labels = []"]
     if "closing" in day:
@@ -39,6 +40,7 @@
 
 
 def play(bench, site, name, day, folder, why):
+    """Run one day on the site; return its name and the bench's output."""
     path = os.path.join(folder, name + ".toml")
     with open(path, "w") as f:
         f.write(day_text(name, day))
@@ -59,7 +61,7 @@
         sys.exit("FLEETBENCH must name the bench's program")
     with open(os.path.join(ROOT, "tests", "days", "days.json")) as f:
         days = {n: d for n, d in json.load(f).items() if args.only in n}
-    bad = 0
+    failed = 0
     with tempfile.TemporaryDirectory() as folder, \
             concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         jobs = [pool.submit(play, bench, args.site, n, d, folder, args.why)
@@ -69,13 +71,13 @@
             line = re.search(r"^%s .*$" % re.escape(name), out, re.M)
             broken = re.findall(r"^(?:rules broken|fault).*$|^[A-Z]+ at .*$", out, re.M)
             if broken or not line:
-                bad += 1
+                failed += 1
                 print("BROKEN %s: %s" % (name, "; ".join(broken) or out[-400:]))
             else:
                 print("ok     %s" % line.group(0)[:130])
             sys.stdout.flush()
-    print("%d passed, %d failed" % (len(days) - bad, bad))
-    sys.exit(bad > 0)
+    print("%d passed, %d failed" % (len(days) - failed, failed))
+    sys.exit(failed > 0)
 
 
 if __name__ == "__main__":
--- a/tools/deps.sh
+++ b/tools/deps.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Install what the build and the tests need and this machine lacks.
+# Installs the packages that the build and the tests need and that are missing here.
 set -eu
 want="gcc g++ make pkg-config libmicrohttpd-dev libcurl4-openssl-dev libjson-c-dev
 libck-dev libprotobuf-c-dev liblog4c-dev libhttp-parser-dev zlib1g-dev libcmocka-dev librapidcheck-dev python3 python3-prometheus-client
